--- a/src/main/java/org/cuminshelf/bench/ClaimBench.java
+++ b/src/main/java/org/cuminshelf/bench/ClaimBench.java
@@ -96,7 +96,7 @@
         ControlSettings settings = new ControlSettings(
                 "r",
                 List.of(
-                        new ReplicaSettings(ControlSettings.GLOBAL, address, addresses, true),
+                        new ReplicaSettings(ControlSettings.GLOBAL_GROUP, address, addresses, true),
                         new ReplicaSettings(GROUP, address, addresses, false)));
         return ControlProcess.start(
                 CommonSettings.plain(address, "r", "z", address.value()),
--- a/src/main/java/org/cuminshelf/control/ControlCore.java
+++ b/src/main/java/org/cuminshelf/control/ControlCore.java
@@ -48,23 +48,27 @@
     private record Waiter(Address asker, long question, long term, long since) {}
 
     private record RegionGroup(
-            Replica replica, RegionMachine machine, OrderSystem orders, PlanningSystem planning, EventSystem events) {}
+            Replica replica,
+            RegionStateMachine machine,
+            SidecarOrderDispatcher orders,
+            SidecarRoleController planning,
+            EventPreloader events) {}
 
     private final ControlSettings settings;
     private final Address self;
     private final Invariants invariants;
     private final Map<String, Replica> replicas = new LinkedHashMap<>();
     private final Map<String, RegionGroup> regions = new LinkedHashMap<>();
-    private final ConfigMachine config = new ConfigMachine();
-    private final Directory directory;
-    private final Registry registry;
-    private DutyHolder holder;
-    private StageSystem stages;
-    private Optional<UsageSystem> usage = Optional.empty();
-    private QuarantineSystem quarantine;
+    private final GlobalStateMachine config = new GlobalStateMachine();
+    private final SidecarDirectory directory;
+    private final DirectUpstreamRegistry registry;
+    private DutyLease holder;
+    private DirectRoleController stages;
+    private Optional<UsageReporter> usage = Optional.empty();
+    private QuarantineManager quarantine;
     private final PoisonRegister poison = new PoisonRegister();
-    private final Subscribers subscribers = new Subscribers();
-    private final UpdateSystem updates;
+    private final SubscriberTable subscribers = new SubscriberTable();
+    private final UpdatePublisher updates;
     private final Map<Long, Waiter> configWaiters = new HashMap<>();
     private final Map<String, Map<Long, Waiter>> claimWaiters = new HashMap<>();
     private final Map<String, Map<Long, Waiter>> orderWaiters = new HashMap<>();
@@ -85,12 +89,12 @@
         this.settings = settings;
         this.self = self;
         this.invariants = invariants;
-        this.directory = new Directory(incarnation);
-        this.registry = new Registry(directory);
+        this.directory = new SidecarDirectory(incarnation);
+        this.registry = new DirectUpstreamRegistry(directory);
         this.nextToken = LongHashFunction.xx3().hashLong(incarnation) & Long.MAX_VALUE >> 1;
         this.nextHousekeeping = now;
         this.updates =
-                new UpdateSystem(settings.region(), replicas, config, directory, registry, subscribers, poison, now);
+                new UpdatePublisher(settings.region(), replicas, config, directory, registry, subscribers, poison, now);
     }
 
     /**
@@ -121,18 +125,18 @@
     }
 
     private void addGroup(ReplicaSettings group, DurableState state, long now, UniformRandomProvider random) {
-        if (group.group().equals(ControlSettings.GLOBAL)) {
+        if (group.group().equals(ControlSettings.GLOBAL_GROUP)) {
             Replica replica = Replica.start(group, state, config, now, random, invariants);
             replicas.put(group.group(), replica);
-            holder = new DutyHolder(replica, settings.duties().leaseMillis());
-            stages = new StageSystem(replica, config.orders(), registry, subscribers, holder);
-            if (settings.duties().usageLateMillis().isPresent()) {
-                usage = Optional.of(new UsageSystem(replica, config.usage(), holder, settings.duties()));
+            holder = new DutyLease(replica, settings.duties().leaseMillis());
+            stages = new DirectRoleController(replica, config.orders(), registry, subscribers, holder);
+            if (settings.duties().usageDeadlineMillis().isPresent()) {
+                usage = Optional.of(new UsageReporter(replica, config.usage(), holder, settings.duties()));
             }
-            quarantine = new QuarantineSystem(replica, config.quarantine(), poison, directory);
+            quarantine = new QuarantineManager(replica, config.quarantine(), poison, directory);
             return;
         }
-        RegionMachine machine = new RegionMachine(invariants);
+        RegionStateMachine machine = new RegionStateMachine(invariants);
         Replica replica = Replica.start(group, state, machine, now, random, invariants);
         replicas.put(group.group(), replica);
         regions.put(
@@ -140,9 +144,9 @@
                 new RegionGroup(
                         replica,
                         machine,
-                        new OrderSystem(group.group(), replica, machine),
-                        new PlanningSystem(replica, machine, directory, subscribers),
-                        new EventSystem(replica, machine, directory)));
+                        new SidecarOrderDispatcher(group.group(), replica, machine),
+                        new SidecarRoleController(replica, machine, directory, subscribers),
+                        new EventPreloader(replica, machine, directory)));
         claimWaiters.put(group.group(), new HashMap<>());
         orderWaiters.put(group.group(), new HashMap<>());
     }
@@ -287,13 +291,13 @@
     }
 
     private void onSubscribe(long now, Address from, long incarnation, Subscribe subscribe, Outbox out) {
-        Subscribers.Row row = subscribers.onSubscribe(now, from, incarnation, subscribe);
+        SubscriberTable.Row row = subscribers.onSubscribe(now, from, incarnation, subscribe);
         quarantine.onSubscribe(now, subscribe);
         row.takenAt = unixMicros(now);
         usage.ifPresent(system -> system.onSubscribe(now, row, subscribe));
         if (subscribe.getConfirm()) {
             long token = nextToken++;
-            if (replicas.get(ControlSettings.GLOBAL).confirmRead(token)) {
+            if (replicas.get(ControlSettings.GLOBAL_GROUP).confirmRead(token)) {
                 readWaiters.put(token, from);
                 return;
             }
@@ -303,7 +307,7 @@
 
     /** The other control processes, by the log of the global group. */
     private List<Address> otherControl() {
-        return replicas.get(ControlSettings.GLOBAL).members().stream()
+        return replicas.get(ControlSettings.GLOBAL_GROUP).members().stream()
                 .filter(member -> !member.equals(self))
                 .toList();
     }
@@ -318,7 +322,7 @@
     }
 
     private void answerReads(Outbox out) {
-        for (long token : replicas.get(ControlSettings.GLOBAL).takeConfirmedReads()) {
+        for (long token : replicas.get(ControlSettings.GLOBAL_GROUP).takeConfirmedReads()) {
             Waiter reader = configReads.remove(token);
             if (reader != null) {
                 answerConfigRead(reader.asker(), reader.question(), out);
@@ -409,7 +413,7 @@
             answerConfigRead(from, request.getQuestion(), out);
             return;
         }
-        Replica replica = replicas.get(ControlSettings.GLOBAL);
+        Replica replica = replicas.get(ControlSettings.GLOBAL_GROUP);
         long token = nextToken++;
         if (replica.confirmRead(token)) {
             configReads.put(token, new Waiter(from, request.getQuestion(), replica.term(), now));
@@ -428,12 +432,12 @@
 
     private void onConfigApply(long now, Address from, AdminRequest request, Outbox out) {
         ConfigApply apply = request.getConfigApply();
-        Optional<String> wrong = settings.check().apply(apply.getConfig().toByteArray());
+        Optional<String> wrong = settings.configCheck().apply(apply.getConfig().toByteArray());
         if (wrong.isPresent()) {
             refuseAdmin(from, request.getQuestion(), AdminResult.ADMIN_BAD, wrong.get(), out);
             return;
         }
-        Replica replica = replicas.get(ControlSettings.GLOBAL);
+        Replica replica = replicas.get(ControlSettings.GLOBAL_GROUP);
         Optional<Long> index = replica.propose(now, LogEntry.newBuilder().setConfig(apply));
         if (index.isPresent()) {
             configWaiters.put(index.get(), new Waiter(from, request.getQuestion(), replica.term(), now));
@@ -443,7 +447,7 @@
     }
 
     private void onRelease(long now, Address from, AdminRequest request, Outbox out) {
-        Replica replica = replicas.get(ControlSettings.GLOBAL);
+        Replica replica = replicas.get(ControlSettings.GLOBAL_GROUP);
         if (!replica.isLeader()) {
             forward(now, from, request, replica, out);
             return;
@@ -518,7 +522,7 @@
     }
 
     private void answerConfigWaiters(Outbox out) {
-        Replica replica = replicas.get(ControlSettings.GLOBAL);
+        Replica replica = replicas.get(ControlSettings.GLOBAL_GROUP);
         configWaiters.entrySet().removeIf(entry -> {
             if (entry.getKey() > replica.applied()) {
                 return false;
--- a/src/main/java/org/cuminshelf/control/ControlSettings.java
+++ b/src/main/java/org/cuminshelf/control/ControlSettings.java
@@ -7,37 +7,42 @@
 import org.cuminshelf.replica.ReplicaSettings;
 
 /**
- * The place of a control process.
+ * Settings of a control process.
  *
- * @param region the region of the VM
- * @param groups the groups of which it is a replica: the global one and that of its region
- * @param check  finds what makes a configuration unfit to be accepted
- * @param duties what the platform asks of one control process at a time
+ * @param region      the region of the VM
+ * @param groups      the replication groups in which the process has a replica: the global group and, where sidecars
+ *                    are used, the group of its region
+ * @param configCheck validates a configuration before it is accepted; returns the reason for a rejection, or empty
+ * @param duties      the calls to the platform that only one control process at a time may make
  */
 public record ControlSettings(
-        String region, List<ReplicaSettings> groups, Function<byte[], Optional<String>> check, DutySettings duties) {
+        String region,
+        List<ReplicaSettings> groups,
+        Function<byte[], Optional<String>> configCheck,
+        DutySettings duties) {
 
     /**
-     * A place without duties.
+     * Creates settings without duties.
      *
-     * @param region the region of the VM
-     * @param groups the groups of which it is a replica
-     * @param check  finds what makes a configuration unfit to be accepted
+     * @param region      the region of the VM
+     * @param groups      the replication groups in which the process has a replica
+     * @param configCheck validates a configuration before it is accepted; returns the reason for a rejection, or empty
      */
-    public ControlSettings(String region, List<ReplicaSettings> groups, Function<byte[], Optional<String>> check) {
-        this(region, groups, check, DutySettings.NONE);
+    public ControlSettings(
+            String region, List<ReplicaSettings> groups, Function<byte[], Optional<String>> configCheck) {
+        this(region, groups, configCheck, DutySettings.NONE);
     }
 
     /**
-     * A place whose configuration is that of a {@link FleetConfig}.
+     * Creates settings without duties that accept any configuration which {@link FleetConfig} can parse.
      *
      * @param region the region of the VM
-     * @param groups the groups of which it is a replica
+     * @param groups the replication groups in which the process has a replica
      */
     public ControlSettings(String region, List<ReplicaSettings> groups) {
-        this(region, groups, bytes -> FleetConfig.parse(bytes).fold(Optional::of, fine -> Optional.empty()));
+        this(region, groups, bytes -> FleetConfig.parse(bytes).fold(Optional::of, valid -> Optional.empty()));
     }
 
-    /** Name of the group that accepts configurations. */
-    public static final String GLOBAL = "global";
+    /** Name of the group that all control processes replicate; it holds the accepted configuration. */
+    public static final String GLOBAL_GROUP = "global";
 }
--- a/src/main/java/org/cuminshelf/control/StageSystem.java
+++ b/src/main/java/org/cuminshelf/control/DirectRoleController.java
@@ -39,7 +39,7 @@
  *       {@link #NOTICE} before the order is sent.</li>
  * </ul>
  */
-final class StageSystem {
+final class DirectRoleController {
 
     private static final String LOG = "control: ";
     /** How often the basis of plans is logged where it stays the same: half a line a second at the most. */
@@ -81,17 +81,22 @@
     }
 
     private final Replica replica;
-    private final OrderBook book;
-    private final Registry registry;
-    private final Subscribers subscribers;
-    private final DutyHolder holder;
+    private final LastDirectOrders book;
+    private final DirectUpstreamRegistry registry;
+    private final SubscriberTable subscribers;
+    private final DutyLease holder;
     private final Map<String, Sent> last = new TreeMap<>();
     private final Map<String, Plan> plans = new HashMap<>();
     private long proposedTerm;
     private int proposals;
     private long nextPlan;
 
-    StageSystem(Replica replica, OrderBook book, Registry registry, Subscribers subscribers, DutyHolder holder) {
+    DirectRoleController(
+            Replica replica,
+            LastDirectOrders book,
+            DirectUpstreamRegistry registry,
+            SubscriberTable subscribers,
+            DutyLease holder) {
         this.replica = replica;
         this.book = book;
         this.registry = registry;
--- a/src/main/java/org/cuminshelf/control/Registry.java
+++ b/src/main/java/org/cuminshelf/control/DirectUpstreamRegistry.java
@@ -32,7 +32,7 @@
  *       name, whether or not the engine is known; 17 calls are left, from before the group has a leader again.</li>
  * </ul>
  */
-final class Registry {
+final class DirectUpstreamRegistry {
 
     /** Silence after which an upstream counts as lapsed: four heartbeats of 1.2 s, so that a lost one is no matter. */
     private static final long LEASE = Durations.nanos(5_000);
@@ -59,11 +59,11 @@
         private final List<Row> rows = new ArrayList<>();
     }
 
-    private final Directory versions;
+    private final SidecarDirectory versions;
     private final Map<String, Starts> names = new TreeMap<>();
     private final Map<String, Change> changes = new TreeMap<>();
 
-    Registry(Directory versions) {
+    DirectUpstreamRegistry(SidecarDirectory versions) {
         this.versions = versions;
     }
 
--- a/src/main/java/org/cuminshelf/control/DutyHolder.java
+++ b/src/main/java/org/cuminshelf/control/DutyLease.java
@@ -15,7 +15,7 @@
  *   <li>Two processes show the same number: the number is the term, in which one process at the most leads.</li>
  * </ul>
  */
-final class DutyHolder {
+final class DutyLease {
 
     /** Time in which a new leader hears all engines and entries again. */
     private static final long SETTLE = Durations.nanos(2_500);
@@ -25,7 +25,7 @@
     private long heldTerm = -1;
     private long heldSince = Core.NEVER;
 
-    DutyHolder(Replica replica, long leaseMillis) {
+    DutyLease(Replica replica, long leaseMillis) {
         this.replica = replica;
         this.wait = Math.max(SETTLE, Durations.nanos(leaseMillis));
     }
--- a/src/main/java/org/cuminshelf/control/DutySettings.java
+++ b/src/main/java/org/cuminshelf/control/DutySettings.java
@@ -4,13 +4,14 @@
 import java.util.OptionalLong;
 
 /**
- * What the platform asks of one control process at a time.
+ * Calls to the platform that only one control process at a time may make.
  *
- * @param leaseMillis     time within which two holders may not take turns
- * @param usageLateMillis time after the end of a window by which its usage is to be reported; nothing where it isn't
- * @param callsPerSecond  calls that the platform takes a second from all VMs together; nothing where it states no limit
+ * @param leaseMillis         minimum time between the calls of two different holders, in milliseconds
+ * @param usageDeadlineMillis time in milliseconds after the end of a window by which its usage must be reported; empty
+ *                            if usage is not reported
+ * @param maxCallsPerSecond   calls per second that the platform accepts from all VMs together; empty if unlimited
  */
-public record DutySettings(long leaseMillis, OptionalLong usageLateMillis, OptionalDouble callsPerSecond) {
+public record DutySettings(long leaseMillis, OptionalLong usageDeadlineMillis, OptionalDouble maxCallsPerSecond) {
 
     /** No duties. */
     public static final DutySettings NONE = new DutySettings(0, OptionalLong.empty(), OptionalDouble.empty());
--- a/src/main/java/org/cuminshelf/control/EventSystem.java
+++ b/src/main/java/org/cuminshelf/control/EventPreloader.java
@@ -18,7 +18,7 @@
  * <p>The weight store gives only so much at once, so that few loads run at a time; what is loaded early enough is there
  * at the hour. Loads take no engine away and wait for no attempts.
  */
-final class EventSystem {
+final class EventPreloader {
 
     private static final long LOOK_EVERY = Durations.nanos(1_000);
     /** How long before its start an event's loads begin. */
@@ -33,11 +33,11 @@
     private static final String AUTHOR_PREFIX = "event ";
 
     private final Replica replica;
-    private final RegionMachine machine;
-    private final Directory directory;
+    private final RegionStateMachine machine;
+    private final SidecarDirectory directory;
     private long nextLook;
 
-    EventSystem(Replica replica, RegionMachine machine, Directory directory) {
+    EventPreloader(Replica replica, RegionStateMachine machine, SidecarDirectory directory) {
         this.replica = replica;
         this.machine = machine;
         this.directory = directory;
@@ -73,7 +73,7 @@
     private void load(long now, String name, EventConfig event, OrderBody body) {
         int wanted = event.engines().orElse(Integer.MAX_VALUE);
         long loaded = directory.rows().stream().filter(row -> holds(row, body)).count();
-        for (Directory.Row row : directory.rows()) {
+        for (SidecarDirectory.Row row : directory.rows()) {
             if (loaded >= wanted || pendingLoads() >= LOADS_AT_ONCE) {
                 return;
             }
@@ -92,20 +92,20 @@
                 .count();
     }
 
-    private static boolean isEngine(Directory.Row row) {
+    private static boolean isEngine(SidecarDirectory.Row row) {
         return row.member.getKind() == UpstreamKind.UPSTREAM_ENGINE
                 && !row.member.getGone()
                 && !row.member.getLeaving();
     }
 
-    private static boolean holds(Directory.Row row, OrderBody body) {
+    private static boolean holds(SidecarDirectory.Row row, OrderBody body) {
         boolean held = body.hasLoadModel()
                 ? row.member.getModelsList().contains(body.getLoadModel())
                 : row.member.getAdaptersList().contains(body.getLoadAdapter());
         return isEngine(row) && held;
     }
 
-    private boolean canLoad(Directory.Row row, OrderBody body) {
+    private boolean canLoad(SidecarDirectory.Row row, OrderBody body) {
         return isEngine(row)
                 && !holds(row, body)
                 && machine.pendingOrder(row.member.getAddress()).isEmpty();
--- a/src/main/java/org/cuminshelf/control/ConfigMachine.java
+++ b/src/main/java/org/cuminshelf/control/GlobalStateMachine.java
@@ -27,13 +27,13 @@
  * answer; any other gets a conflict with the version that stands. Where authors give versions, an older change that
  * arrives late or again is acknowledged and changes nothing, so that what was accepted never goes back.
  */
-final class ConfigMachine implements GroupMachine {
+final class GlobalStateMachine implements GroupMachine {
 
     private static final int ANSWERS_REMEMBERED = 1_000;
 
     private record Key(long baseVersion, String hash) {}
 
-    private final OrderBook orders = new OrderBook();
+    private final LastDirectOrders orders = new LastDirectOrders();
     private final Quarantine quarantine = new Quarantine();
     private final SettledUsage usage = SettledUsage.create();
     private final Map<Long, AdminAnswer> answers = new HashMap<>();
@@ -66,7 +66,7 @@
         return hash;
     }
 
-    OrderBook orders() {
+    LastDirectOrders orders() {
         return orders;
     }
 
--- a/src/main/java/org/cuminshelf/control/OrderBook.java
+++ b/src/main/java/org/cuminshelf/control/LastDirectOrders.java
@@ -9,7 +9,7 @@
 import org.cuminshelf.message.LogEntry;
 
 /** The last committed order to each upstream that announces itself straight to control. Part of the global group. */
-final class OrderBook {
+final class LastDirectOrders {
 
     /** Upstreams remembered; one that ended gets no further order, so the oldest can go. */
     private static final int MOST_UPSTREAMS = 4_096;
--- a/src/main/java/org/cuminshelf/control/QuarantineSystem.java
+++ b/src/main/java/org/cuminshelf/control/QuarantineManager.java
@@ -23,7 +23,7 @@
  * three more upstreams. The crashes themselves are kept in memory only: they matter for the seconds between the first
  * and the third, and each entry tells all it knows to a control process that started anew.
  */
-final class QuarantineSystem {
+final class QuarantineManager {
 
     /** Time after which an entry of the log that was not committed is proposed again. */
     private static final long PROPOSED_AGAIN = Durations.nanos(2_000);
@@ -33,7 +33,7 @@
     private final Replica replica;
     private final Quarantine durable;
     private final PoisonRegister register;
-    private final Directory versions;
+    private final SidecarDirectory versions;
     private final Map<Fingerprint, Long> proposed = new HashMap<>();
     private long learnt;
     /** Changes of the register of which all are in the log, on a leader. */
@@ -41,7 +41,7 @@
 
     private volatile long quarantined;
 
-    QuarantineSystem(Replica replica, Quarantine durable, PoisonRegister register, Directory versions) {
+    QuarantineManager(Replica replica, Quarantine durable, PoisonRegister register, SidecarDirectory versions) {
         this.replica = replica;
         this.durable = durable;
         this.register = register;
@@ -58,7 +58,7 @@
             learnt = durable.changes();
             durable.all().forEach(row -> register.merge(now, row, versions::nextVersion));
         }
-        register.takeChanged().forEach(QuarantineSystem::log);
+        register.takeChanged().forEach(QuarantineManager::log);
         quarantined = register.quarantine().size();
         if (!replica.isLeader()) {
             proposed.clear();
--- a/src/main/java/org/cuminshelf/control/RegionMachine.java
+++ b/src/main/java/org/cuminshelf/control/RegionStateMachine.java
@@ -33,7 +33,7 @@
  * <p>Promises kept here: a key is held by one attempt at a time and its answer, once recorded, never changes; an engine
  * has one order at a time, and an order names the incarnation of the sidecar it is meant for.
  */
-final class RegionMachine implements GroupMachine {
+final class RegionStateMachine implements GroupMachine {
 
     /** How long a key is remembered: 24 hours of the group's clock. */
     static final long CLAIM_KEPT_MILLIS = 24L * 60 * 60 * 1000;
@@ -60,7 +60,7 @@
     private final Map<Long, Optional<Order>> placed = new LinkedHashMap<>();
     private long roleChanges;
 
-    RegionMachine(Invariants invariants) {
+    RegionStateMachine(Invariants invariants) {
         this.invariants = invariants;
     }
 
--- a/src/main/java/org/cuminshelf/control/Directory.java
+++ b/src/main/java/org/cuminshelf/control/SidecarDirectory.java
@@ -17,7 +17,7 @@
  * The upstreams that announce themselves to this control process. It is not replicated: each sidecar announces to
  * every control process of its region, and each of them tells its subscribers only what changed.
  */
-final class Directory {
+final class SidecarDirectory {
 
     private static final long LEASE = Durations.nanos(4_000);
     private static final long GONE_KEPT = Durations.nanos(120_000);
@@ -38,7 +38,7 @@
     /** Subscribers that hold an older version get the whole directory. */
     private long oldestComplete = 1;
 
-    Directory(long incarnation) {
+    SidecarDirectory(long incarnation) {
         this.incarnation = incarnation;
     }
 
--- a/src/main/java/org/cuminshelf/control/OrderSystem.java
+++ b/src/main/java/org/cuminshelf/control/SidecarOrderDispatcher.java
@@ -25,20 +25,20 @@
  * <p>An order is sent only after it is committed and only under a lease. What a deposed leader may still have on its
  * way is the same order with the same number, which a sidecar carries out once.
  */
-final class OrderSystem {
+final class SidecarOrderDispatcher {
 
     private static final long SEND_AGAIN = Durations.nanos(500);
     private static final int START_WITHIN_MILLIS = 40_000;
 
     private final String group;
     private final Replica replica;
-    private final RegionMachine machine;
+    private final RegionStateMachine machine;
     private final Map<Long, Long> sentAt = new HashMap<>();
     private final Set<Long> closing = new HashSet<>();
     private final Map<String, Long> seeing = new HashMap<>();
     private long proposedTerm;
 
-    OrderSystem(String group, Replica replica, RegionMachine machine) {
+    SidecarOrderDispatcher(String group, Replica replica, RegionStateMachine machine) {
         this.group = group;
         this.replica = replica;
         this.machine = machine;
--- a/src/main/java/org/cuminshelf/control/PlanningSystem.java
+++ b/src/main/java/org/cuminshelf/control/SidecarRoleController.java
@@ -23,20 +23,21 @@
  * Plans the roles of a region's engines, where operators enabled it. Only the leader plans, under its lease; what it
  * decides goes into the log as orders, so that a leader that lost its authority decides nothing.
  */
-final class PlanningSystem {
+final class SidecarRoleController {
 
     private static final long PLAN_EVERY = Durations.nanos(1_000);
     private static final String AUTHOR = "planner";
 
     private final Replica replica;
-    private final RegionMachine machine;
-    private final Directory directory;
-    private final Subscribers subscribers;
+    private final RegionStateMachine machine;
+    private final SidecarDirectory directory;
+    private final SubscriberTable subscribers;
     private final Map<String, RolePlanner> planners = new HashMap<>();
     private long plannedVersion = -1;
     private long nextPlan;
 
-    PlanningSystem(Replica replica, RegionMachine machine, Directory directory, Subscribers subscribers) {
+    SidecarRoleController(
+            Replica replica, RegionStateMachine machine, SidecarDirectory directory, SubscriberTable subscribers) {
         this.replica = replica;
         this.machine = machine;
         this.directory = directory;
@@ -63,7 +64,7 @@
         RolePlanner planner =
                 planners.computeIfAbsent(name, key -> PayingPlanner.of(PlannerSettings.of(config.planning(), model)));
         List<EngineView> engines = new ArrayList<>();
-        for (Directory.Row row : directory.rows()) {
+        for (SidecarDirectory.Row row : directory.rows()) {
             if (serves(row.member, name)) {
                 engines.add(view(row));
             }
@@ -82,7 +83,7 @@
                 && member.getModelsList().contains(model);
     }
 
-    private EngineView view(Directory.Row row) {
+    private EngineView view(SidecarDirectory.Row row) {
         String engine = row.member.getAddress();
         boolean changing =
                 row.load.getChanging() || machine.pendingOrder(engine).isPresent();
--- a/src/main/java/org/cuminshelf/control/Subscribers.java
+++ b/src/main/java/org/cuminshelf/control/SubscriberTable.java
@@ -11,7 +11,7 @@
 import org.cuminshelf.planning.Demand;
 
 /** The processes that hear of changes from this control process. */
-final class Subscribers {
+final class SubscriberTable {
 
     private static final long LEASE = Durations.nanos(4_000);
 
--- a/src/main/java/org/cuminshelf/control/UpdateSystem.java
+++ b/src/main/java/org/cuminshelf/control/UpdatePublisher.java
@@ -19,7 +19,7 @@
  * Tells subscribers what they lack: the version of the configuration, what changed in the directory, the control
  * processes and the entries. Changes are told at once; those lost on the way are made up for when a subscriber asks.
  */
-final class UpdateSystem {
+final class UpdatePublisher {
 
     /** Least time between two rounds of changes: short against the seconds in which a change must be in force. */
     private static final long SPREAD_EVERY = Durations.nanos(20);
@@ -38,22 +38,22 @@
 
     private final String region;
     private final Map<String, Replica> replicas;
-    private final ConfigMachine config;
-    private final Directory directory;
-    private final Registry registry;
-    private final Subscribers subscribers;
+    private final GlobalStateMachine config;
+    private final SidecarDirectory directory;
+    private final DirectUpstreamRegistry registry;
+    private final SubscriberTable subscribers;
     private final PoisonRegister poison;
     private long nextSpread;
     private long spreadConfigVersion;
     private long spreadDirectoryVersion;
 
-    UpdateSystem(
+    UpdatePublisher(
             String region,
             Map<String, Replica> replicas,
-            ConfigMachine config,
-            Directory directory,
-            Registry registry,
-            Subscribers subscribers,
+            GlobalStateMachine config,
+            SidecarDirectory directory,
+            DirectUpstreamRegistry registry,
+            SubscriberTable subscribers,
             PoisonRegister poison,
             long now) {
         this.region = region;
@@ -77,11 +77,11 @@
     }
 
     /** Tells one subscriber what it lacks; {@code confirmed} says that a quorum confirmed the version told. */
-    void send(Subscribers.Row row, boolean confirmed, Outbox out) {
+    void send(SubscriberTable.Row row, boolean confirmed, Outbox out) {
         send(row, confirmed, EntryList.of(subscribers.entries()), out);
     }
 
-    private void send(Subscribers.Row row, boolean confirmed, EntryList entries, Outbox out) {
+    private void send(SubscriberTable.Row row, boolean confirmed, EntryList entries, Outbox out) {
         boolean voter = isSettledVoter();
         Update.Builder update = Update.newBuilder()
                 .setVoter(voter)
@@ -96,7 +96,7 @@
             describeDirectory(row, entries, update);
         }
         if (voter) {
-            replicas.get(ControlSettings.GLOBAL).members().forEach(member -> update.addControl(member.value()));
+            replicas.get(ControlSettings.GLOBAL_GROUP).members().forEach(member -> update.addControl(member.value()));
         }
         update.setAskedAtNs(row.askedAt)
                 .setTakenAtUs(row.takenAt)
@@ -108,7 +108,7 @@
         out.send(row.address, Envelope.newBuilder().setUpdate(update));
     }
 
-    private void describeDirectory(Subscribers.Row row, EntryList entries, Update.Builder update) {
+    private void describeDirectory(SubscriberTable.Row row, EntryList entries, Update.Builder update) {
         boolean whole = directory.describe(row.directoryIncarnation, row.directoryVersion, update);
         registry.describe(whole, row.directoryVersion, update);
         describePoison(whole ? 0 : row.directoryVersion, update);
@@ -124,7 +124,7 @@
     }
 
     private boolean isSettledVoter() {
-        return replicas.get(ControlSettings.GLOBAL).isSettledVoter();
+        return replicas.get(ControlSettings.GLOBAL_GROUP).isSettledVoter();
     }
 
     /** Tells all subscribers of changes. */
@@ -137,7 +137,7 @@
         spreadConfigVersion = config.version();
         spreadDirectoryVersion = directory.urgentVersion();
         EntryList entries = EntryList.of(subscribers.entries());
-        for (Subscribers.Row row : subscribers.rows()) {
+        for (SubscriberTable.Row row : subscribers.rows()) {
             if (configChanged || row.wantsDirectory) {
                 send(row, false, entries, out);
             }
--- a/src/main/java/org/cuminshelf/control/UsageSystem.java
+++ b/src/main/java/org/cuminshelf/control/UsageReporter.java
@@ -31,7 +31,7 @@
  *       the lease or not at all, and thrown away {@link #TRY_PATIENCE} later or when the lease ends.</li>
  * </ul>
  */
-final class UsageSystem {
+final class UsageReporter {
 
     private static final String LOG = "control: ";
     /** Part of the time for a report after which a window is settled without those that have not told all of it. */
@@ -49,7 +49,7 @@
 
     private final Replica replica;
     private final SettledUsage settled;
-    private final DutyHolder holder;
+    private final DutyLease holder;
     private final long patience;
     /** Nanoseconds between two calls at the least, as the platform states what it takes. */
     private final long leastGap;
@@ -67,17 +67,17 @@
     private long reportedAt = Long.MIN_VALUE / 2;
     private boolean underWay;
 
-    UsageSystem(Replica replica, SettledUsage settled, DutyHolder holder, DutySettings duties) {
+    UsageReporter(Replica replica, SettledUsage settled, DutyLease holder, DutySettings duties) {
         this.replica = replica;
         this.settled = settled;
         this.holder = holder;
         this.patience = (long)
-                (PATIENCE_SHARE * Durations.nanos(duties.usageLateMillis().orElseThrow()));
-        this.leastGap = (long) (NANOS_PER_SECOND / duties.callsPerSecond().orElse(Double.POSITIVE_INFINITY));
+                (PATIENCE_SHARE * Durations.nanos(duties.usageDeadlineMillis().orElseThrow()));
+        this.leastGap = (long) (NANOS_PER_SECOND / duties.maxCallsPerSecond().orElse(Double.POSITIVE_INFINITY));
     }
 
     /** Takes what an entry tells; what it tells again from here on follows from the version in its row. */
-    void onSubscribe(long now, Subscribers.Row row, Subscribe subscribe) {
+    void onSubscribe(long now, SubscriberTable.Row row, Subscribe subscribe) {
         row.usageHeard = tally.hear(now, row.address, row.incarnation, subscribe);
     }
 
--- a/src/main/java/org/cuminshelf/platform/PlatformCommand.java
+++ b/src/main/java/org/cuminshelf/platform/PlatformCommand.java
@@ -128,7 +128,7 @@
                 boot.control().orElseThrow(() -> new UsageException("the settings name no address for control"));
         Path folder = boot.dataFolder().orElseThrow(() -> new UsageException("the settings name no data folder"));
         ReplicaSettings group = new ReplicaSettings(
-                ControlSettings.GLOBAL,
+                ControlSettings.GLOBAL_GROUP,
                 boot.messages(),
                 boot.seeds(),
                 true,
--- a/src/main/java/org/cuminshelf/tools/ControlCommand.java
+++ b/src/main/java/org/cuminshelf/tools/ControlCommand.java
@@ -48,7 +48,7 @@
         List<Address> region = Flags.addresses(flags, "region-replicas");
         List<ReplicaSettings> groups = new ArrayList<>();
         if (global.contains(common.listen())) {
-            groups.add(new ReplicaSettings(ControlSettings.GLOBAL, common.listen(), global, true));
+            groups.add(new ReplicaSettings(ControlSettings.GLOBAL_GROUP, common.listen(), global, true));
         } else {
             throw new UsageException("--global: the own address " + common.listen() + " is not among the replicas");
         }
--- a/src/main/java/org/cuminshelf/tools/Standalone.java
+++ b/src/main/java/org/cuminshelf/tools/Standalone.java
@@ -114,7 +114,7 @@
         ControlSettings settings = new ControlSettings(
                 REGION,
                 List.of(
-                        new ReplicaSettings(ControlSettings.GLOBAL, address, alone, true),
+                        new ReplicaSettings(ControlSettings.GLOBAL_GROUP, address, alone, true),
                         new ReplicaSettings(GROUP, address, alone, false)));
         String keyHash = MergedConfig.hash(options.adminKey().getBytes(java.nio.charset.StandardCharsets.UTF_8));
         ControlProcess.Options controlOptions = new ControlProcess.Options(
--- a/src/main/java/org/cuminshelf/trial/CheckRun.java
+++ b/src/main/java/org/cuminshelf/trial/CheckRun.java
@@ -104,10 +104,16 @@
                             + operators.knownVersion());
             version = held;
             invariants.check(
-                    core.replica(ControlSettings.GLOBAL).orElseThrow().status().getVotersCount() == 3,
+                    core.replica(ControlSettings.GLOBAL_GROUP)
+                                    .orElseThrow()
+                                    .status()
+                                    .getVotersCount()
+                            == 3,
                     "lost-disks-are-replaced",
                     () -> node.address() + " sees "
-                            + core.replica(ControlSettings.GLOBAL).orElseThrow().status());
+                            + core.replica(ControlSettings.GLOBAL_GROUP)
+                                    .orElseThrow()
+                                    .status());
         }
         long accepted = version;
         for (VirtualNode node : fleet.entries) {
--- a/src/main/java/org/cuminshelf/trial/FaultPlan.java
+++ b/src/main/java/org/cuminshelf/trial/FaultPlan.java
@@ -158,7 +158,7 @@
     private boolean loseDisk() {
         VirtualNode node = anyOf(fleet.control);
         boolean allAlive = fleet.control.stream().allMatch(VirtualNode::isAlive);
-        if (!allAlive || !isRepaired(ControlSettings.GLOBAL) || !isRepaired("region")) {
+        if (!allAlive || !isRepaired(ControlSettings.GLOBAL_GROUP) || !isRepaired("region")) {
             return false;
         }
         VirtualDisk disk = fleet.disks.get(node.address());
--- a/src/main/java/org/cuminshelf/trial/VirtualFleet.java
+++ b/src/main/java/org/cuminshelf/trial/VirtualFleet.java
@@ -89,7 +89,7 @@
         ControlSettings settings = new ControlSettings(
                 REGION,
                 List.of(
-                        new ReplicaSettings(ControlSettings.GLOBAL, address, controlAddresses, true),
+                        new ReplicaSettings(ControlSettings.GLOBAL_GROUP, address, controlAddresses, true),
                         new ReplicaSettings(GROUP, address, controlAddresses, false)));
         VirtualNode node = node(address, (booted, now) -> {
             Map<String, DurableState> durable = new HashMap<>();
--- a/src/test/java/org/cuminshelf/control/ControlGroup.java
+++ b/src/test/java/org/cuminshelf/control/ControlClusterFixture.java
@@ -25,7 +25,7 @@
 import org.cuminshelf.replica.ReplicaSettings;
 
 /** Three control processes that pass messages to each other at once, driven by hand in virtual time. */
-final class ControlGroup {
+final class ControlClusterFixture {
 
     /** Name of the region's group. */
     static final String REGION = "region";
@@ -56,22 +56,22 @@
     long now = Durations.nanos(10_000);
 
     /** Processes for upstreams that announce themselves straight to control. */
-    ControlGroup() {
+    ControlClusterFixture() {
         this(MembershipPolicy.OPEN, DutySettings.NONE);
     }
 
     /** Processes one of which reports usage, due 10 s after each window; holders may take turns after 3 s. */
-    static ControlGroup withUsage() {
+    static ControlClusterFixture withUsage() {
         return withUsage(OptionalDouble.empty());
     }
 
     /** The same, with a platform that takes so many calls a second. */
-    static ControlGroup withUsage(OptionalDouble callsPerSecond) {
-        return new ControlGroup(
+    static ControlClusterFixture withUsage(OptionalDouble callsPerSecond) {
+        return new ControlClusterFixture(
                 MembershipPolicy.OPEN, new DutySettings(LEASE_MILLIS, OptionalLong.of(10_000), callsPerSecond));
     }
 
-    private ControlGroup(MembershipPolicy policy, DutySettings duties) {
+    private ControlClusterFixture(MembershipPolicy policy, DutySettings duties) {
         this.duties = duties;
         List<Address> seeds = new ArrayList<>();
         for (int number = 1; number <= PROCESSES; number++) {
@@ -83,16 +83,16 @@
     }
 
     /** Processes with a group for the region {@code r}, whose upstreams have sidecars. */
-    static ControlGroup withRegion() {
-        return new ControlGroup(MembershipPolicy.FIXED, DutySettings.NONE);
+    static ControlClusterFixture withRegion() {
+        return new ControlClusterFixture(MembershipPolicy.FIXED, DutySettings.NONE);
     }
 
     private ControlCore start(int number, List<Address> seeds, MembershipPolicy policy) {
         Address self = seeds.get(number - 1);
         List<ReplicaSettings> groups = new ArrayList<>();
-        groups.add(new ReplicaSettings(ControlSettings.GLOBAL, self, seeds, true, policy));
+        groups.add(new ReplicaSettings(ControlSettings.GLOBAL_GROUP, self, seeds, true, policy));
         Map<String, DurableState> durable = new TreeMap<>();
-        durable.put(ControlSettings.GLOBAL, DurableState.fresh(number));
+        durable.put(ControlSettings.GLOBAL_GROUP, DurableState.fresh(number));
         if (policy == MembershipPolicy.FIXED) {
             groups.add(new ReplicaSettings(REGION, self, seeds, false, policy));
             durable.put(REGION, DurableState.fresh(PROCESSES + number));
@@ -112,7 +112,7 @@
 
     /** The process that leads the global group under a lease. */
     Optional<Address> leader() {
-        return leader(ControlSettings.GLOBAL);
+        return leader(ControlSettings.GLOBAL_GROUP);
     }
 
     /** The process that leads a group under a lease. */
--- a/src/test/java/org/cuminshelf/control/ControlCoreTest.java
+++ b/src/test/java/org/cuminshelf/control/ControlCoreTest.java
@@ -53,10 +53,10 @@
         ControlSettings settings = new ControlSettings(
                 "r",
                 List.of(
-                        new ReplicaSettings(ControlSettings.GLOBAL, SELF, alone, true),
+                        new ReplicaSettings(ControlSettings.GLOBAL_GROUP, SELF, alone, true),
                         new ReplicaSettings("region", SELF, alone, false)));
         Map<String, DurableState> durable =
-                Map.of(ControlSettings.GLOBAL, DurableState.fresh(1), "region", DurableState.fresh(2));
+                Map.of(ControlSettings.GLOBAL_GROUP, DurableState.fresh(1), "region", DurableState.fresh(2));
         core = ControlCore.start(
                 settings, SELF, 1, durable, now, RandomSource.XO_RO_SHI_RO_128_PP.create(1), Invariants.throwing());
         for (int i = 0; i < 30; i++) {
--- a/src/test/java/org/cuminshelf/control/DirectControlTest.java
+++ b/src/test/java/org/cuminshelf/control/DirectControlTest.java
@@ -51,13 +51,14 @@
     DirectControlTest() {
         ControlSettings settings = new ControlSettings(
                 "r",
-                List.of(new ReplicaSettings(ControlSettings.GLOBAL, SELF, List.of(SELF), true, MembershipPolicy.OPEN)),
+                List.of(new ReplicaSettings(
+                        ControlSettings.GLOBAL_GROUP, SELF, List.of(SELF), true, MembershipPolicy.OPEN)),
                 bytes -> bytes.length == 0 ? Optional.of("empty") : Optional.empty());
         core = ControlCore.start(
                 settings,
                 SELF,
                 1,
-                Map.of(ControlSettings.GLOBAL, DurableState.fresh(1)),
+                Map.of(ControlSettings.GLOBAL_GROUP, DurableState.fresh(1)),
                 now,
                 RandomSource.XO_RO_SHI_RO_128_PP.create(1),
                 Invariants.throwing());
--- a/src/test/java/org/cuminshelf/control/LostEnginesTest.java
+++ b/src/test/java/org/cuminshelf/control/DirectRoleControllerTest.java
@@ -18,7 +18,7 @@
  * Roles after engines were lost for good: three engines read prompts and three generate, and the work offered, two and
  * a half engines' worth of reading and two of generating, has been the same for half a minute.
  */
-class LostEnginesTest {
+class DirectRoleControllerTest {
 
     private static final Address ENTRY = Address.of("10.0.1.1:7000");
     private static final long STEP_MILLIS = 500;
@@ -29,7 +29,7 @@
     /** An order is decided within two looks at the engines, half a second apart, and sent 0.12 s later. */
     private static final long SOON_MILLIS = 2_000;
 
-    private final ControlGroup control = new ControlGroup();
+    private final ControlClusterFixture control = new ControlClusterFixture();
     private final Map<String, Role> engines = new LinkedHashMap<>();
     /** Engines' worth of work that is offered to each role. */
     private double readers = 2.5;
@@ -39,7 +39,7 @@
     private long generating;
     private long sequence;
 
-    LostEnginesTest() {
+    DirectRoleControllerTest() {
         for (int number = 0; number < 6; number++) {
             engines.put("e" + number, number < 3 ? Role.ROLE_PREFILL : Role.ROLE_DECODE);
         }
--- a/src/test/java/org/cuminshelf/control/RegistryTest.java
+++ b/src/test/java/org/cuminshelf/control/DirectUpstreamRegistryTest.java
@@ -10,11 +10,11 @@
 import org.cuminshelf.message.UpstreamBeat;
 
 /** Engines that change their roles while control is not there. */
-class RegistryTest {
+class DirectUpstreamRegistryTest {
 
     private static final long CHANGE_TAKES = Durations.nanos(6_000);
 
-    private final Registry registry = new Registry(new Directory(1));
+    private final DirectUpstreamRegistry registry = new DirectUpstreamRegistry(new SidecarDirectory(1));
     private long now = Durations.nanos(10_000);
     private long sequence;
 
--- a/src/test/java/org/cuminshelf/control/QuarantineSystemTest.java
+++ b/src/test/java/org/cuminshelf/control/QuarantineManagerTest.java
@@ -20,13 +20,13 @@
 import org.cuminshelf.message.UpstreamCrash;
 
 /** What control does with poison requests that entries tell of. */
-class QuarantineSystemTest {
+class QuarantineManagerTest {
 
     private static final Address FINDER = Address.of("10.0.1.1:7000");
     private static final Address OTHER = Address.of("10.0.1.2:7000");
     private static final Address LATE = Address.of("10.0.1.3:7000");
 
-    private final ControlGroup control = new ControlGroup();
+    private final ControlClusterFixture control = new ControlClusterFixture();
 
     private static Subscribe.Builder subscribe() {
         return Subscribe.newBuilder().setWantsDirectory(true).setPoisonVersion(1);
@@ -113,10 +113,10 @@
      */
     @Example
     void aSnapshotHoldsTheQuarantine() {
-        ConfigMachine machine = new ConfigMachine();
+        GlobalStateMachine machine = new GlobalStateMachine();
         machine.apply(
                 LogEntry.newBuilder().setIndex(4).setQuarantined(quarantined()).build());
-        ConfigMachine restored = new ConfigMachine();
+        GlobalStateMachine restored = new GlobalStateMachine();
         restored.load(machine.save());
         assertThat(restored.quarantine().all()).containsExactly(quarantined());
     }
--- a/src/test/java/org/cuminshelf/control/PlanningSystemTest.java
+++ b/src/test/java/org/cuminshelf/control/SidecarRoleControllerTest.java
@@ -17,7 +17,7 @@
 import org.cuminshelf.message.Subscribe;
 
 /** Roles of engines that have sidecars, planned by three control processes. */
-class PlanningSystemTest {
+class SidecarRoleControllerTest {
 
     private static final Address ENTRY = Address.of("10.0.1.1:7000");
     private static final int ENGINES = 6;
@@ -25,7 +25,7 @@
     private static final String CONFIG = "{\"models\":{\"m\":{\"prefill-per-second\":1000,\"decode-per-second\":1000}},"
             + "\"planning\":{\"enabled\":true}}";
 
-    private final ControlGroup control = ControlGroup.withRegion();
+    private final ControlClusterFixture control = ControlClusterFixture.withRegion();
     private long prompts;
     private long outputs;
 
@@ -39,9 +39,9 @@
         apply();
         pass(12_000, 1_000, 1_000);
         assertThat(control.sidecarOrders).isEmpty();
-        control.kill(control.leader(ControlGroup.REGION).orElseThrow());
+        control.kill(control.leader(ControlClusterFixture.REGION).orElseThrow());
         int waited = 0;
-        while (control.leader(ControlGroup.REGION).isEmpty() && waited < 10_000) {
+        while (control.leader(ControlClusterFixture.REGION).isEmpty() && waited < 10_000) {
             pass(STEP_MILLIS, 4_000, 0);
             waited += STEP_MILLIS;
         }
--- a/src/test/java/org/cuminshelf/control/SubscribersTest.java
+++ b/src/test/java/org/cuminshelf/control/SubscriberTableTest.java
@@ -9,10 +9,10 @@
 import org.cuminshelf.message.Subscribe;
 
 /** The sum of what entries were offered, as one control process keeps it. */
-class SubscribersTest {
+class SubscriberTableTest {
 
     private static final Address ENTRY = Address.of("10.0.1.1:7000");
-    private final Subscribers subscribers = new Subscribers();
+    private final SubscriberTable subscribers = new SubscriberTable();
     private long now;
 
     private void tell(long prefill) {
--- a/src/test/java/org/cuminshelf/control/UsageSystemTest.java
+++ b/src/test/java/org/cuminshelf/control/UsageReporterTest.java
@@ -15,12 +15,12 @@
 import org.cuminshelf.message.WallClock;
 
 /** Who reports usage to the platform, when, and what. */
-class UsageSystemTest {
+class UsageReporterTest {
 
     private static final List<Address> ENTRIES =
             List.of(Address.of("10.0.1.1:7000"), Address.of("10.0.1.2:7000"), Address.of("10.0.1.3:7000"));
 
-    private ControlGroup control = ControlGroup.withUsage();
+    private ControlClusterFixture control = ControlClusterFixture.withUsage();
     private long version;
 
     /** All entries tell their counts of a window, for as long as entries do; the lists say up to where each is. */
@@ -62,7 +62,7 @@
         tell(5_000, 5, 2, 5, 5);
         assertThat(control.reports).isEmpty();
         tell(1_000, 5, 3, 6, 6);
-        ControlGroup.SentReport first = control.reports.getFirst();
+        ControlClusterFixture.SentReport first = control.reports.getFirst();
         assertThat(first.report().getUsage()).isEqualTo(counts(5, 6));
         assertThat(control.leader()).hasValue(first.holder());
         acknowledge(first.holder(), 5);
@@ -88,15 +88,15 @@
     void theNextHolderReportsTheSameCountsUnderAHigherNumberAndNotAtOnce() {
         tell(5_000, 5, 2, 5, 5);
         tell(1_000, 5, 2, 6, 6);
-        ControlGroup.SentReport first = control.reports.getLast();
+        ControlClusterFixture.SentReport first = control.reports.getLast();
         control.kill(first.holder());
         control.reports.clear();
         tell(8_000, 5, 9, 6, 6);
-        ControlGroup.SentReport next = control.reports.getFirst();
+        ControlClusterFixture.SentReport next = control.reports.getFirst();
         assertThat(next.holder()).isNotEqualTo(first.holder());
         assertThat(next.report().getUsage()).isEqualTo(first.report().getUsage());
         assertThat(next.report().getNumber()).isGreaterThan(first.report().getNumber());
-        assertThat(next.at() - first.at()).isGreaterThan(Durations.nanos(ControlGroup.LEASE_MILLIS));
+        assertThat(next.at() - first.at()).isGreaterThan(Durations.nanos(ControlClusterFixture.LEASE_MILLIS));
     }
 
     /* The platform's answer is lost, or it is busy: the same is sent again, and no window is left out. */
@@ -114,7 +114,7 @@
     void windowsThatWaitFollowEachOtherAtOnce() {
         tell(5_000, 5, 2, 5, 5);
         tell(500, 6, 1, 7, 7);
-        ControlGroup.SentReport first = control.reports.getLast();
+        ControlClusterFixture.SentReport first = control.reports.getLast();
         control.reports.clear();
         acknowledge(first.holder(), 5);
         control.pass(200);
@@ -125,10 +125,10 @@
     /** Guards against calls beyond what the platform states to take, when windows are made up for after an outage. */
     @Example
     void windowsThatWaitFollowEachOtherNoFasterThanThePlatformTakesCalls() {
-        control = ControlGroup.withUsage(OptionalDouble.of(0.5));
+        control = ControlClusterFixture.withUsage(OptionalDouble.of(0.5));
         tell(5_000, 5, 2, 5, 5);
         tell(500, 6, 1, 7, 7);
-        ControlGroup.SentReport first = control.reports.getLast();
+        ControlClusterFixture.SentReport first = control.reports.getLast();
         control.reports.clear();
         acknowledge(first.holder(), 5);
         control.pass(2_100);
@@ -161,11 +161,11 @@
     }
 
     /** What a holder sends again within its lease, once the others are gone and its clocks moved apart or not. */
-    private List<ControlGroup.SentReport> reportsWithin(boolean jumped) {
-        control = ControlGroup.withUsage();
+    private List<ControlClusterFixture.SentReport> reportsWithin(boolean jumped) {
+        control = ControlClusterFixture.withUsage();
         tell(5_000, 5, 2, 5, 5);
         tell(500, 5, 2, 6, 6);
-        ControlGroup.SentReport first = control.reports.getLast();
+        ControlClusterFixture.SentReport first = control.reports.getLast();
         long justBeforeTheNextTry = first.at() + Durations.nanos(900);
         control.pass(Durations.millis(justBeforeTheNextTry - control.now));
         control.reports.clear();
@@ -185,7 +185,7 @@
     void aReportMayBeWrittenOnlyUnderTheLease() {
         tell(5_000, 5, 2, 5, 5);
         tell(1_000, 5, 2, 6, 6);
-        ControlGroup.SentReport first = control.reports.getFirst();
+        ControlClusterFixture.SentReport first = control.reports.getFirst();
         assertThat(first.report().getWriteUntilNs() - first.at()).isBetween(1L, Durations.nanos(450));
     }
 }
--- a/src/test/java/org/cuminshelf/platform/BootSettingsTest.java
+++ b/src/test/java/org/cuminshelf/platform/BootSettingsTest.java
@@ -62,7 +62,7 @@
                         .duties()
                         .usageWindowMillis())
                 .isEmpty();
-        assertThat(read(FILE).duties().forControl().usageLateMillis()).isEmpty();
+        assertThat(read(FILE).duties().forControl().usageDeadlineMillis()).isEmpty();
     }
 
     @Example
--- a/src/test/java/org/cuminshelf/trial/DirectFleet.java
+++ b/src/test/java/org/cuminshelf/trial/DirectFleet.java
@@ -134,10 +134,11 @@
         VirtualDisk disk = new VirtualDisk(time, ownRandom());
         ControlSettings settings = new ControlSettings(
                 "r",
-                List.of(new ReplicaSettings(ControlSettings.GLOBAL, address, controlAddresses, true)),
+                List.of(new ReplicaSettings(ControlSettings.GLOBAL_GROUP, address, controlAddresses, true)),
                 bytes -> Optional.empty());
         VirtualNode node = node(address, (booted, now) -> {
-            Map<String, DurableState> durable = Map.of(ControlSettings.GLOBAL, disk.open(ControlSettings.GLOBAL));
+            Map<String, DurableState> durable =
+                    Map.of(ControlSettings.GLOBAL_GROUP, disk.open(ControlSettings.GLOBAL_GROUP));
             return ControlCore.start(
                     settings, address, booted.incarnation(), durable, now, ownRandom(), Invariants.throwing());
         });
@@ -187,7 +188,7 @@
     VirtualNode leader() {
         return control.stream()
                 .filter(node -> node.core(ControlCore.class)
-                        .flatMap(core -> core.replica(ControlSettings.GLOBAL))
+                        .flatMap(core -> core.replica(ControlSettings.GLOBAL_GROUP))
                         .filter(replica -> replica.isLeader())
                         .isPresent())
                 .findFirst()
