--- a/src/main/java/org/cuminshelf/bench/OrganisationBench.java
+++ b/src/main/java/org/cuminshelf/bench/OrganisationBench.java
@@ -5,12 +5,12 @@
 import java.util.Locale;
 import java.util.OptionalInt;
 import org.cuminshelf.message.Subscribe;
-import org.cuminshelf.organisations.Access;
-import org.cuminshelf.organisations.CallerKey;
-import org.cuminshelf.organisations.CallerKeys;
+import org.cuminshelf.organisations.AccessDecision;
+import org.cuminshelf.organisations.ApiKeyDigest;
 import org.cuminshelf.organisations.Organisation;
 import org.cuminshelf.organisations.Organisations;
-import org.cuminshelf.usage.UsageLedger;
+import org.cuminshelf.organisations.RequestApiKeys;
+import org.cuminshelf.usage.UsageCounter;
 
 /** What organisations cost a request, an entry's memory, and the word of their usage to control. */
 public final class OrganisationBench {
@@ -58,9 +58,9 @@
     private static Organisations organisations(int number) {
         List<Organisation> all = new ArrayList<>();
         for (int organisation = 0; organisation < number; organisation++) {
-            List<CallerKey> keys = new ArrayList<>();
+            List<ApiKeyDigest> keys = new ArrayList<>();
             for (int key = 0; key < KEYS_EACH; key++) {
-                keys.add(CallerKey.of(text(organisation, key)));
+                keys.add(ApiKeyDigest.of(text(organisation, key)));
             }
             all.add(new Organisation("organisation-" + organisation, keys, OptionalInt.of(1)));
         }
@@ -79,21 +79,21 @@
         }
         long known = 0;
         for (int round = 0; round < rounds; round++) {
-            CallerKeys keys = new CallerKeys(List.of(CallerKey.of(texts.get(round % KEYS_ASKED))));
-            known += organisations.access(keys, false) instanceof Access.Member ? 1 : 0;
+            RequestApiKeys keys = new RequestApiKeys(List.of(ApiKeyDigest.of(texts.get(round % KEYS_ASKED))));
+            known += organisations.authorise(keys, false) instanceof AccessDecision.Authorised ? 1 : 0;
         }
         return known;
     }
 
     private static int wordBytes() {
-        UsageLedger ledger = UsageLedger.create();
+        UsageCounter ledger = UsageCounter.create();
         for (int call = 0; call < CALLS_BETWEEN_WORDS; call++) {
             ledger.count(353_445_120, "organisation-" + call);
         }
         return Subscribe.newBuilder()
                 .setAskedAtNs(System.nanoTime())
                 .setUsageVersion(ledger.version())
-                .addAllUsage(ledger.since(0))
+                .addAllUsage(ledger.changesSince(0))
                 .setUsageUntil(353_445_120)
                 .build()
                 .getSerializedSize();
--- a/src/main/java/org/cuminshelf/control/ConfigMachine.java
+++ b/src/main/java/org/cuminshelf/control/ConfigMachine.java
@@ -17,7 +17,7 @@
 import org.cuminshelf.poison.ChangeNumbers;
 import org.cuminshelf.poison.Quarantine;
 import org.cuminshelf.replica.GroupMachine;
-import org.cuminshelf.usage.SettledUsage;
+import org.cuminshelf.usage.CommittedUsage;
 
 /**
  * The accepted configuration: by compare-and-set, or, where authors give versions themselves, the highest given.
@@ -35,7 +35,7 @@
 
     private final OrderBook orders = new OrderBook();
     private final Quarantine quarantine = new Quarantine();
-    private final SettledUsage usage = SettledUsage.create();
+    private final CommittedUsage usage = CommittedUsage.create();
     private final Map<Long, AdminAnswer> answers = new HashMap<>();
     private final Map<Key, Long> accepted = new HashMap<>();
     private final Deque<AcceptedConfig> acceptedInOrder = new ArrayDeque<>();
@@ -76,7 +76,7 @@
     }
 
     /** The usage that stands, as far as a quorum wrote it down. */
-    SettledUsage usage() {
+    CommittedUsage usage() {
         return usage;
     }
 
@@ -95,10 +95,10 @@
             answer(entry.getIndex(), answer(AdminResult.ADMIN_DONE, version));
         }
         if (entry.hasUsageSettled()) {
-            usage.settle(entry.getUsageSettled());
+            usage.commit(entry.getUsageSettled());
         }
         if (entry.hasUsageReported()) {
-            usage.reported(entry.getUsageReported());
+            usage.acknowledge(entry.getUsageReported());
         }
         if (entry.hasConfig()) {
             answer(entry.getIndex(), accept(entry.getConfig()));
@@ -170,8 +170,8 @@
                 .addAllAccepted(acceptedInOrder)
                 .addAllOrders(orders.all())
                 .addAllQuarantined(quarantine.all())
-                .setUsageSettled(usage.last())
-                .addAllUsageDue(usage.due())
+                .setUsageSettled(usage.lastWindow())
+                .addAllUsageDue(usage.unacknowledged())
                 .build()
                 .toByteString();
     }
@@ -188,7 +188,7 @@
             answers.clear();
             state.getAcceptedList().forEach(this::remember);
             orders.load(state.getOrdersList());
-            usage.load(state.getUsageSettled(), state.getUsageDueList());
+            usage.restore(state.getUsageSettled(), state.getUsageDueList());
             quarantine.clear();
             state.getQuarantinedList().forEach(row -> quarantine.merge(row, ChangeNumbers.always(0)));
         } catch (InvalidProtocolBufferException e) {
--- a/src/main/java/org/cuminshelf/control/UpdateSystem.java
+++ b/src/main/java/org/cuminshelf/control/UpdateSystem.java
@@ -101,7 +101,7 @@
         update.setAskedAtNs(row.askedAt)
                 .setTakenAtUs(row.takenAt)
                 .setUsageHeard(row.usageHeard)
-                .setUsageSettled(config.usage().last());
+                .setUsageSettled(config.usage().lastWindow());
         replicas.forEach((group, replica) -> replica.leader()
                 .ifPresent(leader -> update.addLeaders(
                         GroupLeader.newBuilder().setGroup(group).setAddress(leader.value()))));
--- a/src/main/java/org/cuminshelf/control/UsageSystem.java
+++ b/src/main/java/org/cuminshelf/control/UsageSystem.java
@@ -14,8 +14,8 @@
 import org.cuminshelf.message.UsageReported;
 import org.cuminshelf.message.UsageWindow;
 import org.cuminshelf.replica.Replica;
-import org.cuminshelf.usage.SettledUsage;
-import org.cuminshelf.usage.UsageTally;
+import org.cuminshelf.usage.CommittedUsage;
+import org.cuminshelf.usage.UsageAggregator;
 import org.tinylog.Logger;
 
 /**
@@ -48,13 +48,13 @@
     private static final long MOST_BEHIND = 24;
 
     private final Replica replica;
-    private final SettledUsage settled;
+    private final CommittedUsage settled;
     private final DutyHolder holder;
     private final long patience;
     /** Nanoseconds between two calls at the least, as the platform states what it takes. */
     private final long leastGap;
 
-    private final UsageTally tally = UsageTally.create();
+    private final UsageAggregator tally = UsageAggregator.create();
 
     private long awaited;
     private long awaitedSince;
@@ -67,7 +67,7 @@
     private long reportedAt = Long.MIN_VALUE / 2;
     private boolean underWay;
 
-    UsageSystem(Replica replica, SettledUsage settled, DutyHolder holder, DutySettings duties) {
+    UsageSystem(Replica replica, CommittedUsage settled, DutyHolder holder, DutySettings duties) {
         this.replica = replica;
         this.settled = settled;
         this.holder = holder;
@@ -78,12 +78,12 @@
 
     /** Takes what an entry tells; what it tells again from here on follows from the version in its row. */
     void onSubscribe(long now, Subscribers.Row row, Subscribe subscribe) {
-        row.usageHeard = tally.hear(now, row.address, row.incarnation, subscribe);
+        row.usageHeard = tally.onReport(now, row.address, row.incarnation, subscribe);
     }
 
     void tick(long now, Outbox out) {
-        tally.settle(now, settled.last());
-        OptionalLong current = tally.current(now);
+        tally.discardThrough(now, settled.lastWindow());
+        OptionalLong current = tally.currentWindow(now);
         current.ifPresent(window -> await(now, window));
         if (underWay && (now >= nextTry || !holder.holds(now))) {
             underWay = false;
@@ -95,7 +95,7 @@
         if (current.isPresent() && awaited < current.getAsLong() && isDue(now)) {
             settle(now);
         }
-        Optional<UsageWindow> next = settled.next();
+        Optional<UsageWindow> next = settled.nextToReport();
         if (next.isPresent() && next.get().getWindow() == acknowledged) {
             writeDown(now, next.get());
         } else if (next.isPresent() && now >= nextTry && now - reportedAt >= leastGap) {
@@ -105,7 +105,9 @@
 
     /** Notes which window is to be settled next, and since when it is over. */
     private void await(long now, long current) {
-        long next = settled.last() == 0 ? Math.min(tally.first().orElse(current), current) : settled.last() + 1;
+        long next = settled.lastWindow() == 0
+                ? Math.min(tally.firstWindow().orElse(current), current)
+                : settled.lastWindow() + 1;
         next = Math.max(next, current - MOST_BEHIND);
         if (next != awaited) {
             awaited = next;
@@ -117,7 +119,7 @@
     }
 
     private boolean isDue(long now) {
-        return tally.isWhole(now, awaited) || now - awaitedSince >= patience;
+        return tally.isComplete(now, awaited) || now - awaitedSince >= patience;
     }
 
     private void settle(long now) {
@@ -133,7 +135,7 @@
                 awaited,
                 sum.getCountsCount(),
                 sum.getCountsList().stream().mapToInt(row -> row.getCount()).sum(),
-                tally.isWhole(now, awaited),
+                tally.isComplete(now, awaited),
                 Durations.millis(now - awaitedSince));
     }
 
--- a/src/main/java/org/cuminshelf/direct/Admission.java
+++ b/src/main/java/org/cuminshelf/direct/Admission.java
@@ -149,7 +149,7 @@
      */
     private static Decision sendUnlessLate(long now, CallRow call, Placement.Choice choice) {
         double first = Durations.millis(now - call.arrivedAt) + choice.firstMillis();
-        boolean inTime = first <= call.route.targetMillis();
+        boolean inTime = first <= call.route.targetLatencyMillis();
         if (call.attempt != null || inTime || choice.gain() > 0 || isOwed(call, first)) {
             return new Decision.Send(choice);
         }
@@ -164,7 +164,7 @@
 
     /** Milliseconds after which the caller of a stream that shows nothing has left. */
     private static double longestFirst(CallRow call) {
-        return Math.max(LONGEST_FIRST_MILLIS, LONGEST_FIRST_FACTOR * call.route.targetMillis());
+        return Math.max(LONGEST_FIRST_MILLIS, LONGEST_FIRST_FACTOR * call.route.targetLatencyMillis());
     }
 
     /**
--- a/src/main/java/org/cuminshelf/direct/AttemptSystem.java
+++ b/src/main/java/org/cuminshelf/direct/AttemptSystem.java
@@ -306,7 +306,7 @@
         EngineModel model = models.of(attempt.upstream.service);
         model.observeGap(
                 attempt.upstream.occupancy(), millis(call.lastEventAt - call.firstAnswerAt) / (call.eventsGiven - 1));
-        model.reading().observe(millis(call.longestPause), call.route.pauseMillis());
+        model.reading().observe(millis(call.longestPause), call.route.maxEventGapMillis());
     }
 
     private void onBroken(long now, AttemptRow attempt, boolean sent, String reason) {
--- a/src/main/java/org/cuminshelf/direct/CallIntent.java
+++ b/src/main/java/org/cuminshelf/direct/CallIntent.java
@@ -2,7 +2,7 @@
 
 import java.util.Optional;
 import java.util.OptionalLong;
-import org.cuminshelf.organisations.CallerKeys;
+import org.cuminshelf.organisations.RequestApiKeys;
 
 /**
  * What a caller asks for, beside the request's own bytes.
@@ -18,4 +18,4 @@
         OptionalLong deadlineMillis,
         Optional<GenerationShape> generation,
         OptionalLong resumeAfter,
-        CallerKeys keys) {}
+        RequestApiKeys keys) {}
--- a/src/main/java/org/cuminshelf/direct/CallRow.java
+++ b/src/main/java/org/cuminshelf/direct/CallRow.java
@@ -7,7 +7,7 @@
 import java.util.Set;
 import org.cuminshelf.exchange.CallerExchange;
 import org.cuminshelf.exchange.ReceivedRequest;
-import org.cuminshelf.organisations.CallerKey;
+import org.cuminshelf.organisations.ApiKeyDigest;
 import org.cuminshelf.organisations.Organisation;
 import org.cuminshelf.poison.Fingerprint;
 import org.cuminshelf.routes.RequestKind;
@@ -127,7 +127,7 @@
     private String caller() {
         return organisation
                 .map(Organisation::name)
-                .or(() -> intent.keys().only().map(CallerKey::digest))
+                .or(() -> intent.keys().single().map(ApiKeyDigest::hex))
                 .orElse("");
     }
 
--- a/src/main/java/org/cuminshelf/direct/DirectCore.java
+++ b/src/main/java/org/cuminshelf/direct/DirectCore.java
@@ -18,7 +18,7 @@
 import org.cuminshelf.exchange.ReceivedRequest;
 import org.cuminshelf.message.Envelope;
 import org.cuminshelf.message.Stopped;
-import org.cuminshelf.organisations.Access;
+import org.cuminshelf.organisations.AccessDecision;
 import org.cuminshelf.organisations.Organisation;
 import org.cuminshelf.routes.Route;
 
@@ -141,11 +141,12 @@
         }
         switch (control.routes()
                 .organisations()
-                .access(intent.keys(), route.get().publicRoute())) {
-            case Access.Member(Organisation organisation) ->
+                .authorise(intent.keys(), route.get().publicRoute())) {
+            case AccessDecision.Authorised(Organisation organisation) ->
                 start(arrivedAt, request, exchange, intent, route.get(), Optional.of(organisation));
-            case Access.Anonymous() -> start(arrivedAt, request, exchange, intent, route.get(), Optional.empty());
-            case Access.Denied(String reason) ->
+            case AccessDecision.Anonymous() ->
+                start(arrivedAt, request, exchange, intent, route.get(), Optional.empty());
+            case AccessDecision.Denied(String reason) ->
                 refuseUnknown(
                         exchange, intent, reason, UNAUTHORIZED, "This route asks for the key of an organisation.");
         }
@@ -183,7 +184,7 @@
             CallIntent intent,
             Route route,
             Optional<Organisation> organisation) {
-        String service = route.service(LongHashFunction.xx3().hashChars(intent.id()));
+        String service = route.chooseService(LongHashFunction.xx3().hashChars(intent.id()));
         long patience = Math.min(intent.deadlineMillis().orElse(DEFAULT_DEADLINE_MILLIS), route.timeoutMillis());
         CallRow call = new CallRow(
                 nextCall++,
--- a/src/main/java/org/cuminshelf/direct/Placement.java
+++ b/src/main/java/org/cuminshelf/direct/Placement.java
@@ -15,7 +15,7 @@
 import org.cuminshelf.core.Durations;
 import org.cuminshelf.engines.EngineModel;
 import org.cuminshelf.message.Role;
-import org.cuminshelf.routes.EngineLimits;
+import org.cuminshelf.routes.EngineCapacity;
 import org.cuminshelf.routes.RoutedService;
 
 /**
@@ -151,9 +151,9 @@
 
     /** How long a generation takes a place of an engine that has a usual number of streams. */
     long runningMicros(String service, GenerationShape shape) {
-        Optional<EngineLimits> limits = limits(service);
+        Optional<EngineCapacity> limits = limits(service);
         int perEvent = tokensPerEvent(service);
-        int usualStreams = limits.map(EngineLimits::slots).orElse(1) / 2;
+        int usualStreams = limits.map(EngineCapacity::slots).orElse(1) / 2;
         double events = Math.ceil((double) shape.outputTokens() / perEvent);
         double millis = events * models.of(service).gapMillis(usualStreams);
         prices.running(service, millis);
@@ -223,18 +223,18 @@
     }
 
     private long cacheTokens(CallRow call) {
-        return limits(call.service).map(EngineLimits::cacheTokens).orElse(0L);
+        return limits(call.service).map(EngineCapacity::kvCacheTokens).orElse(0L);
     }
 
     private double tokenBytes(CallRow call) {
-        return limits(call.service).map(EngineLimits::tokenBytes).orElse(0.0);
+        return limits(call.service).map(EngineCapacity::kvBytesPerToken).orElse(0.0);
     }
 
     private int tokensPerEvent(String service) {
-        return limits(service).map(EngineLimits::tokensPerEvent).orElse(1);
+        return limits(service).map(EngineCapacity::tokensPerEvent).orElse(1);
     }
 
-    private Optional<EngineLimits> limits(String service) {
+    private Optional<EngineCapacity> limits(String service) {
         return control.routes().service(service).flatMap(RoutedService::engine);
     }
 
@@ -358,7 +358,7 @@
 
     /** What is lost on average by an answer's coming late: its chance to, and by how much. */
     private static double lateCost(long now, Choice choice, CallRow call, EngineModel model) {
-        double late = lateMillis(now, choice, call) / call.route.targetMillis();
+        double late = lateMillis(now, choice, call) / call.route.targetLatencyMillis();
         return lateChance(now, choice, call, model) * LATE_COST + Math.clamp(late, 0, MOST_TARGETS_LATE) * LATER_COST;
     }
 
@@ -369,7 +369,7 @@
 
     /** Milliseconds by which the first event is expected after the target, or before it if negative. */
     private static double lateMillis(long now, Choice choice, CallRow call) {
-        return Durations.millis(now - call.arrivedAt) + choice.firstMillis() - call.route.targetMillis();
+        return Durations.millis(now - call.arrivedAt) + choice.firstMillis() - call.route.targetLatencyMillis();
     }
 
     /** The upstreams that take a call now; one that asked another entry for rest only if no other has its role. */
--- a/src/main/java/org/cuminshelf/direct/UsageMeter.java
+++ b/src/main/java/org/cuminshelf/direct/UsageMeter.java
@@ -10,7 +10,7 @@
 import org.cuminshelf.message.Update;
 import org.cuminshelf.organisations.Organisation;
 import org.cuminshelf.usage.FleetClock;
-import org.cuminshelf.usage.UsageLedger;
+import org.cuminshelf.usage.UsageCounter;
 
 /**
  * Counts the calls of organisations that began to run here, in windows of the time that the fleet agrees on, and tells
@@ -27,7 +27,7 @@
     private final OptionalLong windowMillis;
     private final DecisionLog log;
     private final FleetClock clock = FleetClock.create();
-    private final UsageLedger ledger = UsageLedger.create();
+    private final UsageCounter ledger = UsageCounter.create();
     /** Up to which of the changes here each control process has heard. */
     private final Map<Address, Long> heard = new HashMap<>();
 
@@ -38,7 +38,7 @@
 
     /** Takes a reading of the own time of day. */
     void ownClock(long now, long unixMillis) {
-        clock.own(now, unixMillis);
+        clock.addOwnReading(now, unixMillis);
     }
 
     /** A call began to run; it counts once, however often it is sent. */
@@ -72,7 +72,7 @@
                 .setAskedAtNs(now)
                 .setUsageVersion(ledger.version())
                 .setUsageSince(since)
-                .addAllUsage(ledger.since(since))
+                .addAllUsage(ledger.changesSince(since))
                 .setUsageUntil(window(now - LATE_COUNTS).orElse(0));
     }
 
@@ -81,9 +81,9 @@
             return;
         }
         heard.put(control, update.getUsageHeard());
-        ledger.settle(update.getUsageSettled());
+        ledger.discardThrough(update.getUsageSettled());
         if (update.getTakenAtUs() > 0) {
-            clock.sample(control, update.getAskedAtNs(), now, update.getTakenAtUs());
+            clock.addRemoteReading(control, update.getAskedAtNs(), now, update.getTakenAtUs());
         }
     }
 }
--- a/src/main/java/org/cuminshelf/direct/WaitingCalls.java
+++ b/src/main/java/org/cuminshelf/direct/WaitingCalls.java
@@ -50,8 +50,8 @@
      * @return whether it waits now
      */
     boolean addForTurn(long now, CallRow call, double ownMillis) {
-        double slack = call.route.targetMillis() - ownMillis;
-        double patience = Math.clamp(slack - MARGIN_MILLIS, 0, PATIENCE_SHARE * call.route.targetMillis());
+        double slack = call.route.targetLatencyMillis() - ownMillis;
+        double patience = Math.clamp(slack - MARGIN_MILLIS, 0, PATIENCE_SHARE * call.route.targetLatencyMillis());
         return add(now, call, slack, Durations.nanos((long) patience));
     }
 
@@ -66,9 +66,9 @@
      */
     boolean addUntil(long now, CallRow call, long nextAt) {
         double share = call.cache.isPresent() ? 1 : PATIENCE_SHARE;
-        long patience = Durations.nanos((long) (share * call.route.targetMillis()));
+        long patience = Durations.nanos((long) (share * call.route.targetLatencyMillis()));
         boolean inTime = nextAt < call.arrivedAt + patience;
-        return inTime && add(now, call, call.route.targetMillis(), patience);
+        return inTime && add(now, call, call.route.targetLatencyMillis(), patience);
     }
 
     /**
@@ -79,7 +79,7 @@
      * @return whether it waits now
      */
     boolean addForUpstreams(long now, CallRow call) {
-        return add(now, call, call.route.targetMillis(), upstreamPatience(call.deadline - call.arrivedAt));
+        return add(now, call, call.route.targetLatencyMillis(), upstreamPatience(call.deadline - call.arrivedAt));
     }
 
     /** How long a call of so much time, in nanoseconds, waits for what a restarted entry has not heard yet. */
--- a/src/main/java/org/cuminshelf/entry/AdmissionSystem.java
+++ b/src/main/java/org/cuminshelf/entry/AdmissionSystem.java
@@ -18,11 +18,11 @@
     private static final int HIGHEST_PRIORITY = 9;
     private static final int RETRY_AFTER_NOT_READY_MILLIS = 1_000;
 
-    private final EntryTables tables;
+    private final EntryState tables;
     private final AnswerSystem answers;
     private final Router router;
 
-    AdmissionSystem(EntryTables tables, AnswerSystem answers, Router router) {
+    AdmissionSystem(EntryState tables, AnswerSystem answers, Router router) {
         this.tables = tables;
         this.answers = answers;
         this.router = router;
--- a/src/main/java/org/cuminshelf/entry/AnswerSystem.java
+++ b/src/main/java/org/cuminshelf/entry/AnswerSystem.java
@@ -15,10 +15,10 @@
 /** Hands answers to callers: each part once and in order, and one end. */
 final class AnswerSystem {
 
-    private final EntryTables tables;
+    private final EntryState tables;
     private final List<CallRow> finished = new ArrayList<>();
 
-    AnswerSystem(EntryTables tables) {
+    AnswerSystem(EntryState tables) {
         this.tables = tables;
     }
 
--- a/src/main/java/org/cuminshelf/entry/AttemptSystem.java
+++ b/src/main/java/org/cuminshelf/entry/AttemptSystem.java
@@ -45,11 +45,11 @@
 
     private static final int MOST_ATTEMPTS = 6;
 
-    private final EntryTables tables;
+    private final EntryState tables;
     private final AnswerSystem answers;
     private ClaimSystem claims;
 
-    AttemptSystem(EntryTables tables, AnswerSystem answers) {
+    AttemptSystem(EntryState tables, AnswerSystem answers) {
         this.tables = tables;
         this.answers = answers;
     }
--- a/src/main/java/org/cuminshelf/entry/ClaimSystem.java
+++ b/src/main/java/org/cuminshelf/entry/ClaimSystem.java
@@ -46,7 +46,7 @@
     private static final long RECORD_GIVE_UP = Durations.nanos(30_000);
     private static final int RETRY_AFTER_MILLIS = 1_000;
 
-    private final EntryTables tables;
+    private final EntryState tables;
     private final AnswerSystem answers;
     private final AttemptSystem attempts;
     private final Map<Long, Pending> pending = new HashMap<>();
@@ -80,7 +80,7 @@
      * incarnation, is taken for the answer to the present one, so that an attempt is sent under a claim it does not
      * hold.
      */
-    ClaimSystem(EntryTables tables, AnswerSystem answers, AttemptSystem attempts, long incarnation) {
+    ClaimSystem(EntryState tables, AnswerSystem answers, AttemptSystem attempts, long incarnation) {
         this.tables = tables;
         this.answers = answers;
         this.attempts = attempts;
--- a/src/main/java/org/cuminshelf/entry/ConfigHolder.java
+++ b/src/main/java/org/cuminshelf/entry/ConfigSubscription.java
@@ -25,7 +25,7 @@
  * answered as a voter: its earlier incarnation learnt from those alone, each of them durably knew what it told, and
  * one whose disk was replaced does not count before a quorum has taken it in.
  */
-final class ConfigHolder {
+final class ConfigSubscription {
 
     /** The group that accepts configurations. */
     private static final String GLOBAL_GROUP = "global";
@@ -37,7 +37,7 @@
 
     private final EntrySettings settings;
     private final Invariants invariants;
-    private final Upstreams upstreams;
+    private final UpstreamDirectory upstreams;
     private final Map<Address, Long> answeredAt = new HashMap<>();
     private final Map<String, Address> leaders = new HashMap<>();
     private volatile FleetConfig config = FleetConfig.empty();
@@ -47,7 +47,7 @@
     private int entries = 1;
     private final Map<String, OfferedWork> offered = new TreeMap<>();
 
-    ConfigHolder(EntrySettings settings, Upstreams upstreams, long now, Invariants invariants) {
+    ConfigSubscription(EntrySettings settings, UpstreamDirectory upstreams, long now, Invariants invariants) {
         this.settings = settings;
         this.upstreams = upstreams;
         this.invariants = invariants;
--- a/src/main/java/org/cuminshelf/entry/EntryCore.java
+++ b/src/main/java/org/cuminshelf/entry/EntryCore.java
@@ -18,7 +18,7 @@
 
     private static final int RETRY_AFTER_DEADLINE_MILLIS = 500;
 
-    private final EntryTables tables;
+    private final EntryState tables;
     private final long ownIncarnation;
     private final AnswerSystem answers;
     private final AttemptSystem attempts;
@@ -28,7 +28,7 @@
     private volatile boolean leaving;
     private boolean stopReported;
 
-    private EntryCore(EntryTables tables, long incarnation) {
+    private EntryCore(EntryState tables, long incarnation) {
         this.tables = tables;
         this.ownIncarnation = incarnation;
         Router router = new Router(tables);
@@ -52,7 +52,7 @@
      */
     public static EntryCore start(
             EntrySettings settings, Address self, long incarnation, long now, Invariants invariants) {
-        return new EntryCore(new EntryTables(settings, self, now, invariants), incarnation);
+        return new EntryCore(new EntryState(settings, self, now, invariants), incarnation);
     }
 
     @Override
--- a/src/main/java/org/cuminshelf/entry/Limits.java
+++ b/src/main/java/org/cuminshelf/entry/OrganisationRateLimiter.java
@@ -11,7 +11,7 @@
  * is the rate over the entries that control hears from, so no call is made per request; while the count of entries
  * changes the sum may be off by that change for a heartbeat.
  */
-final class Limits {
+final class OrganisationRateLimiter {
 
     private static final int REMEMBERED_ORGANISATIONS = 10_000;
     private static final double BURST_SECONDS = 2;
--- a/src/main/java/org/cuminshelf/entry/OutputEstimates.java
+++ b/src/main/java/org/cuminshelf/entry/OutputLengthEstimator.java
@@ -5,7 +5,7 @@
 import org.cuminshelf.message.Generation;
 
 /** How many tokens a model's answers have, learnt for each organisation by an exponentially weighted mean. */
-final class OutputEstimates {
+final class OutputLengthEstimator {
 
     private static final int REMEMBERED = 10_000;
     private static final double WEIGHT_OF_NEW = 0.2;
--- a/src/main/java/org/cuminshelf/entry/Router.java
+++ b/src/main/java/org/cuminshelf/entry/Router.java
@@ -28,7 +28,7 @@
     /** Slow start: an upstream met less than this ago is given work as if it were busier. */
     private static final double SECONDS_PER_SERVICE_CALL = 0.01;
 
-    private final EntryTables tables;
+    private final EntryState tables;
     private long turn;
 
     /**
@@ -47,7 +47,7 @@
             double firstTokenSeconds,
             double totalSeconds) {}
 
-    Router(EntryTables tables) {
+    Router(EntryState tables) {
         this.tables = tables;
     }
 
--- a/src/main/java/org/cuminshelf/entry/RoutingSystem.java
+++ b/src/main/java/org/cuminshelf/entry/RoutingSystem.java
@@ -21,14 +21,14 @@
     private static final long SHORTEST_RETRY_AFTER_MILLIS = 250;
     private static final long LOOK_AGAIN = Durations.nanos(20);
 
-    private final EntryTables tables;
+    private final EntryState tables;
     private final Router router;
     private final AttemptSystem attempts;
     private final ClaimSystem claims;
     private final AnswerSystem answers;
     private long lookAgainAt = Core.NEVER;
 
-    RoutingSystem(EntryTables tables, Router router, AttemptSystem attempts, ClaimSystem claims, AnswerSystem answers) {
+    RoutingSystem(EntryState tables, Router router, AttemptSystem attempts, ClaimSystem claims, AnswerSystem answers) {
         this.answers = answers;
         this.tables = tables;
         this.router = router;
--- a/src/main/java/org/cuminshelf/entry/Upstreams.java
+++ b/src/main/java/org/cuminshelf/entry/UpstreamDirectory.java
@@ -32,7 +32,7 @@
  * control process can be reached the table stays as it was. A session's silence is this entry's own view: it keeps
  * new work away from here and tells nobody else.
  */
-final class Upstreams {
+final class UpstreamDirectory {
 
     private static final long OPEN_AGAIN = Durations.nanos(500);
     private static final long HEARTBEAT_IN_USE = Durations.nanos(1_000);
@@ -46,14 +46,14 @@
     private final Address self;
     private final Map<Address, UpstreamRow> rows = new TreeMap<>();
     private final Map<String, List<UpstreamRow>> subsets = new HashMap<>();
-    /** Upstreams of each target in the whole directory. */
+    /** Number of upstreams of each target in the whole directory. */
     private final Map<String, Integer> totals = new HashMap<>();
 
     private final HeldDirectories directories = HeldDirectories.none();
     private boolean changed;
     private long nextHeartbeat;
 
-    Upstreams(EntrySettings settings, Address self, long now) {
+    UpstreamDirectory(EntrySettings settings, Address self, long now) {
         this.settings = settings;
         this.self = self;
         this.nextHeartbeat = now;
--- a/src/main/java/org/cuminshelf/organisations/Access.java
+++ b/src/main/java/org/cuminshelf/organisations/AccessDecision.java
@@ -1,22 +1,22 @@
 package org.cuminshelf.organisations;
 
 /** In whose name a request may run. */
-public sealed interface Access {
+public sealed interface AccessDecision {
 
     /**
      * In that of an organisation.
      *
      * @param organisation the organisation that holds the key
      */
-    record Member(Organisation organisation) implements Access {}
+    record Authorised(Organisation organisation) implements AccessDecision {}
 
     /** In nobody's, which is enough here. */
-    record Anonymous() implements Access {}
+    record Anonymous() implements AccessDecision {}
 
     /**
      * It may not run.
      *
      * @param reason why, without the key
      */
-    record Denied(String reason) implements Access {}
+    record Denied(String reason) implements AccessDecision {}
 }
--- a/src/main/java/org/cuminshelf/organisations/CallerKey.java
+++ b/src/main/java/org/cuminshelf/organisations/ApiKeyDigest.java
@@ -11,14 +11,14 @@
  * <p>Failure it guards against: a key turns up in a log line, an error or a message, and whoever reads it can ask in
  * the name of its organisation. Only the digest is kept from where a key is first read, and even that isn't printed.
  */
-public final class CallerKey {
+public final class ApiKeyDigest {
 
     private static final String ALGORITHM = "SHA-256";
     private static final int BYTES = 16;
 
     private final String digest;
 
-    private CallerKey(String digest) {
+    private ApiKeyDigest(String digest) {
         this.digest = digest;
     }
 
@@ -28,10 +28,10 @@
      * @param text the key as sent
      * @return the key
      */
-    public static CallerKey of(String text) {
+    public static ApiKeyDigest of(String text) {
         try {
             byte[] whole = MessageDigest.getInstance(ALGORITHM).digest(text.getBytes(StandardCharsets.UTF_8));
-            return new CallerKey(HexFormat.of().formatHex(whole, 0, BYTES));
+            return new ApiKeyDigest(HexFormat.of().formatHex(whole, 0, BYTES));
         } catch (NoSuchAlgorithmException e) {
             throw new IllegalStateException("every Java runtime has " + ALGORITHM, e);
         }
@@ -42,13 +42,13 @@
      *
      * @return 32 hexadecimal digits, the same for the same key at all entries
      */
-    public String digest() {
+    public String hex() {
         return digest;
     }
 
     @Override
     public boolean equals(Object other) {
-        return other instanceof CallerKey key && digest.equals(key.digest);
+        return other instanceof ApiKeyDigest key && digest.equals(key.digest);
     }
 
     @Override
--- a/src/main/java/org/cuminshelf/organisations/Organisation.java
+++ b/src/main/java/org/cuminshelf/organisations/Organisation.java
@@ -10,7 +10,7 @@
  * @param keys     the keys of its callers
  * @param priority rank of its calls, 0 first, in place of that of their route; nothing where it states none
  */
-public record Organisation(String name, List<CallerKey> keys, OptionalInt priority) {
+public record Organisation(String name, List<ApiKeyDigest> keys, OptionalInt priority) {
 
     /** Takes a copy of the keys. */
     public Organisation {
--- a/src/main/java/org/cuminshelf/organisations/Organisations.java
+++ b/src/main/java/org/cuminshelf/organisations/Organisations.java
@@ -10,12 +10,12 @@
 /** The organisations of one configuration, by their keys. A lookup takes the same time however many there are. */
 public final class Organisations {
 
-    private static final Organisations UNKNOWN = new Organisations(List.of(), false);
-    private static final Access ANONYMOUS = new Access.Anonymous();
+    private static final Organisations UNRESTRICTED = new Organisations(List.of(), false);
+    private static final AccessDecision ANONYMOUS = new AccessDecision.Anonymous();
 
     private final List<Organisation> all;
     private final boolean keysNeeded;
-    private final Map<CallerKey, Organisation> byKey = new HashMap<>();
+    private final Map<ApiKeyDigest, Organisation> byKey = new HashMap<>();
 
     private Organisations(List<Organisation> all, boolean keysNeeded) {
         this.all = List.copyOf(all);
@@ -28,15 +28,15 @@
      *
      * @return a table by which any request may run in nobody's name
      */
-    public static Organisations unknown() {
-        return UNKNOWN;
+    public static Organisations unrestricted() {
+        return UNRESTRICTED;
     }
 
     /**
      * Makes the table of a deployment that names its organisations.
      *
      * @param all the organisations; without any, no key is valid
-     * @return the table; see {@link #problem()}
+     * @return the table; see {@link #validationError()}
      */
     public static Organisations of(List<Organisation> all) {
         return new Organisations(all, true);
@@ -47,7 +47,7 @@
      *
      * @return the first problem, with the organisations it is about and without keys
      */
-    public Optional<String> problem() {
+    public Optional<String> validationError() {
         Set<String> names = new HashSet<>();
         for (Organisation organisation : all) {
             if (organisation.name().isBlank()) {
@@ -56,7 +56,7 @@
             if (!names.add(organisation.name())) {
                 return Optional.of("two organisations are named " + organisation.name());
             }
-            for (CallerKey key : organisation.keys()) {
+            for (ApiKeyDigest key : organisation.keys()) {
                 Organisation holder = byKey.get(key);
                 if (holder != organisation) {
                     return Optional.of("the organisations " + holder.name() + " and " + organisation.name()
@@ -74,19 +74,19 @@
      * @param publicRoute whether its route asks for none
      * @return the organisation, nobody, or why it may not run
      */
-    public Access access(CallerKeys keys, boolean publicRoute) {
-        Optional<Organisation> holder = keys.only().map(byKey::get);
+    public AccessDecision authorise(RequestApiKeys keys, boolean publicRoute) {
+        Optional<Organisation> holder = keys.single().map(byKey::get);
         if (holder.isPresent()) {
-            return new Access.Member(holder.get());
+            return new AccessDecision.Authorised(holder.get());
         }
         if (publicRoute || !keysNeeded) {
             return ANONYMOUS;
         }
-        return new Access.Denied(reason(keys));
+        return new AccessDecision.Denied(reason(keys));
     }
 
-    private static String reason(CallerKeys keys) {
-        return switch (keys.sent().size()) {
+    private static String reason(RequestApiKeys keys) {
+        return switch (keys.digests().size()) {
             case 0 -> "no-key";
             case 1 -> "unknown-key";
             default -> "several-keys";
--- a/src/main/java/org/cuminshelf/platform/ConfigDocument.java
+++ b/src/main/java/org/cuminshelf/platform/ConfigDocument.java
@@ -16,10 +16,10 @@
 import java.util.Optional;
 import java.util.OptionalInt;
 import org.cuminshelf.exchange.CallerLimits;
-import org.cuminshelf.organisations.CallerKey;
+import org.cuminshelf.organisations.ApiKeyDigest;
 import org.cuminshelf.organisations.Organisation;
 import org.cuminshelf.organisations.Organisations;
-import org.cuminshelf.routes.EngineLimits;
+import org.cuminshelf.routes.EngineCapacity;
 import org.cuminshelf.routes.RequestKind;
 import org.cuminshelf.routes.Route;
 import org.cuminshelf.routes.RouteTable;
@@ -49,7 +49,7 @@
                 return Either.left("'version' must be a whole number above 0");
             }
             RouteTable table = table(root);
-            Optional<String> problem = table.problem();
+            Optional<String> problem = table.validationError();
             return problem.isPresent() ? Either.left(problem.get()) : Either.right(table);
         } catch (JsonProcessingException e) {
             return Either.left("the configuration can't be read: " + place(e));
@@ -89,7 +89,7 @@
     /** The organisations, which the platform calls tenants; a configuration without that list asks for no keys. */
     private static Organisations organisations(JsonNode list) throws IOException {
         if (list.isMissingNode() || list.isNull()) {
-            return Organisations.unknown();
+            return Organisations.unrestricted();
         }
         if (!list.isArray()) {
             throw new IOException("'tenants' must be a list");
@@ -107,12 +107,12 @@
         if (!list.isArray() && !list.isMissingNode()) {
             throw new IOException("'apiKeys' of " + name + " must be a list");
         }
-        List<CallerKey> keys = new ArrayList<>();
+        List<ApiKeyDigest> keys = new ArrayList<>();
         for (JsonNode key : list) {
             if (!key.isTextual() || key.textValue().isEmpty()) {
                 throw new IOException("a key of " + name + " is empty or no text");
             }
-            keys.add(CallerKey.of(key.textValue()));
+            keys.add(ApiKeyDigest.of(key.textValue()));
         }
         boolean ranked = node.hasNonNull("priority");
         OptionalInt priority = ranked ? OptionalInt.of((int) number(node, "priority", 0)) : OptionalInt.empty();
@@ -121,8 +121,8 @@
 
     private static RoutedService service(JsonNode node) throws IOException {
         JsonNode engine = node.path("engine");
-        Optional<EngineLimits> limits = engine.isObject()
-                ? Optional.of(new EngineLimits(
+        Optional<EngineCapacity> limits = engine.isObject()
+                ? Optional.of(new EngineCapacity(
                         engine.path("slots").asInt(1),
                         engine.path("kvCapacityTokens").asLong(0),
                         engine.path("stride").asInt(1),
--- a/src/main/java/org/cuminshelf/platform/PlatformProtocol.java
+++ b/src/main/java/org/cuminshelf/platform/PlatformProtocol.java
@@ -24,8 +24,8 @@
 import org.cuminshelf.direct.UpstreamProtocol;
 import org.cuminshelf.exchange.ReceivedRequest;
 import org.cuminshelf.exchange.UpstreamRequest;
-import org.cuminshelf.organisations.CallerKey;
-import org.cuminshelf.organisations.CallerKeys;
+import org.cuminshelf.organisations.ApiKeyDigest;
+import org.cuminshelf.organisations.RequestApiKeys;
 import org.eclipse.jetty.http.HttpField;
 import org.eclipse.jetty.http.HttpFields;
 import org.eclipse.jetty.http.HttpHeader;
@@ -63,11 +63,11 @@
                 keys(headers));
     }
 
-    private static CallerKeys keys(HttpFields headers) {
+    private static RequestApiKeys keys(HttpFields headers) {
         List<String> sent = headers.getValuesList(Headers.CALLER_KEY);
         return sent.isEmpty()
-                ? CallerKeys.none()
-                : new CallerKeys(sent.stream().map(CallerKey::of).toList());
+                ? RequestApiKeys.none()
+                : new RequestApiKeys(sent.stream().map(ApiKeyDigest::of).toList());
     }
 
     private static Optional<GenerationShape> generation(HttpFields headers) {
--- a/src/main/java/org/cuminshelf/routes/Route.java
+++ b/src/main/java/org/cuminshelf/routes/Route.java
@@ -3,20 +3,21 @@
 import java.util.List;
 
 /**
- * One route.
+ * A route: assigns the requests of one host and path prefix to services.
  *
- * @param name          its name
- * @param host          the host it stands for, in lower case
- * @param pathPrefix    the beginning of the paths it stands for, with a slash at both ends
- * @param kind          what may be repeated
- * @param timeoutMillis longest time that a request is kept waiting for its answer
- * @param targetMillis  time within which an answer, or the first event of a stream, is worth most
- * @param priority      rank among routes; 0 goes first
- * @param services      where its requests go
- * @param maxAttempts   most upstreams to which one request is sent
- * @param resumable     whether a stream may go on at another upstream after the last event that was delivered
- * @param pauseMillis   longest pause between two events of a stream that counts as being on time; 0 if none is stated
- * @param publicRoute   whether its requests need no key of an organisation
+ * @param name                the name of the route
+ * @param host                the host that it matches, in lower case
+ * @param pathPrefix          the path prefix that it matches; begins and ends with a slash
+ * @param kind                whether its requests may be repeated
+ * @param timeoutMillis       maximum time that a request waits for its answer
+ * @param targetLatencyMillis target latency of an answer, or of the first event of a stream; a later answer is worth
+ *                            less
+ * @param priority            priority among routes; 0 is the highest
+ * @param services            the services that take its requests
+ * @param maxAttempts         maximum number of upstreams to which one request is sent
+ * @param resumable           whether another upstream may continue a stream after the last delivered event
+ * @param maxEventGapMillis   maximum gap between two events of a stream that still counts as on time; 0 if not stated
+ * @param publicRoute         whether its requests need no API key of an organisation
  */
 public record Route(
         String name,
@@ -24,12 +25,12 @@
         String pathPrefix,
         RequestKind kind,
         long timeoutMillis,
-        long targetMillis,
+        long targetLatencyMillis,
         int priority,
         List<WeightedService> services,
         int maxAttempts,
         boolean resumable,
-        long pauseMillis,
+        long maxEventGapMillis,
         boolean publicRoute) {
 
     /**
@@ -47,7 +48,7 @@
      * @param choice any number that is spread evenly over requests
      * @return the name of a service with a weight above 0
      */
-    public String service(long choice) {
+    public String chooseService(long choice) {
         int sum = services.stream().mapToInt(WeightedService::weight).sum();
         long place = Math.floorMod(choice, (long) sum);
         for (WeightedService service : services) {
--- a/src/main/java/org/cuminshelf/routes/RouteTable.java
+++ b/src/main/java/org/cuminshelf/routes/RouteTable.java
@@ -14,7 +14,7 @@
 public final class RouteTable {
 
     private static final RouteTable EMPTY =
-            new RouteTable(0, List.of(), Map.of(), Organisations.unknown(), CallerLimits.DEFAULT);
+            new RouteTable(0, List.of(), Map.of(), Organisations.unrestricted(), CallerLimits.DEFAULT);
 
     private final long version;
     private final Map<String, RoutedService> services;
@@ -81,11 +81,11 @@
      * @param routes   the routes
      * @param services the services, by name
      * @param limits   what callers may send
-     * @return the table; see {@link #problem()}
+     * @return the table; see {@link #validationError()}
      */
     public static RouteTable of(
             long version, List<Route> routes, Map<String, RoutedService> services, CallerLimits limits) {
-        return of(version, routes, services, Organisations.unknown(), limits);
+        return of(version, routes, services, Organisations.unrestricted(), limits);
     }
 
     /**
@@ -96,7 +96,7 @@
      * @param services      the services, by name
      * @param organisations the organisations, by their keys
      * @param limits        what callers may send
-     * @return the table; see {@link #problem()}
+     * @return the table; see {@link #validationError()}
      */
     public static RouteTable of(
             long version,
@@ -112,7 +112,7 @@
      *
      * @return the first problem, with the route it is about
      */
-    public Optional<String> problem() {
+    public Optional<String> validationError() {
         Set<String> places = new HashSet<>();
         for (Route route : routes) {
             String where = "route " + route.name() + ": ";
@@ -130,7 +130,7 @@
                 return wrongService.map(where::concat);
             }
         }
-        return organisations.problem();
+        return organisations.validationError();
     }
 
     private Optional<String> serviceProblem(Route route) {
--- a/src/main/java/org/cuminshelf/routes/RoutedService.java
+++ b/src/main/java/org/cuminshelf/routes/RoutedService.java
@@ -9,4 +9,4 @@
  * @param maxConnections connections that one upstream takes from all callers together
  * @param engine         what its engines can do, where its upstreams are engines
  */
-public record RoutedService(String name, int maxConnections, Optional<EngineLimits> engine) {}
+public record RoutedService(String name, int maxConnections, Optional<EngineCapacity> engine) {}
--- a/src/main/java/org/cuminshelf/usage/SettledUsage.java
+++ b/src/main/java/org/cuminshelf/usage/CommittedUsage.java
@@ -11,7 +11,7 @@
  * <p>Failure it guards against: two reports of one window with different counts. The first counts of a window that the
  * log holds stand; only they are reported, by whichever process.
  */
-public final class SettledUsage {
+public final class CommittedUsage {
 
     /** Windows that wait for an acknowledgement at the most: what is older counts no more. */
     private static final int MOST_DUE = 64;
@@ -19,15 +19,15 @@
     private final TreeMap<Long, UsageWindow> due = new TreeMap<>();
     private long last;
 
-    private SettledUsage() {}
+    private CommittedUsage() {}
 
     /**
      * Makes no windows.
      *
      * @return the windows
      */
-    public static SettledUsage create() {
-        return new SettledUsage();
+    public static CommittedUsage create() {
+        return new CommittedUsage();
     }
 
     /**
@@ -35,7 +35,7 @@
      *
      * @param window the window with its counts
      */
-    public void settle(UsageWindow window) {
+    public void commit(UsageWindow window) {
         if (window.getWindow() <= last) {
             return;
         }
@@ -51,7 +51,7 @@
      *
      * @param window the number of its window
      */
-    public void reported(long window) {
+    public void acknowledge(long window) {
         due.remove(window);
     }
 
@@ -60,7 +60,7 @@
      *
      * @return its number, 0 before the first
      */
-    public long last() {
+    public long lastWindow() {
         return last;
     }
 
@@ -69,7 +69,7 @@
      *
      * @return the oldest one without an acknowledgement
      */
-    public Optional<UsageWindow> next() {
+    public Optional<UsageWindow> nextToReport() {
         return Optional.ofNullable(due.firstEntry()).map(entry -> entry.getValue());
     }
 
@@ -78,7 +78,7 @@
      *
      * @return the windows, oldest first
      */
-    public List<UsageWindow> due() {
+    public List<UsageWindow> unacknowledged() {
         return List.copyOf(due.values());
     }
 
@@ -88,7 +88,7 @@
      * @param lastWindow the last window whose counts stand
      * @param waiting    the windows without an acknowledgement
      */
-    public void load(long lastWindow, List<UsageWindow> waiting) {
+    public void restore(long lastWindow, List<UsageWindow> waiting) {
         last = lastWindow;
         due.clear();
         waiting.forEach(window -> due.put(window.getWindow(), window));
--- a/src/main/java/org/cuminshelf/usage/FleetClock.java
+++ b/src/main/java/org/cuminshelf/usage/FleetClock.java
@@ -69,7 +69,7 @@
      * @param now        the monotonic time in nanoseconds
      * @param unixMillis milliseconds since the start of 1970
      */
-    public void own(long now, long unixMillis) {
+    public void addOwnReading(long now, long unixMillis) {
         long offset = Durations.nanos(unixMillis) - now;
         if (own.isPresent() && Math.abs(offset - own.getAsLong()) > JUMP) {
             // The VM stood still without its monotonic clock, and then all offsets are another, or this clock jumped.
@@ -87,7 +87,7 @@
      * @param now       monotonic time of the answer in nanoseconds
      * @param unixMicros what its clock showed in between, microseconds since the start of 1970
      */
-    public void sample(Address clock, long askedAt, long now, long unixMicros) {
+    public void addRemoteReading(Address clock, long askedAt, long now, long unixMicros) {
         long read = TimeUnit.MICROSECONDS.toNanos(unixMicros);
         Deque<Bounds> of = samples.computeIfAbsent(clock, key -> new ArrayDeque<>());
         of.add(new Bounds(read - now - CLOCKS_DIFFER / 2, read - askedAt + CLOCKS_DIFFER / 2));
--- a/src/main/java/org/cuminshelf/usage/UsageTally.java
+++ b/src/main/java/org/cuminshelf/usage/UsageAggregator.java
@@ -16,7 +16,7 @@
  * What all entries counted, as they told one control process. Words may come late, twice or in any order: of two counts
  * of one start of an entry the higher is the later. What an entry counted before it ended stays.
  */
-public final class UsageTally {
+public final class UsageAggregator {
 
     /** Silence after which an entry is not waited for any more. */
     private static final long LEASE = Durations.nanos(4_000);
@@ -36,15 +36,15 @@
 
     private final Map<Source, Told> sources = new HashMap<>();
 
-    private UsageTally() {}
+    private UsageAggregator() {}
 
     /**
      * Makes counts of a starting control process.
      *
      * @return the counts
      */
-    public static UsageTally create() {
-        return new UsageTally();
+    public static UsageAggregator create() {
+        return new UsageAggregator();
     }
 
     /**
@@ -56,7 +56,7 @@
      * @param subscribe   what it tells
      * @return the version of its counts up to which nothing is missing here
      */
-    public long hear(long now, Address entry, long incarnation, Subscribe subscribe) {
+    public long onReport(long now, Address entry, long incarnation, Subscribe subscribe) {
         Told told = sources.computeIfAbsent(new Source(entry, incarnation), key -> new Told());
         told.heardAt = now;
         told.until = Math.max(told.until, subscribe.getUsageUntil());
@@ -79,7 +79,7 @@
      * @param now  the time in nanoseconds
      * @param last the number of the last window that stands
      */
-    public void settle(long now, long last) {
+    public void discardThrough(long now, long last) {
         sources.values().forEach(told -> told.windows.headMap(last, true).clear());
         sources.values().removeIf(told -> told.windows.isEmpty() && !isHeard(now, told));
     }
@@ -95,7 +95,7 @@
      * @param window its number
      * @return true if no count of it is to come, as far as is known
      */
-    public boolean isWhole(long now, long window) {
+    public boolean isComplete(long now, long window) {
         return sources.values().stream()
                 .filter(told -> isHeard(now, told) && told.until > 0)
                 .allMatch(told -> told.until > window);
@@ -107,7 +107,7 @@
      * @param now the time in nanoseconds
      * @return its number, or nothing while no entry knows the time
      */
-    public OptionalLong current(long now) {
+    public OptionalLong currentWindow(long now) {
         List<Long> until = sources.values().stream()
                 .filter(told -> isHeard(now, told) && told.until > 0)
                 .map(told -> told.until)
@@ -121,7 +121,7 @@
      *
      * @return its number, if there is one
      */
-    public OptionalLong first() {
+    public OptionalLong firstWindow() {
         return sources.values().stream()
                 .filter(told -> !told.windows.isEmpty())
                 .mapToLong(told -> told.windows.firstKey())
--- a/src/main/java/org/cuminshelf/usage/UsageLedger.java
+++ b/src/main/java/org/cuminshelf/usage/UsageCounter.java
@@ -11,7 +11,7 @@
  * What one entry counted since its start, by window and organisation. Counts only rise, and each change has a number,
  * so that what was told in vain is told again with the next.
  */
-public final class UsageLedger {
+public final class UsageCounter {
 
     /** Windows remembered at the most: for as long as all of control may be away. */
     private static final int MOST_WINDOWS = 24;
@@ -25,15 +25,15 @@
     private long version;
     private long settled;
 
-    private UsageLedger() {}
+    private UsageCounter() {}
 
     /**
      * Makes counts of a starting entry.
      *
      * @return the counts
      */
-    public static UsageLedger create() {
-        return new UsageLedger();
+    public static UsageCounter create() {
+        return new UsageCounter();
     }
 
     /**
@@ -62,7 +62,7 @@
      *
      * @param last the number of the last of them
      */
-    public void settle(long last) {
+    public void discardThrough(long last) {
         settled = Math.max(settled, last);
         windows.headMap(settled, true).clear();
     }
@@ -82,7 +82,7 @@
      * @param since a number of a change
      * @return the rows that changed after it, by window
      */
-    public List<UsageWindow> since(long since) {
+    public List<UsageWindow> changesSince(long since) {
         List<UsageWindow> changed = new ArrayList<>();
         windows.forEach((window, rows) -> {
             UsageWindow.Builder told = UsageWindow.newBuilder().setWindow(window);
--- a/src/test/java/org/cuminshelf/direct/DirectFixture.java
+++ b/src/test/java/org/cuminshelf/direct/DirectFixture.java
@@ -29,9 +29,9 @@
 import org.cuminshelf.message.TakenPrompt;
 import org.cuminshelf.message.Update;
 import org.cuminshelf.message.UpstreamBeat;
-import org.cuminshelf.organisations.CallerKey;
-import org.cuminshelf.organisations.CallerKeys;
+import org.cuminshelf.organisations.ApiKeyDigest;
 import org.cuminshelf.organisations.Organisations;
+import org.cuminshelf.organisations.RequestApiKeys;
 import org.cuminshelf.routes.RequestKind;
 import org.cuminshelf.routes.Route;
 import org.cuminshelf.routes.RouteTable;
@@ -58,7 +58,7 @@
     int probes;
 
     DirectFixture(Route... routes) {
-        this(Organisations.unknown(), routes);
+        this(Organisations.unrestricted(), routes);
     }
 
     DirectFixture(Organisations organisations, Route... routes) {
@@ -353,9 +353,9 @@
                     .orElse(100);
         }
 
-        private static CallerKeys keys(HttpFields headers) {
-            return new CallerKeys(
-                    headers.getValuesList("Key").stream().map(CallerKey::of).toList());
+        private static RequestApiKeys keys(HttpFields headers) {
+            return new RequestApiKeys(
+                    headers.getValuesList("Key").stream().map(ApiKeyDigest::of).toList());
         }
 
         private static OptionalLong number(String value) {
--- a/src/test/java/org/cuminshelf/direct/EarlyRequestsTest.java
+++ b/src/test/java/org/cuminshelf/direct/EarlyRequestsTest.java
@@ -7,14 +7,14 @@
 import net.jqwik.api.Example;
 import org.cuminshelf.core.Durations;
 import org.cuminshelf.exchange.ReceivedRequest;
-import org.cuminshelf.organisations.CallerKeys;
+import org.cuminshelf.organisations.RequestApiKeys;
 import org.eclipse.jetty.http.HttpFields;
 
 /** What waits for a starting entry. */
 class EarlyRequestsTest {
 
     private static final CallIntent INTENT =
-            new CallIntent("id", OptionalLong.of(8_000), Optional.empty(), OptionalLong.empty(), CallerKeys.none());
+            new CallIntent("id", OptionalLong.of(8_000), Optional.empty(), OptionalLong.empty(), RequestApiKeys.none());
     private final EarlyRequests early = new EarlyRequests();
 
     /*
--- a/src/test/java/org/cuminshelf/direct/OrganisationCallsTest.java
+++ b/src/test/java/org/cuminshelf/direct/OrganisationCallsTest.java
@@ -7,7 +7,7 @@
 import net.jqwik.api.Example;
 import org.cuminshelf.message.Role;
 import org.cuminshelf.message.Update;
-import org.cuminshelf.organisations.CallerKey;
+import org.cuminshelf.organisations.ApiKeyDigest;
 import org.cuminshelf.organisations.Organisation;
 import org.cuminshelf.organisations.Organisations;
 import org.cuminshelf.routes.RequestKind;
@@ -20,7 +20,8 @@
     private static final Organisations ACME = organisations("k1", "k2");
 
     private static Organisations organisations(String... keys) {
-        List<CallerKey> digests = List.of(keys).stream().map(CallerKey::of).toList();
+        List<ApiKeyDigest> digests =
+                List.of(keys).stream().map(ApiKeyDigest::of).toList();
         return Organisations.of(List.of(new Organisation("acme", digests, OptionalInt.empty())));
     }
 
@@ -31,12 +32,12 @@
                 ROUTE.pathPrefix(),
                 ROUTE.kind(),
                 ROUTE.timeoutMillis(),
-                ROUTE.targetMillis(),
+                ROUTE.targetLatencyMillis(),
                 ROUTE.priority(),
                 ROUTE.services(),
                 ROUTE.maxAttempts(),
                 ROUTE.resumable(),
-                ROUTE.pauseMillis(),
+                ROUTE.maxEventGapMillis(),
                 true);
     }
 
--- a/src/test/java/org/cuminshelf/direct/UsageMeterTest.java
+++ b/src/test/java/org/cuminshelf/direct/UsageMeterTest.java
@@ -12,7 +12,7 @@
 import org.cuminshelf.message.Subscribe;
 import org.cuminshelf.message.Update;
 import org.cuminshelf.message.WallClock;
-import org.cuminshelf.organisations.CallerKey;
+import org.cuminshelf.organisations.ApiKeyDigest;
 import org.cuminshelf.organisations.Organisation;
 import org.cuminshelf.organisations.Organisations;
 import org.cuminshelf.routes.RequestKind;
@@ -21,7 +21,7 @@
 class UsageMeterTest {
 
     private static final Organisations ACME =
-            Organisations.of(List.of(new Organisation("acme", List.of(CallerKey.of("k")), OptionalInt.empty())));
+            Organisations.of(List.of(new Organisation("acme", List.of(ApiKeyDigest.of("k")), OptionalInt.empty())));
 
     private static DirectFixture entry(RequestKind kind) {
         DirectFixture entry = new DirectFixture(ACME, DirectFixture.route(kind, 3, true))
--- a/src/test/java/org/cuminshelf/entry/ConfigHolderTest.java
+++ b/src/test/java/org/cuminshelf/entry/ConfigSubscriptionTest.java
@@ -12,7 +12,7 @@
 import org.cuminshelf.message.Update;
 
 /** The configuration in force on an entry. */
-class ConfigHolderTest {
+class ConfigSubscriptionTest {
 
     private static final Address A = Address.of("10.0.0.1:7000");
     private static final Address B = Address.of("10.0.0.2:7000");
--- a/src/test/java/org/cuminshelf/platform/ConfigDocumentTest.java
+++ b/src/test/java/org/cuminshelf/platform/ConfigDocumentTest.java
@@ -6,10 +6,10 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import net.jqwik.api.Example;
-import org.cuminshelf.organisations.Access;
-import org.cuminshelf.organisations.CallerKey;
-import org.cuminshelf.organisations.CallerKeys;
-import org.cuminshelf.routes.EngineLimits;
+import org.cuminshelf.organisations.AccessDecision;
+import org.cuminshelf.organisations.ApiKeyDigest;
+import org.cuminshelf.organisations.RequestApiKeys;
+import org.cuminshelf.routes.EngineCapacity;
 import org.cuminshelf.routes.RouteTable;
 import org.cuminshelf.routes.RoutedService;
 
@@ -79,8 +79,8 @@
     @Example
     void absurdFiguresOfEnginesCountAsNotStated() {
         String engine = "{\"slots\":0,\"kvCapacityTokens\":-5,\"stride\":0,\"kvTokenBytes\":-1}";
-        EngineLimits limits = limits("{\"name\":\"s\",\"engine\":" + engine + "}");
-        assertThat(limits).isEqualTo(new EngineLimits(1, 0, 1, 0));
+        EngineCapacity limits = limits("{\"name\":\"s\",\"engine\":" + engine + "}");
+        assertThat(limits).isEqualTo(new EngineCapacity(1, 0, 1, 0));
         assertThat(limits("{\"name\":\"s\",\"engine\":{}}")).isEqualTo(limits);
         String words = "{\"slots\":\"x\",\"kvCapacityTokens\":null,\"stride\":[],\"kvTokenBytes\":{}}";
         assertThat(limits("{\"name\":\"s\",\"engine\":" + words + "}")).isEqualTo(limits);
@@ -90,13 +90,13 @@
     void whatIsStatedOfEnginesAndPausesIsRead() {
         String engine = "{\"slots\":64,\"kvCapacityTokens\":900,\"stride\":5,\"kvTokenBytes\":35136.0}";
         assertThat(limits("{\"name\":\"s\",\"engine\":" + engine + "}"))
-                .isEqualTo(new EngineLimits(64, 900, 5, 35_136));
+                .isEqualTo(new EngineCapacity(64, 900, 5, 35_136));
         String route = ROUTE.replace("\"name\"", "\"gapAimMs\":250,\"name\"");
         RouteTable table = read(document("7", route, SERVICE)).get();
-        assertThat(table.routes().getFirst().pauseMillis()).isEqualTo(250);
+        assertThat(table.routes().getFirst().maxEventGapMillis()).isEqualTo(250);
     }
 
-    private static EngineLimits limits(String service) {
+    private static EngineCapacity limits(String service) {
         return read(document("7", ROUTE, service))
                 .get()
                 .service("s")
@@ -119,25 +119,25 @@
         return document("7", ROUTE, SERVICE).replace("\"later\":1", "\"tenants\":" + list);
     }
 
-    private static Access access(String document, String key) {
-        return read(document).get().organisations().access(new CallerKeys(List.of(CallerKey.of(key))), false);
+    private static AccessDecision access(String document, String key) {
+        return read(document).get().organisations().authorise(new RequestApiKeys(List.of(ApiKeyDigest.of(key))), false);
     }
 
     @Example
     void organisationsAreKnownByAnyOfTheirKeys() {
         String document = withOrganisations(
                 "[{\"name\":\"a\",\"apiKeys\":[\"k1\",\"k2\"],\"priority\":3},{\"name\":\"b\",\"apiKeys\":[\"k3\"]}]");
-        assertThat(access(document, "k2")).isInstanceOfSatisfying(Access.Member.class, member -> {
+        assertThat(access(document, "k2")).isInstanceOfSatisfying(AccessDecision.Authorised.class, member -> {
             assertThat(member.organisation().name()).isEqualTo("a");
             assertThat(member.organisation().priority()).hasValue(3);
         });
         assertThat(access(document, "k3"))
                 .isInstanceOfSatisfying(
-                        Access.Member.class,
+                        AccessDecision.Authorised.class,
                         member -> assertThat(member.organisation().priority()).isEmpty());
-        assertThat(access(document, "k4")).isInstanceOf(Access.Denied.class);
-        assertThat(access(document("7", ROUTE, SERVICE), "k4")).isInstanceOf(Access.Anonymous.class);
-        assertThat(access(withOrganisations("[]"), "k4")).isInstanceOf(Access.Denied.class);
+        assertThat(access(document, "k4")).isInstanceOf(AccessDecision.Denied.class);
+        assertThat(access(document("7", ROUTE, SERVICE), "k4")).isInstanceOf(AccessDecision.Anonymous.class);
+        assertThat(access(withOrganisations("[]"), "k4")).isInstanceOf(AccessDecision.Denied.class);
     }
 
     /* What is wrong with an organisation is told to the operator and logged: with its name, never with a key. */
@@ -176,7 +176,7 @@
         RouteTable table =
                 read(document("7", split, SERVICE + ",{\"name\":\"t\"}")).get();
         for (long choice = -5; choice < 5; choice++) {
-            assertThat(table.routes().getFirst().service(choice)).isEqualTo("s");
+            assertThat(table.routes().getFirst().chooseService(choice)).isEqualTo("s");
         }
     }
 }
--- a/src/test/java/org/cuminshelf/platform/PlatformProtocolTest.java
+++ b/src/test/java/org/cuminshelf/platform/PlatformProtocolTest.java
@@ -16,7 +16,7 @@
 import org.cuminshelf.direct.CallIntent;
 import org.cuminshelf.exchange.ReceivedRequest;
 import org.cuminshelf.exchange.UpstreamRequest;
-import org.cuminshelf.organisations.CallerKey;
+import org.cuminshelf.organisations.ApiKeyDigest;
 import org.eclipse.jetty.http.HttpFields;
 
 /** The platform's headers on their way in and out. */
@@ -151,10 +151,10 @@
     @Example
     void whatIsReadOfARequestShowsNoKey() {
         CallIntent intent = protocol.intent(request(Headers.CALLER_KEY, "secret"));
-        assertThat(intent.keys().only()).hasValue(CallerKey.of("secret"));
+        assertThat(intent.keys().single()).hasValue(ApiKeyDigest.of("secret"));
         assertThat(intent.toString()).doesNotContain("secret");
         CallIntent twice = protocol.intent(request(Headers.CALLER_KEY, "a", Headers.CALLER_KEY, "b"));
-        assertThat(twice.keys().only()).isEmpty();
+        assertThat(twice.keys().single()).isEmpty();
     }
 
     @Example
--- a/src/test/java/org/cuminshelf/trial/DirectFleet.java
+++ b/src/test/java/org/cuminshelf/trial/DirectFleet.java
@@ -40,8 +40,8 @@
 import org.cuminshelf.message.AdminRequest;
 import org.cuminshelf.message.ConfigApply;
 import org.cuminshelf.message.Envelope;
-import org.cuminshelf.organisations.CallerKey;
-import org.cuminshelf.organisations.CallerKeys;
+import org.cuminshelf.organisations.ApiKeyDigest;
+import org.cuminshelf.organisations.RequestApiKeys;
 import org.cuminshelf.replica.DurableState;
 import org.cuminshelf.replica.ReplicaSettings;
 import org.cuminshelf.routes.RequestKind;
@@ -68,7 +68,7 @@
     final VirtualNetwork network;
     final List<VirtualNode> control = new ArrayList<>();
     final List<VirtualNode> entries = new ArrayList<>();
-    private static final CallerKeys CALLER = new CallerKeys(List.of(CallerKey.of("caller")));
+    private static final RequestApiKeys CALLER = new RequestApiKeys(List.of(ApiKeyDigest.of("caller")));
 
     final List<CrashingEngine> engines = new ArrayList<>();
     final CrashingEngine.Records records = new CrashingEngine.Records();
--- a/src/test/java/org/cuminshelf/usage/FleetClockTest.java
+++ b/src/test/java/org/cuminshelf/usage/FleetClockTest.java
@@ -39,7 +39,7 @@
         now += Durations.nanos(roundTripMillis / 2);
         long read = 1_000 * (trueMillis() + offMillis);
         now += Durations.nanos(roundTripMillis - roundTripMillis / 2);
-        clock.sample(control(number), askedAt, now, read);
+        clock.addRemoteReading(control(number), askedAt, now, read);
     }
 
     private long error() {
@@ -61,7 +61,7 @@
             @ForAll @IntRange(min = -9_000, max = 9_000) int ownOff,
             @ForAll @IntRange(min = -9_000, max = 9_000) int othersOff,
             @ForAll @IntRange(min = 2, max = 60) int roundTrip) {
-        clock.own(now, trueMillis() + (ownIsOff ? ownOff : 0));
+        clock.addOwnReading(now, trueMillis() + (ownIsOff ? ownOff : 0));
         int others = ownIsOff ? 1 : 2;
         for (int number = 1; number <= CONTROL; number++) {
             answer(number, roundTrip, number <= others ? othersOff : 0);
@@ -101,11 +101,11 @@
      */
     @Example
     void whatWasLearntBeforeTheVmStoodStillIsForgotten() {
-        clock.own(now, trueMillis());
+        clock.addOwnReading(now, trueMillis());
         for (int number = 1; number <= CONTROL; number++) {
             answer(number, 4, 0);
         }
-        clock.own(now, trueMillis() + 7_000);
+        clock.addOwnReading(now, trueMillis() + 7_000);
         assertThat(error()).isEqualTo(7_000);
     }
 }
--- a/src/test/java/org/cuminshelf/usage/UsageTallyTest.java
+++ b/src/test/java/org/cuminshelf/usage/UsageAggregatorTest.java
@@ -18,14 +18,14 @@
 import org.cuminshelf.message.UsageWindow;
 
 /** Counts of entries put together. */
-class UsageTallyTest {
+class UsageAggregatorTest {
 
     private static final Address ENTRY = Address.of("10.0.1.1:7000");
-    private UsageTally tally;
+    private UsageAggregator tally;
 
     @BeforeTry
     void start() {
-        tally = UsageTally.create();
+        tally = UsageAggregator.create();
     }
 
     private static Map<String, Integer> counts(UsageWindow window) {
@@ -34,11 +34,11 @@
         return counts;
     }
 
-    private static Subscribe told(UsageLedger ledger, long since, long until) {
+    private static Subscribe told(UsageCounter ledger, long since, long until) {
         return Subscribe.newBuilder()
                 .setUsageVersion(ledger.version())
                 .setUsageSince(since)
-                .addAllUsage(ledger.since(since))
+                .addAllUsage(ledger.changesSince(since))
                 .setUsageUntil(until)
                 .build();
     }
@@ -50,7 +50,7 @@
     @Property(tries = 100, seed = "11")
     void lostLateAndRepeatedWordsChangeNoSum(@ForAll long seed) {
         Random random = new Random(seed);
-        UsageLedger ledger = UsageLedger.create();
+        UsageCounter ledger = UsageCounter.create();
         List<Subscribe> late = new ArrayList<>();
         Map<String, Integer> truth = new HashMap<>();
         long heard = 0;
@@ -61,18 +61,18 @@
             Subscribe word = told(ledger, heard, 5);
             switch (random.nextInt(4)) {
                 case 0 -> late.add(word);
-                case 1 -> heard = tally.hear(0, ENTRY, 1, word);
+                case 1 -> heard = tally.onReport(0, ENTRY, 1, word);
                 case 2 -> {
-                    tally.hear(0, ENTRY, 1, word);
-                    heard = tally.hear(0, ENTRY, 1, word);
+                    tally.onReport(0, ENTRY, 1, word);
+                    heard = tally.onReport(0, ENTRY, 1, word);
                 }
                 default -> {
                     // It is lost.
                 }
             }
         }
-        heard = tally.hear(0, ENTRY, 1, told(ledger, heard, 6));
-        late.forEach(word -> tally.hear(0, ENTRY, 1, word));
+        heard = tally.onReport(0, ENTRY, 1, told(ledger, heard, 6));
+        late.forEach(word -> tally.onReport(0, ENTRY, 1, word));
         assertThat(heard).isEqualTo(ledger.version());
         assertThat(counts(tally.sum(5))).isEqualTo(truth);
     }
@@ -80,38 +80,38 @@
     /* An entry is killed within a window: what it told before counts, and what its next start counts comes on top. */
     @Example
     void whatAnEntryCountedBeforeItWasKilledStays() {
-        UsageLedger before = UsageLedger.create();
+        UsageCounter before = UsageCounter.create();
         before.count(5, "o");
         before.count(5, "o");
-        tally.hear(0, ENTRY, 1, told(before, 0, 5));
-        UsageLedger after = UsageLedger.create();
+        tally.onReport(0, ENTRY, 1, told(before, 0, 5));
+        UsageCounter after = UsageCounter.create();
         after.count(5, "o");
-        tally.hear(0, ENTRY, 2, told(after, 0, 6));
+        tally.onReport(0, ENTRY, 2, told(after, 0, 6));
         assertThat(counts(tally.sum(5))).containsExactly(Map.entry("o", 3));
     }
 
     /* A control process is restarted and hears changes only: it says so, and is told all that does not stand yet. */
     @Example
     void aControlProcessThatHeardNothingBeforeIsToldAllAgain() {
-        UsageLedger ledger = UsageLedger.create();
+        UsageCounter ledger = UsageCounter.create();
         ledger.count(5, "a");
         long toldBefore = ledger.version();
         ledger.count(5, "b");
-        long heard = tally.hear(0, ENTRY, 1, told(ledger, toldBefore, 5));
+        long heard = tally.onReport(0, ENTRY, 1, told(ledger, toldBefore, 5));
         assertThat(heard).isZero();
-        tally.hear(0, ENTRY, 1, told(ledger, heard, 5));
+        tally.onReport(0, ENTRY, 1, told(ledger, heard, 5));
         assertThat(counts(tally.sum(5))).containsOnlyKeys("a", "b");
     }
 
     @Example
     void aWindowIsWholeOnceAllEntriesThatAreHeardAreBeyondIt() {
         Address other = Address.of("10.0.1.2:7000");
-        tally.hear(0, ENTRY, 1, Subscribe.newBuilder().setUsageUntil(6).build());
-        tally.hear(0, other, 1, Subscribe.newBuilder().setUsageUntil(5).build());
-        assertThat(tally.isWhole(0, 5)).isFalse();
+        tally.onReport(0, ENTRY, 1, Subscribe.newBuilder().setUsageUntil(6).build());
+        tally.onReport(0, other, 1, Subscribe.newBuilder().setUsageUntil(5).build());
+        assertThat(tally.isComplete(0, 5)).isFalse();
         long later = Durations.nanos(5_000);
-        tally.hear(later, ENTRY, 1, Subscribe.newBuilder().setUsageUntil(6).build());
-        assertThat(tally.isWhole(later, 5)).isTrue();
+        tally.onReport(later, ENTRY, 1, Subscribe.newBuilder().setUsageUntil(6).build());
+        assertThat(tally.isComplete(later, 5)).isTrue();
     }
 
     /* One entry's clock is hours ahead. Windows must not be settled that the others have not begun. */
@@ -119,7 +119,7 @@
     void theWindowOfTheFleetIsThatInTheMiddle() {
         for (int number = 1; number <= 5; number++) {
             Address entry = Address.of("10.0.1." + number + ":7000");
-            tally.hear(
+            tally.onReport(
                     0,
                     entry,
                     1,
@@ -127,19 +127,19 @@
                             .setUsageUntil(number == 5 ? 9_000 : 7)
                             .build());
         }
-        assertThat(tally.current(0)).hasValue(7);
+        assertThat(tally.currentWindow(0)).hasValue(7);
     }
 
     @Example
     void theFirstCountsOfAWindowThatWereWrittenDownStand() {
-        SettledUsage settled = SettledUsage.create();
-        settled.settle(window(5, 3));
-        settled.settle(window(5, 4));
-        assertThat(settled.next()).hasValue(window(5, 3));
-        settled.reported(5);
-        settled.settle(window(5, 4));
-        assertThat(settled.next()).isEmpty();
-        assertThat(settled.last()).isEqualTo(5);
+        CommittedUsage settled = CommittedUsage.create();
+        settled.commit(window(5, 3));
+        settled.commit(window(5, 4));
+        assertThat(settled.nextToReport()).hasValue(window(5, 3));
+        settled.acknowledge(5);
+        settled.commit(window(5, 4));
+        assertThat(settled.nextToReport()).isEmpty();
+        assertThat(settled.lastWindow()).isEqualTo(5);
     }
 
     private static UsageWindow window(long number, int count) {
