--- a/src/main/java/org/cuminshelf/direct/Admission.java
+++ b/src/main/java/org/cuminshelf/direct/Admission.java
@@ -47,29 +47,29 @@
     private static final Decision WAIT = new Decision.Wait();
 
     private final Placement placement;
-    private final ControlFeed control;
+    private final ControlSubscription control;
     private final WaitingCalls waiting;
 
-    Admission(Placement placement, ControlFeed control, WaitingCalls waiting) {
+    Admission(Placement placement, ControlSubscription control, WaitingCalls waiting) {
         this.placement = placement;
         this.control = control;
         this.waiting = waiting;
     }
 
-    Decision decide(long now, CallRow call) {
+    Decision decide(long now, DirectCall call) {
         Optional<Placement.Choice> choice = placement.choose(now, call);
         choice.ifPresent(found -> expect(call, found));
         return choice.map(found -> decide(now, call, found)).orElseGet(() -> decideUnplaced(now, call));
     }
 
-    private static void expect(CallRow call, Placement.Choice choice) {
-        if (call.attempt == null) {
-            call.expectedMillis = choice.firstMillis();
-            call.waitMillis = choice.waitMillis();
+    private static void expect(DirectCall call, Placement.Choice choice) {
+        if (call.lastAttempt == null) {
+            call.estimatedFirstEventMillis = choice.firstMillis();
+            call.estimatedQueueMillis = choice.waitMillis();
         }
     }
 
-    private Decision decide(long now, CallRow call, Placement.Choice choice) {
+    private Decision decide(long now, DirectCall call, Placement.Choice choice) {
         if (isHopeless(now, call, choice)) {
             return refuse(call, choice, "too-late");
         }
@@ -80,7 +80,7 @@
         return sendUnlessLate(now, call, choice);
     }
 
-    private Decision decideUnplaced(long now, CallRow call) {
+    private Decision decideUnplaced(long now, DirectCall call) {
         OptionalLong next = placement.nextSend(now, call);
         if (next.isPresent()) {
             return decideHeldBack(now, call, next.getAsLong());
@@ -91,11 +91,11 @@
             return WAIT;
         }
         if (full) {
-            call.offered.ifPresent(OfferedGeneration::refusedForPlaces);
+            call.offeredLoad.ifPresent(OfferedGeneration::refusedForPlaces);
             Verdict.NotRun verdict = new Verdict.NotRun(Cause.OVERLOADED, FULL_RETRY_AFTER_MILLIS);
             return new Decision.Refuse(verdict, "all places are taken");
         }
-        Verdict.NotRun verdict = new Verdict.NotRun(Cause.NO_UPSTREAM, CallerAnswers.RETRY_AFTER_MILLIS);
+        Verdict.NotRun verdict = new Verdict.NotRun(Cause.NO_UPSTREAM, CallerResponses.DEFAULT_RETRY_AFTER_MILLIS);
         return new Decision.Refuse(verdict, "no-upstream");
     }
 
@@ -103,43 +103,43 @@
      * Decides on a call all of whose upstreams rest or state limits: it waits if one takes it before its patience ends,
      * and is refused at once otherwise. The times to come back are spread, so that not all come for the first chance.
      */
-    private Decision decideHeldBack(long now, CallRow call, long nextAt) {
-        boolean fresh = call.attempt == null;
-        if ((fresh || call.cache.isPresent()) && waiting.addUntil(now, call, nextAt)) {
+    private Decision decideHeldBack(long now, DirectCall call, long nextAt) {
+        boolean fresh = call.lastAttempt == null;
+        if ((fresh || call.kvCache.isPresent()) && waiting.addUntil(now, call, nextAt)) {
             return WAIT;
         }
-        call.offered.ifPresent(OfferedGeneration::refusedForPlaces);
+        call.offeredLoad.ifPresent(OfferedGeneration::refusedForPlaces);
         Verdict.NotRun verdict = new Verdict.NotRun(Cause.OVERLOADED, returnMillis(now, call));
         return new Decision.Refuse(verdict, "upstreams-ask-to-wait");
     }
 
     /** When the caller of a call that is refused should come back, in milliseconds from now. */
-    long returnMillis(long now, CallRow call) {
+    long returnMillis(long now, DirectCall call) {
         OptionalLong next = placement.nextReturn(now, call);
         if (next.isEmpty()) {
-            return CallerAnswers.RETRY_AFTER_MILLIS;
+            return CallerResponses.DEFAULT_RETRY_AFTER_MILLIS;
         }
         long spread = Math.floorMod(call.intent.id().hashCode(), RETURNS_SPREAD_MILLIS);
-        return Math.max(CallerAnswers.RETRY_AFTER_MILLIS, Durations.millis(next.getAsLong() - now)) + spread;
+        return Math.max(CallerResponses.DEFAULT_RETRY_AFTER_MILLIS, Durations.millis(next.getAsLong() - now)) + spread;
     }
 
-    private static Decision refuse(CallRow call, Placement.Choice choice, String reason) {
-        call.offered.ifPresent(OfferedGeneration::refusedForTime);
-        long wait = (long) Math.max(CallerAnswers.RETRY_AFTER_MILLIS, choice.waitMillis());
+    private static Decision refuse(DirectCall call, Placement.Choice choice, String reason) {
+        call.offeredLoad.ifPresent(OfferedGeneration::refusedForTime);
+        long wait = (long) Math.max(CallerResponses.DEFAULT_RETRY_AFTER_MILLIS, choice.waitMillis());
         return new Decision.Refuse(new Verdict.NotRun(Cause.OVERLOADED, wait), reason);
     }
 
     /** Whether a call waits here for its turn; one that an upstream has had, or whose answer began, doesn't. */
-    private boolean waitsForTurn(long now, CallRow call, double ownMillis) {
-        return call.attempt == null && call.isStream() && waiting.addForTurn(now, call, ownMillis);
+    private boolean waitsForTurn(long now, DirectCall call, double ownMillis) {
+        return call.lastAttempt == null && call.isStream() && waiting.addForTurn(now, call, ownMillis);
     }
 
     /**
      * Whether a call waits for upstreams that this entry has not heard of yet. Guards against a refusal of all that
      * comes while all processes restart together, of which half came back before anything was known and was lost.
      */
-    private boolean waitsForUpstreams(long now, CallRow call) {
-        return call.attempt == null && control.isYoung(now) && waiting.addForUpstreams(now, call);
+    private boolean waitsForUpstreams(long now, DirectCall call) {
+        return call.lastAttempt == null && control.isWarmingUp(now) && waiting.addForUpstreams(now, call);
     }
 
     /**
@@ -147,23 +147,23 @@
      * whose size was refused more than its share. Under more work than the engines can take their time is dear, so that
      * only what is in time goes: queues of prompts that are all late serve nobody.
      */
-    private static Decision sendUnlessLate(long now, CallRow call, Placement.Choice choice) {
-        double first = Durations.millis(now - call.arrivedAt) + choice.firstMillis();
+    private static Decision sendUnlessLate(long now, DirectCall call, Placement.Choice choice) {
+        double first = Durations.millis(now - call.arrivedAtNanos) + choice.firstMillis();
         boolean inTime = first <= call.route.targetMillis();
-        if (call.attempt != null || inTime || choice.gain() > 0 || isOwed(call, first)) {
+        if (call.lastAttempt != null || inTime || choice.gain() > 0 || isOwed(call, first)) {
             return new Decision.Send(choice);
         }
         return refuse(call, choice, "too-dear");
     }
 
     /** Whether a call goes for its size's sake, which it does only where its caller will still be there. */
-    private static boolean isOwed(CallRow call, double firstMillis) {
+    private static boolean isOwed(DirectCall call, double firstMillis) {
         return firstMillis <= longestFirst(call)
-                && call.claim.filter(SizeFairness.Claim::isOwed).isPresent();
+                && call.fairnessClaim.filter(SizeFairness.Claim::isOwed).isPresent();
     }
 
     /** Milliseconds after which the caller of a stream that shows nothing has left. */
-    private static double longestFirst(CallRow call) {
+    private static double longestFirst(DirectCall call) {
         return Math.max(LONGEST_FIRST_MILLIS, LONGEST_FIRST_FACTOR * call.route.targetMillis());
     }
 
@@ -171,12 +171,12 @@
      * Whether a generation would be answered too late to be of use. Guards against a queue of which every answer is
      * late, or made for callers that have left: what can't be served in time is refused at once, while the rest is.
      */
-    private static boolean isHopeless(long now, CallRow call, Placement.Choice choice) {
-        if (call.begun || call.cache.isPresent() || choice.firstMillis() == 0) {
+    private static boolean isHopeless(long now, DirectCall call, Placement.Choice choice) {
+        if (call.responseStarted || call.kvCache.isPresent() || choice.firstMillis() == 0) {
             return false;
         }
         double own = choice.firstMillis() - choice.waitMillis();
-        double first = Durations.millis(now - call.arrivedAt) + own;
-        return first > longestFirst(call) || now + Durations.nanos((long) own) > call.deadline;
+        double first = Durations.millis(now - call.arrivedAtNanos) + own;
+        return first > longestFirst(call) || now + Durations.nanos((long) own) > call.deadlineNanos;
     }
 }
--- /dev/null
+++ b/src/main/java/org/cuminshelf/direct/BackpressureListener.java
@@ -0,0 +1,103 @@
+package org.cuminshelf.direct;
+
+import java.time.Duration;
+import java.util.OptionalDouble;
+import org.cuminshelf.backpressure.Backpressure;
+import org.cuminshelf.backpressure.Demands;
+import org.cuminshelf.backpressure.RateLimits;
+import org.cuminshelf.backpressure.StatedLimit;
+import org.cuminshelf.core.Address;
+
+/** Hears what answers, and other entries, say of what upstreams ask for, and notes what changed. */
+final class BackpressureListener {
+
+    private static final int FIRST_NON_SUCCESS_STATUS = 300;
+
+    private final Backpressure backpressure;
+    private final UpstreamTable upstreams;
+    private final DecisionLog log;
+
+    BackpressureListener(Backpressure backpressure, UpstreamTable upstreams, DecisionLog log) {
+        this.backpressure = backpressure;
+        this.upstreams = upstreams;
+        this.log = log;
+    }
+
+    /**
+     * Takes the head of an answer.
+     *
+     * @param now      when it came, in nanoseconds
+     * @param upstream the upstream to which the request was sent
+     * @param sentAtNanos   when the request was sent, in nanoseconds
+     * @param requestId  the request's id
+     * @param status   the status of the answer
+     * @param metadata    what the head says
+     */
+    void onResponseHead(
+            long now,
+            UpstreamInstance upstream,
+            long sentAtNanos,
+            String requestId,
+            int status,
+            ResponseMetadata metadata) {
+        if (metadata.isFromOtherInstance(upstream.name)) {
+            return;
+        }
+        Demands demands = metadata.backpressure();
+        if (demands.leaving()) {
+            upstreams.markDraining(now, upstream.id, true, requestId);
+        }
+        demands.rest().ifPresent(pause -> applyPause(now, upstream, requestId, pause));
+        // Neither a failure nor the answer to an earlier request shows the end of a need by what it leaves out.
+        boolean conclusive = status < FIRST_NON_SUCCESS_STATUS
+                && metadata.requestId().filter(id -> !id.equals(requestId)).isEmpty();
+        if (conclusive) {
+            backpressure.rests().answered(upstream.id, sentAtNanos);
+        }
+        if (conclusive || !(demands.limit() instanceof StatedLimit.Unlimited)) {
+            applyLimit(now, upstream, sentAtNanos, requestId, demands.limit());
+        }
+    }
+
+    private void applyLimit(
+            long now, UpstreamInstance upstream, long sentAtNanos, String requestId, StatedLimit limit) {
+        if (limit instanceof StatedLimit.Unreadable(String text)) {
+            log.note("upstream", upstream.id, "outcome", "limit-unreadable", "stated", text, "request", requestId);
+        }
+        backpressure
+                .limits()
+                .heard(now, upstream.id, upstream.service, sentAtNanos, limit)
+                .ifPresent(change -> logChange(upstream, change, "request", requestId));
+    }
+
+    private void applyPause(long now, UpstreamInstance upstream, String requestId, Duration pause) {
+        backpressure.rests().asked(now, upstream.id, pause);
+        log.note("upstream", upstream.id, "outcome", "rest-asked", "ms", pause.toMillis(), "request", requestId);
+    }
+
+    /** Takes what another entry heard from an upstream. */
+    void onEntryReport(long now, UpstreamInstance upstream, Address entry, RateLimits.Heard reported) {
+        backpressure
+                .limits()
+                .told(now, upstream.service, reported)
+                .ifPresent(change -> logChange(upstream, change, "told-by", entry));
+    }
+
+    private void logChange(UpstreamInstance upstream, RateLimits.Change change, String source, Object from) {
+        log.note(
+                "upstream",
+                upstream.id,
+                "outcome",
+                change.after().isPresent() ? "limit-stated" : "limit-lifted",
+                "per-second",
+                format(change.after()),
+                "before",
+                format(change.before()),
+                source,
+                from);
+    }
+
+    private static String format(OptionalDouble perSecond) {
+        return perSecond.isPresent() ? Double.toString(perSecond.getAsDouble()) : "none";
+    }
+}
--- a/src/main/java/org/cuminshelf/direct/CallValues.java
+++ b/src/main/java/org/cuminshelf/direct/CallValues.java
@@ -21,13 +21,13 @@
     private final Map<String, Double> meanSizes = new HashMap<>();
 
     /** Notes a call that was asked for. */
-    void observe(CallRow call, GenerationShape shape) {
+    void observe(DirectCall call, GenerationShape shape) {
         double size = size(shape);
         meanSizes.merge(call.route.name(), size, (mean, next) -> mean + MEMORY * (next - mean));
     }
 
     /** What a call's answer is worth if it comes in time. */
-    double of(CallRow call, GenerationShape shape) {
+    double of(DirectCall call, GenerationShape shape) {
         double mean = meanSizes.getOrDefault(call.route.name(), size(shape));
         return Math.min(MOST, BASE + (1 - BASE) * size(shape) / Math.max(1, mean));
     }
--- a/src/main/java/org/cuminshelf/direct/CallerAnswers.java
+++ b/src/main/java/org/cuminshelf/direct/CallerResponses.java
@@ -12,46 +12,48 @@
  * Gives callers their answers, and writes the line of each request. A status says what is known: 503 only of what did
  * not run and never will, 502 and 504 of what may have run.
  */
-final class CallerAnswers {
+final class CallerResponses {
 
     /** When to come back after a refusal, in milliseconds: soon enough for an upstream's place to have come free. */
-    static final long RETRY_AFTER_MILLIS = 200;
+    static final long DEFAULT_RETRY_AFTER_MILLIS = 200;
 
     private static final int BAD_GATEWAY = 502;
     private static final int UNAVAILABLE = 503;
     private static final int GATEWAY_TIMEOUT = 504;
 
-    private final ControlFeed control;
+    private final ControlSubscription control;
     private final DecisionLog log;
 
-    CallerAnswers(ControlFeed control, DecisionLog log) {
+    CallerResponses(ControlSubscription control, DecisionLog log) {
         this.control = control;
         this.log = log;
     }
 
     /** Begins the answer to a call with the first bytes of an attempt's. */
-    void begin(long now, AttemptRow attempt) {
-        CallRow call = attempt.call;
-        if (!call.begun) {
-            call.begun = true;
-            call.firstAnswerAt = now;
-            call.exchange.begin(attempt.status, passedHeaders(attempt.headers));
+    void startResponse(long now, DirectAttempt attempt) {
+        DirectCall call = attempt.call;
+        if (!call.responseStarted) {
+            call.responseStarted = true;
+            call.responseStartedAtNanos = now;
+            call.exchange.begin(attempt.status, endToEndHeaders(attempt.headers));
         }
     }
 
     /** Passes an upstream's answer on whole. */
-    void pass(long now, AttemptRow attempt) {
-        CallRow call = attempt.call;
+    void forwardResponse(long now, DirectAttempt attempt) {
+        DirectCall call = attempt.call;
         if (call.isStream() && attempt.isSuccess()) {
-            begin(now, attempt);
-            call.exchange.part(ByteBuffer.wrap(attempt.events.rest()));
+            startResponse(now, attempt);
+            call.exchange.part(ByteBuffer.wrap(attempt.eventSplitter.remainder()));
             call.exchange.end();
         } else {
-            call.firstAnswerAt = now;
+            call.responseStartedAtNanos = now;
             call.exchange.answer(
-                    attempt.status, passedHeaders(attempt.headers), ByteBuffer.wrap(attempt.body.toByteArray()));
+                    attempt.status,
+                    endToEndHeaders(attempt.headers),
+                    ByteBuffer.wrap(attempt.responseBody.toByteArray()));
         }
-        log.ordinary(
+        log.noteCompletion(
                 call.intent.id(),
                 "outcome",
                 attempt.status,
@@ -62,47 +64,50 @@
                 "upstream",
                 attempt.upstream.id,
                 "attempts",
-                call.attempts,
+                call.attemptCount,
                 "events",
-                call.eventsGiven,
+                call.deliveredEvents,
                 "tokens",
                 call.promptTokens(),
                 "expected-ms",
-                Math.round(call.expectedMillis),
+                Math.round(call.estimatedFirstEventMillis),
                 "wait-ms",
-                Math.round(call.waitMillis),
+                Math.round(call.estimatedQueueMillis),
                 "read-ms",
-                call.readMillis,
+                call.prefillMillis,
                 "way",
-                attempt.hadCache ? "split" : "whole",
+                attempt.usedKvCache ? "split" : "whole",
                 "pause-ms",
-                Durations.millis(call.longestPause),
+                Durations.millis(call.longestGapNanos),
                 "first-ms",
-                Durations.millis(call.firstAnswerAt - call.arrivedAt),
+                Durations.millis(call.responseStartedAtNanos - call.arrivedAtNanos),
                 "ms",
-                Durations.millis(now - call.arrivedAt));
+                Durations.millis(now - call.arrivedAtNanos));
     }
 
     /** Tells a caller that its call is given up: cut, may have run, or did not run. */
-    void giveUp(long now, CallRow call, String reason) {
-        if (call.begun) {
+    void reportFailure(long now, DirectCall call, String reason) {
+        if (call.responseStarted) {
             call.exchange.abort();
         } else if (call.mayHaveRun) {
-            boolean late = now >= call.deadline;
-            plainly(call.exchange, late ? GATEWAY_TIMEOUT : BAD_GATEWAY, "The request may have run: " + reason + ".");
+            boolean pastDeadline = now >= call.deadlineNanos;
+            respond(
+                    call.exchange,
+                    pastDeadline ? GATEWAY_TIMEOUT : BAD_GATEWAY,
+                    "The request may have run: " + reason + ".");
         } else {
-            long wait = call.lastFailure
+            long retryAfterMillis = call.lastFailure
                     .filter(verdict -> verdict instanceof Verdict.NotRun)
                     .map(verdict -> ((Verdict.NotRun) verdict).retryAfterMillis())
                     .filter(millis -> millis > 0)
-                    .orElse(RETRY_AFTER_MILLIS);
-            refuse(call.exchange, "The request did not run: " + reason + ".", wait);
+                    .orElse(DEFAULT_RETRY_AFTER_MILLIS);
+            refuse(call.exchange, "The request did not run: " + reason + ".", retryAfterMillis);
         }
         log.note(
                 "request",
                 call.intent.id(),
                 "outcome",
-                call.begun ? "cut" : call.mayHaveRun ? "may-have-run" : "not-run",
+                call.responseStarted ? "cut" : call.mayHaveRun ? "may-have-run" : "not-run",
                 "reason",
                 reason,
                 "route",
@@ -110,32 +115,32 @@
                 "organisation",
                 call.organisationName(),
                 "config",
-                control.version(),
+                control.configVersion(),
                 "attempts",
-                call.attempts,
+                call.attemptCount,
                 "events",
-                call.eventsGiven,
+                call.deliveredEvents,
                 "upstream",
-                call.attempt == null ? "none" : call.attempt.upstream.id,
+                call.lastAttempt == null ? "none" : call.lastAttempt.upstream.id,
                 "quiet-ms",
-                call.attempt == null ? 0 : Durations.millis(now - call.attempt.lastProgressAt),
+                call.lastAttempt == null ? 0 : Durations.millis(now - call.lastAttempt.lastProgressAtNanos),
                 "tokens",
                 call.promptTokens(),
                 "size",
-                call.claim.map(SizeFairness.Claim::size).orElse("none"),
+                call.fairnessClaim.map(SizeFairness.Claim::size).orElse("none"),
                 "owed",
-                call.claim.filter(SizeFairness.Claim::isOwed).isPresent(),
+                call.fairnessClaim.filter(SizeFairness.Claim::isOwed).isPresent(),
                 "expected-ms",
-                Math.round(call.expectedMillis),
+                Math.round(call.estimatedFirstEventMillis),
                 "wait-ms",
-                Math.round(call.waitMillis),
+                Math.round(call.estimatedQueueMillis),
                 "ms",
-                Durations.millis(now - call.arrivedAt));
+                Durations.millis(now - call.arrivedAtNanos));
     }
 
     /** The caller left before its answer was whole. */
-    void gone(long now, CallRow call) {
-        log.ordinary(
+    void logDisconnect(long now, DirectCall call) {
+        log.noteCompletion(
                 call.intent.id(),
                 "outcome",
                 "caller-gone",
@@ -144,23 +149,23 @@
                 "organisation",
                 call.organisationName(),
                 "events",
-                call.eventsGiven,
+                call.deliveredEvents,
                 "ms",
-                Durations.millis(now - call.arrivedAt));
+                Durations.millis(now - call.arrivedAtNanos));
     }
 
     /** Refuses a request that came before the routes were confirmed. */
-    void refuseUnready(CallerExchange exchange, CallIntent intent) {
+    void refuseNotReady(CallerExchange exchange, CallIntent intent) {
         log.note("request", intent.id(), "outcome", "not-run", "reason", "no confirmed configuration yet");
-        refuse(exchange, "This process has no confirmed configuration yet.", RETRY_AFTER_MILLIS);
+        refuse(exchange, "This process has no confirmed configuration yet.", DEFAULT_RETRY_AFTER_MILLIS);
     }
 
     /** Refuses what a newer configuration than the one in force here may know. */
-    void refuseUntilCurrent(CallerExchange exchange) {
+    void refuseOutdated(CallerExchange exchange) {
         refuse(
                 exchange,
                 "A newer configuration may know this request; it is not in force here yet.",
-                RETRY_AFTER_MILLIS);
+                DEFAULT_RETRY_AFTER_MILLIS);
     }
 
     /**
@@ -168,7 +173,7 @@
      * is refused wrongly from being lost: a status of the caller's own fault would tell it never to ask again, also
      * once the request is released.
      */
-    void refuse(CallRow call, PoisonSystem.Refusal refusal) {
+    void refuse(DirectCall call, PoisonGuard.Refusal refusal) {
         refuse(
                 call.exchange,
                 "The request did not run: upstreams crashed when they ran it before. Quote " + call.fingerprint()
@@ -195,18 +200,18 @@
     }
 
     /** Answers with a status and a line of text of our own. */
-    void plainly(CallerExchange exchange, int status, String text) {
+    void respond(CallerExchange exchange, int status, String text) {
         HttpFields headers = HttpFields.build().put(HttpHeader.CONTENT_TYPE, "text/plain");
         exchange.answer(status, headers, ByteBuffer.wrap(text.getBytes(StandardCharsets.UTF_8)));
     }
 
-    private static HttpFields passedHeaders(HttpFields headers) {
-        HttpFields.Mutable passed = HttpFields.build();
+    private static HttpFields endToEndHeaders(HttpFields headers) {
+        HttpFields.Mutable forwarded = HttpFields.build();
         headers.forEach(field -> {
-            if (!HopHeaders.contains(field)) {
-                passed.add(field);
+            if (!HopByHopHeaders.contains(field)) {
+                forwarded.add(field);
             }
         });
-        return passed;
+        return forwarded;
     }
 }
--- a/src/main/java/org/cuminshelf/direct/ConfigSource.java
+++ b/src/main/java/org/cuminshelf/direct/ConfigSourceSelector.java
@@ -18,75 +18,77 @@
  * after such a change was earned, and 0.95 before it. So control tells versions only; here one body is under way at a
  * time, from one control process, and another one is asked only after a silence.
  */
-final class ConfigSource {
+final class ConfigSourceSelector {
 
     /**
      * Silence after which another control process is asked. A body of a thousand routes is deflated to 18 KB, 20 ms of
      * the smallest link; the rest is for a control process that is busy. Two such silences stay within the time in
      * which a change must be in force.
      */
-    private static final long SILENCE = Durations.nanos(800);
+    private static final long RESPONSE_TIMEOUT_NANOS = Durations.nanos(800);
     /** How long what a control process told counts; it tells twice a second. */
-    private static final long TOLD_KEPT = Durations.nanos(2_000);
+    private static final long ANNOUNCEMENT_RETENTION_NANOS = Durations.nanos(2_000);
 
-    private record Told(long version, long at) {}
+    private record Announcement(long version, long receivedAtNanos) {}
 
-    private final Map<Address, Told> told = new HashMap<>();
-    private Optional<Address> asked = Optional.empty();
-    private long askedAt;
-    private boolean reading;
+    private final Map<Address, Announcement> announcements = new HashMap<>();
+    private Optional<Address> pendingSource = Optional.empty();
+    private long requestedAtNanos;
+    private boolean parsing;
 
     /** A control process told the version that it holds. */
-    void told(long now, Address control, long version) {
-        told.put(control, new Told(version, now));
-        told.values().removeIf(one -> now - one.at > TOLD_KEPT);
+    void onVersionAnnounced(long now, Address control, long version) {
+        announcements.put(control, new Announcement(version, now));
+        announcements
+                .values()
+                .removeIf(announcement -> now - announcement.receivedAtNanos > ANNOUNCEMENT_RETENTION_NANOS);
     }
 
     /** Chooses whom to ask now for a body that is newer than the one held, if anyone is to be asked. */
-    Optional<Address> next(long now, long held) {
-        if (now < nextDue(held)) {
+    Optional<Address> selectSource(long now, long heldVersion) {
+        if (now < nextDue(heldVersion)) {
             return Optional.empty();
         }
-        Optional<Address> silent = asked;
-        Optional<Address> chosen = told.entrySet().stream()
-                .filter(entry -> entry.getValue().version > held)
-                .max(Comparator.comparing(
-                                (Map.Entry<Address, Told> entry) -> !silent.equals(Optional.of(entry.getKey())))
+        Optional<Address> previousSource = pendingSource;
+        Optional<Address> chosen = announcements.entrySet().stream()
+                .filter(entry -> entry.getValue().version > heldVersion)
+                .max(Comparator.comparing((Map.Entry<Address, Announcement> entry) ->
+                                !previousSource.equals(Optional.of(entry.getKey())))
                         .thenComparingLong(entry -> entry.getValue().version)
                         .thenComparing(Map.Entry::getKey))
                 .map(Map.Entry::getKey);
-        asked = chosen;
-        askedAt = now;
+        pendingSource = chosen;
+        requestedAtNanos = now;
         return chosen;
     }
 
     /** A body came and is being read. */
-    void arrived() {
-        asked = Optional.empty();
-        reading = true;
+    void onBodyReceived() {
+        pendingSource = Optional.empty();
+        parsing = true;
     }
 
     /** A body was read. */
-    void read() {
-        reading = false;
+    void onBodyParsed() {
+        parsing = false;
     }
 
     /** A control process has no newer body after all. */
-    void hasNone(Address control) {
-        told.remove(control);
-        asked = Optional.empty();
+    void onNoNewerBody(Address control) {
+        announcements.remove(control);
+        pendingSource = Optional.empty();
     }
 
     /** Whether a control process told of a version above the one held. */
-    boolean knowsNewer(long held) {
-        return told.values().stream().anyMatch(one -> one.version > held);
+    boolean knowsNewerThan(long heldVersion) {
+        return announcements.values().stream().anyMatch(announcement -> announcement.version > heldVersion);
     }
 
     /** When someone is to be asked next. */
-    long nextDue(long held) {
-        if (!knowsNewer(held) || reading) {
+    long nextDue(long heldVersion) {
+        if (!knowsNewerThan(heldVersion) || parsing) {
             return Core.NEVER;
         }
-        return asked.isPresent() ? askedAt + SILENCE : Long.MIN_VALUE;
+        return pendingSource.isPresent() ? requestedAtNanos + RESPONSE_TIMEOUT_NANOS : Long.MIN_VALUE;
     }
 }
--- a/src/main/java/org/cuminshelf/direct/ControlFeed.java
+++ b/src/main/java/org/cuminshelf/direct/ControlSubscription.java
@@ -26,84 +26,85 @@
  * <p>Failure it guards against: an entry without a disk restarts and is taught older routes by a control process that
  * was cut off. It is ready only once a quorum confirmed a version to it, and from then on takes only higher ones.
  */
-final class ControlFeed {
+final class ControlSubscription {
 
-    private static final long ASK_EVERY = Durations.nanos(500);
-    private static final long ASK_EVERY_UNREADY = Durations.nanos(50);
+    private static final long SUBSCRIBE_INTERVAL_NANOS = Durations.nanos(500);
+    private static final long SUBSCRIBE_INTERVAL_NOT_READY_NANOS = Durations.nanos(50);
     /** Time in which all upstreams announce themselves: two heartbeats of 1.2 s, for one that is late. */
-    private static final long YOUNG = Durations.nanos(2_400);
+    private static final long WARM_UP_NANOS = Durations.nanos(2_400);
 
     /** Silence of all control processes after which this entry may have missed a configuration: three questions. */
-    private static final long OUT_OF_TOUCH = Durations.nanos(1_500);
+    private static final long MAX_CONTROL_SILENCE_NANOS = Durations.nanos(1_500);
 
     private final DirectSettings settings;
-    private final RouteReader reader;
-    private final ConfigSource source = new ConfigSource();
+    private final RouteTableReader routeTableReader;
+    private final ConfigSourceSelector configSource = new ConfigSourceSelector();
     private final UpstreamTable upstreams;
-    private final PoisonSystem poison;
-    private final UsageMeter usage;
+    private final PoisonGuard poisonGuard;
+    private final UsageMeter usageMeter;
     private final Invariants invariants;
     private final DecisionLog log;
-    private final Set<Address> control = new TreeSet<>();
+    private final Set<Address> controlProcesses = new TreeSet<>();
     private List<Address> seeds;
     private List<Address> entries = List.of();
     private long entriesHash;
     private volatile RouteTable routes = RouteTable.empty();
-    private volatile long version;
+    private volatile long configVersion;
     private volatile boolean ready;
     /** The version that a quorum confirmed to be the newest accepted when this entry asked; none yet if negative. */
-    private long confirmed = -1;
+    private long confirmedVersion = -1;
     /** The highest version that could not be read, so that it is not fetched over and over. */
-    private long unreadable;
+    private long unreadableVersion;
 
-    private long readySince = Core.NEVER;
-    private final Map<String, OfferedWork> offered = new TreeMap<>();
-    private long nextAsk;
-    private long heardAt;
+    private long readySinceNanos = Core.NEVER;
+    private final Map<String, OfferedWork> offeredWork = new TreeMap<>();
+    private long nextSubscribeNanos;
+    private long lastVoterUpdateNanos;
 
-    ControlFeed(
+    ControlSubscription(
             DirectSettings settings,
-            RouteReader reader,
+            RouteTableReader routeTableReader,
             UpstreamTable upstreams,
-            PoisonSystem poison,
-            UsageMeter usage,
+            PoisonGuard poisonGuard,
+            UsageMeter usageMeter,
             long now,
             Invariants invariants,
             DecisionLog log) {
         this.settings = settings;
-        this.reader = reader;
+        this.routeTableReader = routeTableReader;
         this.upstreams = upstreams;
-        this.poison = poison;
-        this.usage = usage;
+        this.poisonGuard = poisonGuard;
+        this.usageMeter = usageMeter;
         this.invariants = invariants;
         this.log = log;
-        this.nextAsk = now;
-        this.heardAt = now;
+        this.nextSubscribeNanos = now;
+        this.lastVoterUpdateNanos = now;
         this.seeds = settings.seeds();
-        control.addAll(seeds);
+        controlProcesses.addAll(seeds);
     }
 
     RouteTable routes() {
         return routes;
     }
 
-    long version() {
-        return version;
+    long configVersion() {
+        return configVersion;
     }
 
     /** Whether a quorum confirmed the routes in force, and there are any. */
     boolean isReady() {
-        return ready && version > 0;
+        return ready && configVersion > 0;
     }
 
     /** Whether upstreams may be there that announced themselves to nobody since the control processes started. */
-    boolean isYoung(long now) {
-        return now - readySince < YOUNG;
+    boolean isWarmingUp(long now) {
+        return now - readySinceNanos < WARM_UP_NANOS;
     }
 
     /** Whether a newer configuration is accepted, or may be, than the one in force here. */
-    boolean mayBeBehind(long now) {
-        return source.knowsNewer(held()) || now - heardAt > OUT_OF_TOUCH;
+    boolean mayBeOutdated(long now) {
+        return configSource.knowsNewerThan(highestProcessedVersion())
+                || now - lastVoterUpdateNanos > MAX_CONTROL_SILENCE_NANOS;
     }
 
     /** The entries that control hears from, this one among them. */
@@ -118,117 +119,126 @@
      * @param readMicros    microseconds of an engine that only reads prompts
      * @param runningMicros microseconds of a place at an engine that generates
      */
-    void offered(String service, long readMicros, long runningMicros) {
-        OfferedWork before = offered.getOrDefault(service, OfferedWork.getDefaultInstance());
-        offered.put(
+    void addOfferedWork(String service, long readMicros, long runningMicros) {
+        OfferedWork previous = offeredWork.getOrDefault(service, OfferedWork.getDefaultInstance());
+        offeredWork.put(
                 service,
                 OfferedWork.newBuilder()
                         .setModel(service)
-                        .setPrefill(before.getPrefill() + readMicros)
-                        .setDecode(before.getDecode() + runningMicros)
+                        .setPrefill(previous.getPrefill() + readMicros)
+                        .setDecode(previous.getDecode() + runningMicros)
                         .build());
     }
 
     /** Takes other control processes to begin with, for the time when none of those known is left. */
-    void seeds(List<Address> changed) {
-        seeds = changed;
+    void replaceSeeds(List<Address> newSeeds) {
+        seeds = newSeeds;
     }
 
     void onUpdate(long now, Address from, Update update) {
         if (!update.getControlList().isEmpty()) {
-            control.clear();
-            update.getControlList().forEach(address -> control.add(Address.of(address)));
+            controlProcesses.clear();
+            update.getControlList().forEach(address -> controlProcesses.add(Address.of(address)));
         }
         if (!update.getEntryAddressesList().isEmpty()) {
             entries = update.getEntryAddressesList().stream().map(Address::of).toList();
             entriesHash = update.getEntriesHash();
         }
-        heardAt = update.getVoter() ? now : heardAt;
-        source.told(now, from, update.getConfigVersion());
+        lastVoterUpdateNanos = update.getVoter() ? now : lastVoterUpdateNanos;
+        configSource.onVersionAnnounced(now, from, update.getConfigVersion());
         if (update.getConfirmed()) {
-            confirmed = update.getConfigVersion();
+            confirmedVersion = update.getConfigVersion();
         }
-        becomeReady(now);
+        updateReadiness(now);
         upstreams.onUpdate(now, from, update);
-        poison.onUpdate(now, from, update);
-        usage.onUpdate(now, from, update);
+        poisonGuard.onUpdate(now, from, update);
+        usageMeter.onUpdate(now, from, update);
     }
 
-    private void becomeReady(long now) {
-        if (!ready && confirmed >= 0 && confirmed <= version) {
+    private void updateReadiness(long now) {
+        if (!ready && confirmedVersion >= 0 && confirmedVersion <= configVersion) {
             ready = true;
-            readySince = now;
-            log.note("control", "quorum", "state", "confirmed", "version", version);
+            readySinceNanos = now;
+            log.note("control", "quorum", "state", "confirmed", "version", configVersion);
         }
     }
 
     /** Takes the body of a configuration, which is read beside the way of requests. */
-    void onBody(long now, Address from, ConfigBody body) {
-        if (body.getDeflated().isEmpty() || body.getVersion() <= held()) {
-            source.hasNone(from);
+    void onConfigBody(long now, Address from, ConfigBody body) {
+        if (body.getDeflated().isEmpty() || body.getVersion() <= highestProcessedVersion()) {
+            configSource.onNoNewerBody(from);
             return;
         }
-        source.arrived();
-        reader.read(body.getDeflated().toByteArray(), read -> {
-            source.read();
-            take(from, body.getVersion(), read);
+        configSource.onBodyReceived();
+        routeTableReader.read(body.getDeflated().toByteArray(), parsed -> {
+            configSource.onBodyParsed();
+            install(from, body.getVersion(), parsed);
             // Tells control that it is in force, and asks for what came in the meantime.
-            nextAsk = now;
-            becomeReady(now);
+            nextSubscribeNanos = now;
+            updateReadiness(now);
         });
     }
 
     /** The highest version that is not to be fetched again. */
-    private long held() {
-        return Math.max(version, unreadable);
+    private long highestProcessedVersion() {
+        return Math.max(configVersion, unreadableVersion);
     }
 
-    private void take(Address from, long taken, Optional<RouteTable> read) {
-        long before = version;
-        if (taken <= before) {
+    private void install(Address from, long newVersion, Optional<RouteTable> parsed) {
+        long previousVersion = configVersion;
+        if (newVersion <= previousVersion) {
             // The answer of a control process that was given up for silent came after that of the next.
-            log.note("config", String.valueOf(taken), "state", "overtaken", "before", before, "told-by", from);
+            log.note(
+                    "config",
+                    String.valueOf(newVersion),
+                    "state",
+                    "overtaken",
+                    "before",
+                    previousVersion,
+                    "told-by",
+                    from);
             return;
         }
-        if (read.isEmpty()) {
-            unreadable = taken;
-            log.note("config", String.valueOf(taken), "state", "unreadable", "told-by", from);
+        if (parsed.isEmpty()) {
+            unreadableVersion = newVersion;
+            log.note("config", String.valueOf(newVersion), "state", "unreadable", "told-by", from);
             return;
         }
         log.note(
                 "config",
-                String.valueOf(taken),
+                String.valueOf(newVersion),
                 "state",
                 "in-force",
                 "before",
-                version,
+                configVersion,
                 "routes",
-                read.get().routes().size(),
+                parsed.get().routes().size(),
                 "told-by",
                 from);
-        routes = read.get();
-        version = taken;
+        routes = parsed.get();
+        configVersion = newVersion;
         invariants.check(
-                version > before,
+                configVersion > previousVersion,
                 "configuration-never-goes-back",
-                () -> "version " + before + " was followed by " + version);
+                () -> "version " + previousVersion + " was followed by " + configVersion);
     }
 
     void tick(long now, Outbox out) {
-        source.next(now, held())
+        configSource
+                .selectSource(now, highestProcessedVersion())
                 .ifPresent(address -> out.send(
                         address,
                         Envelope.newBuilder()
-                                .setConfigFetch(ConfigFetch.newBuilder().setHeldVersion(version))));
-        if (now < Math.min(nextAsk, poison.tellDue())) {
+                                .setConfigFetch(ConfigFetch.newBuilder().setHeldVersion(configVersion))));
+        if (now < Math.min(nextSubscribeNanos, poisonGuard.nextReportDue())) {
             return;
         }
-        nextAsk = now + (isReady() ? ASK_EVERY : ASK_EVERY_UNREADY);
-        List<Address> asked = new ArrayList<>(control);
-        seeds.stream().filter(seed -> !control.contains(seed)).forEach(asked::add);
-        for (Address address : asked) {
+        nextSubscribeNanos = now + (isReady() ? SUBSCRIBE_INTERVAL_NANOS : SUBSCRIBE_INTERVAL_NOT_READY_NANOS);
+        List<Address> targets = new ArrayList<>(controlProcesses);
+        seeds.stream().filter(seed -> !controlProcesses.contains(seed)).forEach(targets::add);
+        for (Address address : targets) {
             Subscribe.Builder subscribe = Subscribe.newBuilder()
-                    .setConfigVersion(version)
+                    .setConfigVersion(configVersion)
                     .setDirectoryVersion(upstreams.directoryVersion(address))
                     .setDirectoryIncarnation(upstreams.directoryIncarnation(address))
                     .setConfirm(!ready)
@@ -237,15 +247,17 @@
                     .setWantsDirectory(true)
                     .setFetchesConfig(true)
                     .setEntriesHash(entriesHash)
-                    .addAllOffered(offered.values());
-            poison.describe(address, subscribe);
-            usage.describe(now, address, subscribe);
+                    .addAllOffered(offeredWork.values());
+            poisonGuard.addChanges(address, subscribe);
+            usageMeter.describe(now, address, subscribe);
             out.send(address, Envelope.newBuilder().setSubscribe(subscribe));
         }
-        poison.told(now);
+        poisonGuard.onReported(now);
     }
 
     long nextDue() {
-        return Math.min(Math.min(nextAsk, poison.tellDue()), source.nextDue(held()));
+        return Math.min(
+                Math.min(nextSubscribeNanos, poisonGuard.nextReportDue()),
+                configSource.nextDue(highestProcessedVersion()));
     }
 }
--- a/src/main/java/org/cuminshelf/direct/DecisionLog.java
+++ b/src/main/java/org/cuminshelf/direct/DecisionLog.java
@@ -18,7 +18,7 @@
      * @param id     names the request
      * @param fields names and values by turns
      */
-    void ordinary(String id, Object... fields);
+    void noteCompletion(String id, Object... fields);
 
     /**
      * A log that keeps nothing.
@@ -33,7 +33,7 @@
             }
 
             @Override
-            public void ordinary(String id, Object... fields) {
+            public void noteCompletion(String id, Object... fields) {
                 // Kept nowhere on purpose.
             }
         };
--- a/src/main/java/org/cuminshelf/direct/AttemptRow.java
+++ b/src/main/java/org/cuminshelf/direct/DirectAttempt.java
@@ -6,52 +6,52 @@
 import org.eclipse.jetty.http.HttpFields;
 
 /** One request sent to one upstream. */
-final class AttemptRow {
+final class DirectAttempt {
 
     final long number;
-    final CallRow call;
-    final UpstreamRow upstream;
+    final DirectCall call;
+    final UpstreamInstance upstream;
     /** Whether only the prompt is to be taken in. */
     final boolean prefillOnly;
 
     final PromptEstimate estimate;
     /** Streams that ran there when it was sent. */
-    final int streams;
+    final int streamsAtSend;
 
-    final long sentAt;
-    final EventSplitter events = new EventSplitter();
-    final ByteArrayOutputStream body = new ByteArrayOutputStream();
+    final long sentAtNanos;
+    final EventSplitter eventSplitter = new EventSplitter();
+    final ByteArrayOutputStream responseBody = new ByteArrayOutputStream();
 
     UpstreamExchange exchange;
     int status;
     HttpFields headers = HttpFields.EMPTY;
-    AnswerFacts facts;
+    ResponseMetadata metadata;
     boolean ended;
     /** Whether it went on from a KV cache that another engine made. */
-    final boolean hadCache;
+    final boolean usedKvCache;
 
     /** Whether the upstream showed no sign yet that the prompt was taken in. */
-    boolean promptWaits;
+    boolean promptPending;
 
-    long lastProgressAt;
+    long lastProgressAtNanos;
 
     /** When its upstream showed the first event of its run; {@link Core#NEVER} until then. */
-    long firstEventAt = Core.NEVER;
+    long firstEventAtNanos = Core.NEVER;
 
-    AttemptRow(long number, CallRow call, Placement.Choice choice, long now) {
+    DirectAttempt(long number, DirectCall call, Placement.Choice choice, long now) {
         this.number = number;
         this.call = call;
         this.upstream = choice.upstream();
         this.prefillOnly = choice.prefillOnly();
         this.estimate = choice.estimate();
-        this.streams = upstream.occupancy();
-        this.hadCache = !prefillOnly && call.cache.isPresent();
-        this.sentAt = now;
-        this.lastProgressAt = now;
+        this.streamsAtSend = upstream.totalAttempts();
+        this.usedKvCache = !prefillOnly && call.kvCache.isPresent();
+        this.sentAtNanos = now;
+        this.lastProgressAtNanos = now;
     }
 
     /** Tokens that it takes in the engine's memory once it is done. */
-    int tokens() {
+    int memoryTokens() {
         return call.intent
                 .generation()
                 .map(shape -> shape.promptTokens() + shape.outputTokens())
@@ -59,12 +59,12 @@
     }
 
     boolean hasHead() {
-        return facts != null;
+        return metadata != null;
     }
 
     /** Whether the answer so far is that of a run that succeeded. */
     boolean isSuccess() {
-        int firstFailure = 300;
-        return hasHead() && status < firstFailure && facts.authentic();
+        int firstNonSuccessStatus = 300;
+        return hasHead() && status < firstNonSuccessStatus && metadata.authentic();
     }
 }
--- a/src/main/java/org/cuminshelf/direct/CallRow.java
+++ b/src/main/java/org/cuminshelf/direct/DirectCall.java
@@ -16,7 +16,7 @@
 import org.eclipse.jetty.http.HttpHeader;
 
 /** One request of a caller, from its arrival to its one answer. */
-final class CallRow {
+final class DirectCall {
 
     final long number;
     final ReceivedRequest request;
@@ -27,66 +27,66 @@
     /** The organisation in whose name it runs, where there is one. */
     final Optional<Organisation> organisation;
 
-    final long arrivedAt;
+    final long arrivedAtNanos;
     /** When the caller stops waiting or the route's timeout is reached, whichever is first. */
-    final long deadline;
+    final long deadlineNanos;
 
     /** Upstreams that this request is not sent to again. */
-    final Set<String> excluded = new HashSet<>();
+    final Set<String> excludedUpstreams = new HashSet<>();
     /** Upstreams to which it was sent, as the route limits them. */
-    int attempts;
+    int attemptCount;
 
-    AttemptRow attempt;
+    DirectAttempt lastAttempt;
     /** KV cache taken in for it by another engine, until an engine took it. */
-    Optional<CacheHandle> cache = Optional.empty();
+    Optional<CacheHandle> kvCache = Optional.empty();
 
     /** Start of an upstream with a limit of which a permit is kept for it, until it is sent there. */
-    Optional<String> keptPermit = Optional.empty();
+    Optional<String> reservedPermit = Optional.empty();
 
     /** Engines that would not go on from the KV cache. */
-    int handoversFailed;
+    int failedHandovers;
 
     /** Whether one engine is to do the whole of it, as taking the prompt in apart failed. */
-    boolean wholeOnly;
+    boolean singleEngineOnly;
 
     /** Whether an earlier attempt may have run. */
     boolean mayHaveRun;
 
     /** Whether a part of the answer was given to the caller. */
-    boolean begun;
+    boolean responseStarted;
 
     /** The last event given to the caller, or that it said it holds. */
-    OptionalLong lastEvent;
+    OptionalLong lastEventId;
 
-    int eventsGiven;
+    int deliveredEvents;
     /** Milliseconds to the first event that were expected when it was placed. */
-    double expectedMillis;
+    double estimatedFirstEventMillis;
 
     /** Milliseconds of it that were for the prompts before its own. */
-    double waitMillis;
+    double estimatedQueueMillis;
 
     /** Milliseconds that taking the prompt in apart took, its wait included; 0 if it wasn't. */
-    long readMillis;
+    long prefillMillis;
 
-    long firstAnswerAt;
-    long lastEventAt;
+    long responseStartedAtNanos;
+    long lastEventAtNanos;
     /** Longest pause between two events so far, in nanoseconds. */
-    long longestPause;
+    long longestGapNanos;
 
     /** Its claim to the share of its size, where it is a generation. */
-    Optional<SizeFairness.Claim> claim = Optional.empty();
+    Optional<SizeFairness.Claim> fairnessClaim = Optional.empty();
 
     /** What it asks of engines, where it is a generation. */
-    Optional<OfferedGeneration> offered = Optional.empty();
+    Optional<OfferedGeneration> offeredLoad = Optional.empty();
 
     Optional<Verdict> lastFailure = Optional.empty();
     /** Whether it was counted for the usage of its organisation. */
-    boolean counted;
+    boolean usageCounted;
 
-    boolean done;
+    boolean closed;
     private Fingerprint fingerprint;
 
-    CallRow(
+    DirectCall(
             long number,
             ReceivedRequest request,
             CallerExchange exchange,
@@ -95,7 +95,7 @@
             String service,
             Optional<Organisation> organisation,
             long now,
-            long deadline) {
+            long deadlineNanos) {
         this.number = number;
         this.request = request;
         this.exchange = exchange;
@@ -103,9 +103,9 @@
         this.route = route;
         this.service = service;
         this.organisation = organisation;
-        this.arrivedAt = now;
-        this.deadline = deadline;
-        this.lastEvent = intent.resumeAfter();
+        this.arrivedAtNanos = now;
+        this.deadlineNanos = deadlineNanos;
+        this.lastEventId = intent.resumeAfter();
     }
 
     /** What makes it the same request when it comes again; computed when first asked for, as few calls need it. */
@@ -113,7 +113,7 @@
         if (fingerprint == null) {
             String host =
                     Optional.ofNullable(request.headers().get(HttpHeader.HOST)).orElse("");
-            fingerprint = Fingerprint.of(request.method(), host, request.target(), caller(), request.body());
+            fingerprint = Fingerprint.of(request.method(), host, request.target(), callerIdentity(), request.body());
         }
         return fingerprint;
     }
@@ -124,7 +124,7 @@
     }
 
     /** Names who asks, the same each time: the organisation, as its keys change, or the key; empty without either. */
-    private String caller() {
+    private String callerIdentity() {
         return organisation
                 .map(Organisation::name)
                 .or(() -> intent.keys().only().map(CallerKey::digest))
@@ -132,7 +132,7 @@
     }
 
     /** Its rank, 0 first: that of its organisation goes before that of its route. */
-    int rank() {
+    int priority() {
         return organisation
                 .map(Organisation::priority)
                 .orElseGet(OptionalInt::empty)
@@ -149,7 +149,7 @@
     }
 
     /** Whether work on it may be stopped, or started anew, without harm. */
-    boolean isRepeatable() {
+    boolean isRetryable() {
         return route.isRepeatable();
     }
 }
--- a/src/main/java/org/cuminshelf/direct/DirectCore.java
+++ b/src/main/java/org/cuminshelf/direct/DirectCore.java
@@ -25,7 +25,7 @@
 /** The decisions of an entry that reaches upstreams straight. */
 public final class DirectCore implements Core, CallerHandler {
 
-    private static final long HOUSEKEEPING_EVERY = Durations.nanos(250);
+    private static final long HOUSEKEEPING_INTERVAL_NANOS = Durations.nanos(250);
     /** Time a caller is given where it names none; callers of today wait 8 s at most. */
     private static final long DEFAULT_DEADLINE_MILLIS = 8_000;
 
@@ -37,25 +37,25 @@
     private final UpstreamProtocol protocol;
     private final DecisionLog log;
     private final UpstreamTable upstreams;
-    private final PoisonSystem poison;
-    private final UsageMeter usage;
-    private final ControlFeed control;
-    private final CallSystem calls;
-    private final LoadGossip gossip;
+    private final PoisonGuard poisonGuard;
+    private final UsageMeter usageMeter;
+    private final ControlSubscription control;
+    private final CallDispatcher callDispatcher;
+    private final LoadGossip loadGossip;
     private final Backpressure backpressure;
-    private final EarlyRequests early = new EarlyRequests();
-    private final Map<CallerExchange, CallRow> byExchange = new HashMap<>();
-    private long nextCall = 1;
-    private long nextHousekeeping;
-    private volatile boolean leaving;
+    private final EarlyRequests earlyRequests = new EarlyRequests();
+    private final Map<CallerExchange, DirectCall> callsByExchange = new HashMap<>();
+    private long nextCallNumber = 1;
+    private long nextHousekeepingNanos;
+    private volatile boolean draining;
     private boolean stopReported;
 
     private DirectCore(
             DirectSettings settings,
             Address self,
             UpstreamProtocol protocol,
-            RouteReader reader,
-            UpstreamPort port,
+            RouteTableReader routeTableReader,
+            UpstreamClient client,
             LongSupplier clock,
             Invariants invariants,
             DecisionLog log) {
@@ -66,30 +66,31 @@
         long now = clock.getAsLong();
         this.backpressure = Backpressure.none(self);
         this.upstreams = new UpstreamTable(backpressure.leavers(), log);
-        this.poison = new PoisonSystem(port, upstreams, clock, settings.vm(), log);
-        this.usage = new UsageMeter(settings.usageWindowMillis(), log);
-        this.control = new ControlFeed(settings, reader, upstreams, poison, usage, now, invariants, log);
-        EngineModels models = new EngineModels();
-        DemandWatch demandWatch = new DemandWatch(backpressure, upstreams, log);
-        Placement placement = new Placement(upstreams, control, models, backpressure, settings.zone());
-        this.gossip = new LoadGossip(upstreams, models, backpressure, demandWatch, now);
-        this.calls = new CallSystem(
+        this.poisonGuard = new PoisonGuard(client, upstreams, clock, settings.vm(), log);
+        this.usageMeter = new UsageMeter(settings.usageWindowMillis(), log);
+        this.control = new ControlSubscription(
+                settings, routeTableReader, upstreams, poisonGuard, usageMeter, now, invariants, log);
+        EngineModels engineModels = new EngineModels();
+        BackpressureListener backpressureListener = new BackpressureListener(backpressure, upstreams, log);
+        Placement placement = new Placement(upstreams, control, engineModels, backpressure, settings.zone());
+        this.loadGossip = new LoadGossip(upstreams, engineModels, backpressure, backpressureListener, now);
+        this.callDispatcher = new CallDispatcher(
                 protocol,
-                new PacedPort(port, backpressure, clock),
+                new ThrottledUpstreamClient(client, backpressure, clock),
                 upstreams,
                 placement,
                 control,
-                new RepeatBudget(settings.repeats()),
+                new RepeatBudget(settings.retryLimits()),
                 clock,
                 invariants,
                 log,
-                models,
-                gossip,
+                engineModels,
+                loadGossip,
                 backpressure,
-                demandWatch,
-                poison,
-                usage);
-        this.nextHousekeeping = now;
+                backpressureListener,
+                poisonGuard,
+                usageMeter);
+        this.nextHousekeepingNanos = now;
     }
 
     /**
@@ -98,8 +99,8 @@
      * @param settings   its place
      * @param self       its own address for messages
      * @param protocol   how the deployment's callers and upstreams write
-     * @param reader     reads the accepted configuration
-     * @param port       where requests to upstreams leave
+     * @param routeTableReader     reads the accepted configuration
+     * @param client     where requests to upstreams leave
      * @param clock      monotonic nanoseconds
      * @param invariants receives the outcome of assertions
      * @param log        takes decisions
@@ -109,12 +110,12 @@
             DirectSettings settings,
             Address self,
             UpstreamProtocol protocol,
-            RouteReader reader,
-            UpstreamPort port,
+            RouteTableReader routeTableReader,
+            UpstreamClient client,
             LongSupplier clock,
             Invariants invariants,
             DecisionLog log) {
-        return new DirectCore(settings, self, protocol, reader, port, clock, invariants, log);
+        return new DirectCore(settings, self, protocol, routeTableReader, client, clock, invariants, log);
     }
 
     // ---- callers
@@ -122,17 +123,17 @@
     @Override
     public void onRequest(ReceivedRequest request, CallerExchange exchange) {
         long now = clock.getAsLong();
-        CallIntent intent = protocol.intent(request);
-        long patience = intent.deadlineMillis().orElse(DEFAULT_DEADLINE_MILLIS);
+        CallIntent intent = protocol.readIntent(request);
+        long timeoutMillis = intent.deadlineMillis().orElse(DEFAULT_DEADLINE_MILLIS);
         if (control.isReady()) {
             start(now, request, exchange, intent);
-        } else if (!early.add(now, request, exchange, intent, patience)) {
-            calls.callers().refuseUnready(exchange, intent);
+        } else if (!earlyRequests.add(now, request, exchange, intent, timeoutMillis)) {
+            callDispatcher.responses().refuseNotReady(exchange, intent);
         }
     }
 
     /** Starts a request that arrived now or, before this entry was ready, earlier. */
-    private void start(long arrivedAt, ReceivedRequest request, CallerExchange exchange, CallIntent intent) {
+    private void start(long arrivedAtNanos, ReceivedRequest request, CallerExchange exchange, CallIntent intent) {
         String host = Optional.ofNullable(request.headers().get("Host")).orElse("");
         Optional<Route> route = control.routes().route(host, request.path());
         if (route.isEmpty()) {
@@ -143,8 +144,8 @@
                 .organisations()
                 .access(intent.keys(), route.get().publicRoute())) {
             case Access.Member(Organisation organisation) ->
-                start(arrivedAt, request, exchange, intent, route.get(), Optional.of(organisation));
-            case Access.Anonymous() -> start(arrivedAt, request, exchange, intent, route.get(), Optional.empty());
+                start(arrivedAtNanos, request, exchange, intent, route.get(), Optional.of(organisation));
+            case Access.Anonymous() -> start(arrivedAtNanos, request, exchange, intent, route.get(), Optional.empty());
             case Access.Denied(String reason) ->
                 refuseUnknown(
                         exchange, intent, reason, UNAUTHORIZED, "This route asks for the key of an organisation.");
@@ -159,64 +160,68 @@
      * that the request did not run, and that the caller may come back.
      */
     private void refuseUnknown(CallerExchange exchange, CallIntent intent, String reason, int status, String text) {
-        boolean behind = control.mayBeBehind(clock.getAsLong());
+        boolean outdated = control.mayBeOutdated(clock.getAsLong());
         log.note(
                 "request",
                 intent.id(),
                 "outcome",
-                behind ? "not-run" : "denied",
+                outdated ? "not-run" : "denied",
                 "reason",
                 reason,
                 "config",
-                control.version());
-        if (behind) {
-            calls.callers().refuseUntilCurrent(exchange);
+                control.configVersion());
+        if (outdated) {
+            callDispatcher.responses().refuseOutdated(exchange);
         } else {
-            calls.callers().plainly(exchange, status, text);
+            callDispatcher.responses().respond(exchange, status, text);
         }
     }
 
     private void start(
-            long arrivedAt,
+            long arrivedAtNanos,
             ReceivedRequest request,
             CallerExchange exchange,
             CallIntent intent,
             Route route,
             Optional<Organisation> organisation) {
         String service = route.service(LongHashFunction.xx3().hashChars(intent.id()));
-        long patience = Math.min(intent.deadlineMillis().orElse(DEFAULT_DEADLINE_MILLIS), route.timeoutMillis());
-        CallRow call = new CallRow(
-                nextCall++,
+        long timeoutMillis = Math.min(intent.deadlineMillis().orElse(DEFAULT_DEADLINE_MILLIS), route.timeoutMillis());
+        DirectCall call = new DirectCall(
+                nextCallNumber++,
                 request,
                 exchange,
                 intent,
                 route,
                 service,
                 organisation,
-                arrivedAt,
-                arrivedAt + Durations.nanos(patience));
-        byExchange.put(exchange, call);
-        calls.start(clock.getAsLong(), call);
+                arrivedAtNanos,
+                arrivedAtNanos + Durations.nanos(timeoutMillis));
+        callsByExchange.put(exchange, call);
+        callDispatcher.start(clock.getAsLong(), call);
     }
 
-    private void startEarly(long now) {
+    private void startEarlyRequests(long now) {
         if (control.isReady()) {
-            early.takeAll().forEach(one -> start(one.arrivedAt(), one.request(), one.exchange(), one.intent()));
+            earlyRequests
+                    .takeAll()
+                    .forEach(request ->
+                            start(request.arrivedAt(), request.request(), request.exchange(), request.intent()));
         }
-        Optional<EarlyRequests.Early> overdue = early.takeOverdue(now);
+        Optional<EarlyRequests.Early> overdue = earlyRequests.takeOverdue(now);
         while (overdue.isPresent()) {
-            calls.callers()
-                    .refuseUnready(overdue.get().exchange(), overdue.get().intent());
-            overdue = early.takeOverdue(now);
+            callDispatcher
+                    .responses()
+                    .refuseNotReady(overdue.get().exchange(), overdue.get().intent());
+            overdue = earlyRequests.takeOverdue(now);
         }
     }
 
     @Override
     public void onGone(CallerExchange exchange) {
-        early.remove(exchange);
-        CallRow call = byExchange.remove(exchange);
+        earlyRequests.remove(exchange);
+        DirectCall call = callsByExchange.remove(exchange);
         if (call != null) {
-            calls.callerGone(clock.getAsLong(), call);
+            callDispatcher.onCallerDisconnected(clock.getAsLong(), call);
         }
     }
 
@@ -228,15 +233,15 @@
         switch (input.getBodyCase()) {
             case UPDATE -> {
                 control.onUpdate(now, from, input.getUpdate());
-                startEarly(now);
+                startEarlyRequests(now);
             }
             case CONFIG_BODY -> {
-                control.onBody(now, from, input.getConfigBody());
-                startEarly(now);
+                control.onConfigBody(now, from, input.getConfigBody());
+                startEarlyRequests(now);
             }
-            case ENTRY_LOAD -> gossip.onLoad(now, from, input.getEntryLoad());
-            case WALL_CLOCK -> usage.ownClock(now, input.getWallClock().getEpochMs());
-            case STOP -> leaving = true;
+            case ENTRY_LOAD -> loadGossip.onLoad(now, from, input.getEntryLoad());
+            case WALL_CLOCK -> usageMeter.ownClock(now, input.getWallClock().getEpochMs());
+            case STOP -> draining = true;
             default -> {
                 // Not a message for such an entry.
             }
@@ -247,16 +252,16 @@
     public void tick(long now, Outbox out) {
         control.tick(now, out);
         backpressure.limits().tick(now, control.entries());
-        calls.tick(now);
-        startEarly(now);
-        if (now >= nextHousekeeping) {
-            nextHousekeeping = now + HOUSEKEEPING_EVERY;
+        callDispatcher.tick(now);
+        startEarlyRequests(now);
+        if (now >= nextHousekeepingNanos) {
+            nextHousekeepingNanos = now + HOUSEKEEPING_INTERVAL_NANOS;
             upstreams.tick(now);
             backpressure.tick(now);
-            byExchange.values().removeIf(call -> call.done);
+            callsByExchange.values().removeIf(call -> call.closed);
         }
-        gossip.tick(now, out, self, control.entries());
-        if (leaving && openCalls() == 0 && !stopReported) {
+        loadGossip.tick(now, out, self, control.entries());
+        if (draining && openCalls() == 0 && !stopReported) {
             stopReported = true;
             out.send(Address.PROCESS, Envelope.newBuilder().setStopped(Stopped.getDefaultInstance()));
         }
@@ -264,8 +269,10 @@
 
     @Override
     public long nextDue() {
-        long due = Math.min(Math.min(control.nextDue(), calls.nextDue()), Math.min(early.nextDue(), nextHousekeeping));
-        return Math.min(due, gossip.nextDue(calls.open() > 0));
+        long due = Math.min(
+                Math.min(control.nextDue(), callDispatcher.nextDue()),
+                Math.min(earlyRequests.nextDue(), nextHousekeepingNanos));
+        return Math.min(due, loadGossip.nextDue(callDispatcher.openCalls() > 0));
     }
 
     // ---- what the process asks
@@ -276,7 +283,7 @@
      * @return true once a quorum confirmed the routes, until it leaves
      */
     public boolean isReady() {
-        return control.isReady() && !leaving;
+        return control.isReady() && !draining;
     }
 
     /**
@@ -284,8 +291,8 @@
      *
      * @param seeds their addresses
      */
-    public void seeds(List<Address> seeds) {
-        control.seeds(seeds);
+    public void replaceSeeds(List<Address> seeds) {
+        control.replaceSeeds(seeds);
     }
 
     /**
@@ -293,7 +300,7 @@
      *
      * @return the limits in force
      */
-    public CallerLimits limits() {
+    public CallerLimits callerLimits() {
         return control.routes().limits();
     }
 
@@ -303,7 +310,7 @@
      * @return the version, 0 before the first
      */
     public long configVersion() {
-        return control.version();
+        return control.configVersion();
     }
 
     /**
@@ -312,7 +319,7 @@
      * @return their number
      */
     public long suspectedRequests() {
-        return poison.suspects();
+        return poisonGuard.suspects();
     }
 
     /**
@@ -321,7 +328,7 @@
      * @return their number
      */
     public long quarantinedRequests() {
-        return poison.quarantined();
+        return poisonGuard.quarantined();
     }
 
     /**
@@ -348,6 +355,6 @@
      * @return their number
      */
     public int openCalls() {
-        return calls.open() + early.size();
+        return callDispatcher.openCalls() + earlyRequests.size();
     }
 }
--- a/src/main/java/org/cuminshelf/direct/DirectSettings.java
+++ b/src/main/java/org/cuminshelf/direct/DirectSettings.java
@@ -11,7 +11,7 @@
  * @param zone    the availability zone of the VM
  * @param vm      the name of the VM
  * @param seeds   control processes known at the start; the others are learnt from them
- * @param repeats how often all entries together may send requests once more
+ * @param retryLimits how often all entries together may send requests once more
  * @param usageWindowMillis length of the windows in which usage is counted; nothing where it isn't
  */
 public record DirectSettings(
@@ -19,7 +19,7 @@
         String zone,
         String vm,
         List<Address> seeds,
-        RepeatLimits repeats,
+        RepeatLimits retryLimits,
         OptionalLong usageWindowMillis) {
 
     /**
@@ -29,9 +29,9 @@
      * @param zone    the availability zone of the VM
      * @param vm      the name of the VM
      * @param seeds   control processes known at the start
-     * @param repeats how often all entries together may send requests once more
+     * @param retryLimits how often all entries together may send requests once more
      */
-    public DirectSettings(String region, String zone, String vm, List<Address> seeds, RepeatLimits repeats) {
-        this(region, zone, vm, seeds, repeats, OptionalLong.empty());
+    public DirectSettings(String region, String zone, String vm, List<Address> seeds, RepeatLimits retryLimits) {
+        this(region, zone, vm, seeds, retryLimits, OptionalLong.empty());
     }
 }
--- a/src/main/java/org/cuminshelf/direct/EnginePrices.java
+++ b/src/main/java/org/cuminshelf/direct/EnginePrices.java
@@ -63,7 +63,7 @@
     private final Map<String, Price> prices = new HashMap<>();
 
     /** Looks at which engines have prompts under way. */
-    void observe(long now, String service, Collection<UpstreamRow> engines, EngineModel model) {
+    void observe(long now, String service, Collection<UpstreamInstance> engines, EngineModel model) {
         Price price = prices.computeIfAbsent(service, key -> new Price());
         double weight = 1 - Math.exp(-(now - price.observedAt) / MEMORY_NANOS);
         price.observedAt = now;
@@ -72,11 +72,12 @@
     }
 
     /** How scarce a role's time is: 0 if an engine is free, 1 if prompts wait for too long at the one freed first. */
-    private static double scarcity(long now, Collection<UpstreamRow> engines, EngineModel model, boolean generates) {
+    private static double scarcity(
+            long now, Collection<UpstreamInstance> engines, EngineModel model, boolean generates) {
         double least = Double.MAX_VALUE;
-        for (UpstreamRow row : engines) {
-            if (row.generates() == generates) {
-                least = Math.min(least, row.prompts.waitMillis(now, model.latencyMillis(row.id, generates)));
+        for (UpstreamInstance row : engines) {
+            if (row.generatesTokens() == generates) {
+                least = Math.min(least, row.pendingPrompts.waitMillis(now, model.latencyMillis(row.id, generates)));
             }
         }
         return least == Double.MAX_VALUE ? 0 : Math.clamp(least / LONGEST_WAIT_MILLIS, 0, 1);
@@ -95,12 +96,12 @@
     }
 
     /** The price of a millisecond for which a prompt takes up an engine. */
-    double ofMillisecond(String service, UpstreamRow engine) {
+    double ofMillisecond(String service, UpstreamInstance engine) {
         Price price = prices.get(service);
         if (price == null) {
             return 0;
         }
-        return engine.generates()
+        return engine.generatesTokens()
                 ? price.generating.now() / price.workMillis + ofDelayedStreams(price, engine)
                 : price.reading.now() / price.workMillis;
     }
@@ -111,9 +112,9 @@
      * of streams took in prompts until all places were taken. At six engines it brought 0.015 of the mean worth of five
      * heavy days, at thirteen nothing either way.
      */
-    private static double ofDelayedStreams(Price price, UpstreamRow engine) {
-        double share = (double) engine.occupancy() / engine.slots;
+    private static double ofDelayedStreams(Price price, UpstreamInstance engine) {
+        double share = (double) engine.totalAttempts() / engine.slots;
         double scarcity = Math.clamp((share - FREE_SHARE) / (FULL_SHARE - FREE_SHARE), 0, 1);
-        return scarcity * engine.occupancy() / Math.max(FIRST_WORK_MILLIS, price.runningMillis);
+        return scarcity * engine.totalAttempts() / Math.max(FIRST_WORK_MILLIS, price.runningMillis);
     }
 }
--- a/src/main/java/org/cuminshelf/direct/EventSplitter.java
+++ b/src/main/java/org/cuminshelf/direct/EventSplitter.java
@@ -12,7 +12,7 @@
  */
 final class EventSplitter {
 
-    private static final int FIRST_CAPACITY = 512;
+    private static final int INITIAL_CAPACITY_BYTES = 512;
     private static final byte LINE_FEED = '\n';
     private static final byte CARRIAGE_RETURN = '\r';
 
@@ -24,7 +24,7 @@
      */
     record Event(byte[] bytes, OptionalLong id) {}
 
-    private byte[] buffer = new byte[FIRST_CAPACITY];
+    private byte[] buffer = new byte[INITIAL_CAPACITY_BYTES];
     private int size;
 
     void add(ByteBuffer bytes) {
@@ -46,7 +46,7 @@
             }
             boolean emptyLine = at == lineStart || at == lineStart + 1 && buffer[lineStart] == CARRIAGE_RETURN;
             if (emptyLine) {
-                return Optional.of(take(at + 1));
+                return Optional.of(removeEvent(at + 1));
             }
             lineStart = at + 1;
         }
@@ -54,18 +54,18 @@
     }
 
     /** What follows the last whole event. */
-    byte[] rest() {
+    byte[] remainder() {
         return Arrays.copyOf(buffer, size);
     }
 
-    private Event take(int length) {
+    private Event removeEvent(int length) {
         byte[] event = Arrays.copyOf(buffer, length);
         size -= length;
         System.arraycopy(buffer, length, buffer, 0, size);
-        return new Event(event, id(event));
+        return new Event(event, parseId(event));
     }
 
-    private static OptionalLong id(byte[] event) {
+    private static OptionalLong parseId(byte[] event) {
         String text = new String(event, StandardCharsets.ISO_8859_1);
         for (String line : text.split("\n")) {
             if (line.startsWith("id:")) {
--- a/src/main/java/org/cuminshelf/direct/HopHeaders.java
+++ b/src/main/java/org/cuminshelf/direct/HopByHopHeaders.java
@@ -5,7 +5,7 @@
 import org.eclipse.jetty.http.HttpField;
 
 /** Headers that concern one connection only and are not passed on. */
-public final class HopHeaders {
+public final class HopByHopHeaders {
 
     private static final Set<String> NAMES = Set.of(
             "connection",
@@ -18,7 +18,7 @@
             "transfer-encoding",
             "upgrade");
 
-    private HopHeaders() {}
+    private HopByHopHeaders() {}
 
     /**
      * Tells whether a header concerns one connection only.
--- a/src/main/java/org/cuminshelf/direct/LoadGossip.java
+++ b/src/main/java/org/cuminshelf/direct/LoadGossip.java
@@ -43,7 +43,7 @@
      * Messages a second that all entries together send at the most, up to {@link #LONGEST_GAP}. Each costs some four
      * system calls at its two ends; unbounded they grew with the square of the entries, to 640 a second at each of 33.
      * A heavy day there took 0.144 of a core for each entry before and 0.098 with the bound and the sums kept in
-     * {@link UpstreamRow}, on machines of other load. At 18 entries news within 110 ms was worth as much as news within
+     * {@link UpstreamInstance}, on machines of other load. At 18 entries news within 110 ms was worth as much as news within
      * 20; at 33 that was not measured.
      */
     private static final double MOST_MESSAGES = 6_000;
@@ -60,7 +60,7 @@
     private final UpstreamTable upstreams;
     private final EngineModels models;
     private final Backpressure backpressure;
-    private final DemandWatch demandWatch;
+    private final BackpressureListener demandWatch;
     private final List<SentPrompt> sent = new ArrayList<>();
     private final List<TakenPrompt> taken = new ArrayList<>();
     private long nextTell;
@@ -72,7 +72,7 @@
             UpstreamTable upstreams,
             EngineModels models,
             Backpressure backpressure,
-            DemandWatch demandWatch,
+            BackpressureListener demandWatch,
             long now) {
         this.upstreams = upstreams;
         this.models = models;
@@ -85,7 +85,7 @@
     // ---- what this entry has to tell
 
     /** A prompt was sent and will probably have been read in so many milliseconds; the others should know first. */
-    void onSent(UpstreamRow upstream, GenerationShape shape, double readyMillis) {
+    void onSent(UpstreamInstance upstream, GenerationShape shape, double readyMillis) {
         nextTell = Math.min(nextTell, lastTell + gap());
         if (sent.size() >= MOST_NEWS) {
             return;
@@ -100,7 +100,7 @@
     }
 
     /** A prompt was taken in. */
-    void onTaken(UpstreamRow upstream, PromptSample sample) {
+    void onTaken(UpstreamInstance upstream, PromptSample sample) {
         models.of(upstream.service).observe(sample);
         if (taken.size() >= MOST_NEWS) {
             return;
@@ -140,7 +140,9 @@
         listeners = Math.max(0, entries.size() - 1);
         nextTell = now + Math.max(TELL_EVERY, gap());
         EntryLoad.Builder load = EntryLoad.newBuilder().addAllSent(sent).addAllTaken(taken);
-        upstreams.rows().stream().filter(row -> row.running > 0).forEach(row -> load.addUpstreams(underWay(now, row)));
+        upstreams.instances().stream()
+                .filter(row -> row.localAttempts > 0)
+                .forEach(row -> load.addUpstreams(underWay(now, row)));
         boolean asked = addDemands(now, load);
         boolean something = load.getUpstreamsCount() > 0 || !taken.isEmpty() || asked;
         sent.clear();
@@ -174,10 +176,12 @@
         return load.getLimitsCount() + load.getDemandsCount() + load.getRestsCount() + load.getLeavingCount() > 0;
     }
 
-    private static UpstreamLoad underWay(long now, UpstreamRow row) {
-        UpstreamLoad.Builder load =
-                UpstreamLoad.newBuilder().setId(row.id).setRunning(row.running).setTokens((int) row.tokens);
-        for (PromptQueue.Waiting prompt : row.prompts.own()) {
+    private static UpstreamLoad underWay(long now, UpstreamInstance row) {
+        UpstreamLoad.Builder load = UpstreamLoad.newBuilder()
+                .setId(row.id)
+                .setRunning(row.localAttempts)
+                .setTokens((int) row.localMemoryTokens);
+        for (PromptQueue.Waiting prompt : row.pendingPrompts.own()) {
             load.addPrompts(WaitingPrompt.newBuilder()
                     .setAgeUs((int) ((now - prompt.sentAt()) / NANOS_PER_MICRO))
                     .setWorkUs(micros(prompt.workMillis())));
@@ -192,11 +196,11 @@
     // ---- what the others told
 
     void onLoad(long now, Address entry, EntryLoad load) {
-        upstreams.onLoad(now, entry, load);
+        upstreams.applyLoad(now, entry, load);
         load.getSentList().forEach(prompt -> onSentElsewhere(now, prompt));
         load.getTakenList().forEach(prompt -> onTakenElsewhere(now, prompt));
         load.getLimitsList().forEach(limit -> onLimitHeardElsewhere(now, entry, limit));
-        load.getLeavingList().forEach(id -> upstreams.leaves(now, id, false, entry.value()));
+        load.getLeavingList().forEach(id -> upstreams.markDraining(now, id, false, entry.value()));
         load.getRestsList().forEach(rest -> onRestElsewhere(now, rest));
         load.getDemandsList()
                 .forEach(demand -> backpressure
@@ -214,12 +218,13 @@
                 limit.hasPerSecond() ? OptionalDouble.of(limit.getPerSecond()) : OptionalDouble.empty();
         long age = (long) (limit.getAgeUs() * NANOS_PER_MICRO);
         upstreams
-                .row(limit.getUpstream())
-                .ifPresent(row -> demandWatch.told(now, row, entry, new RateLimits.Heard(row.id, perSecond, age)));
+                .instance(limit.getUpstream())
+                .ifPresent(row ->
+                        demandWatch.onEntryReport(now, row, entry, new RateLimits.Heard(row.id, perSecond, age)));
     }
 
     private void onSentElsewhere(long now, SentPrompt prompt) {
-        Optional<UpstreamRow> row = upstreams.row(prompt.getUpstream());
+        Optional<UpstreamInstance> row = upstreams.instance(prompt.getUpstream());
         if (row.isEmpty() || prompt.getPartsCount() != prompt.getTokensCount()) {
             return;
         }
@@ -227,15 +232,15 @@
         for (int index = 0; index < prompt.getPartsCount(); index++) {
             parts.add(new PromptPart(prompt.getParts(index), prompt.getTokens(index)));
         }
-        row.get().cache.add(parts, now + (long) (prompt.getReadyUs() * NANOS_PER_MICRO));
+        row.get().promptCache.add(parts, now + (long) (prompt.getReadyUs() * NANOS_PER_MICRO));
     }
 
     private void onTakenElsewhere(long now, TakenPrompt prompt) {
-        Optional<UpstreamRow> row = upstreams.row(prompt.getUpstream());
+        Optional<UpstreamInstance> row = upstreams.instance(prompt.getUpstream());
         if (row.isEmpty()) {
             return;
         }
-        row.get().prompts.taken(now);
+        row.get().pendingPrompts.taken(now);
         models.of(row.get().service)
                 .observe(new PromptSample(
                         row.get().id,
--- a/src/main/java/org/cuminshelf/direct/OfferedGeneration.java
+++ b/src/main/java/org/cuminshelf/direct/OfferedGeneration.java
@@ -13,7 +13,7 @@
 
     private static final double MICROS_PER_MILLI = 1e3;
 
-    private final ControlFeed control;
+    private final ControlSubscription control;
     private final String service;
     private final long readMicros;
     private final long runningMicros;
@@ -27,7 +27,7 @@
      * @param readMicros    microseconds that its prompt takes of an engine that only reads prompts
      * @param runningMicros microseconds for which it takes a place of an engine that generates
      */
-    OfferedGeneration(ControlFeed control, String service, long readMicros, long runningMicros) {
+    OfferedGeneration(ControlSubscription control, String service, long readMicros, long runningMicros) {
         this.control = control;
         this.service = service;
         this.readMicros = readMicros;
@@ -55,7 +55,7 @@
     private void count(long read, long running) {
         if (!counted) {
             counted = true;
-            control.offered(service, read, running);
+            control.addOfferedWork(service, read, running);
         }
     }
 }
--- a/src/main/java/org/cuminshelf/direct/Placement.java
+++ b/src/main/java/org/cuminshelf/direct/Placement.java
@@ -40,13 +40,13 @@
      * @param gain        what the answer is worth on average, in usual answers, less what its engine's time is worth
      */
     record Choice(
-            UpstreamRow upstream,
+            UpstreamInstance upstream,
             boolean prefillOnly,
             PromptEstimate estimate,
-            Optional<UpstreamRow> source,
+            Optional<UpstreamInstance> source,
             double gain) {
 
-        private static Choice of(UpstreamRow upstream, double firstMillis) {
+        private static Choice of(UpstreamInstance upstream, double firstMillis) {
             return new Choice(upstream, false, PromptEstimate.ofFirst(firstMillis), Optional.empty(), 1);
         }
 
@@ -108,7 +108,7 @@
     private static final double MICROS_PER_MILLI = 1e3;
 
     private final UpstreamTable upstreams;
-    private final ControlFeed control;
+    private final ControlSubscription control;
     private final EngineModels models;
     private final Backpressure backpressure;
     private final EnginePrices prices = new EnginePrices();
@@ -117,7 +117,11 @@
     private final String zone;
 
     Placement(
-            UpstreamTable upstreams, ControlFeed control, EngineModels models, Backpressure backpressure, String zone) {
+            UpstreamTable upstreams,
+            ControlSubscription control,
+            EngineModels models,
+            Backpressure backpressure,
+            String zone) {
         this.upstreams = upstreams;
         this.control = control;
         this.models = models;
@@ -126,21 +130,21 @@
     }
 
     /** Chooses for a request, or finds nothing that takes it. */
-    Optional<Choice> choose(long now, CallRow call) {
+    Optional<Choice> choose(long now, DirectCall call) {
         Optional<GenerationShape> shape = call.intent.generation();
         if (shape.isEmpty() || !call.isStream()) {
             return forService(now, call);
         }
-        return call.cache.isPresent() ? forHandover(now, call) : forPrompt(now, call, shape.get());
+        return call.kvCache.isPresent() ? forHandover(now, call) : forPrompt(now, call, shape.get());
     }
 
     /** Whether any upstream is there for a call, with or without a place for it. */
-    boolean hasOpen(long now, CallRow call) {
-        return upstreams.ofService(call.service).stream().anyMatch(row -> isOpen(now, row, call));
+    boolean hasOpen(long now, DirectCall call) {
+        return upstreams.instancesOf(call.service).stream().anyMatch(row -> isOpen(now, row, call));
     }
 
     /** What a prompt takes of an engine that only reads prompts and holds as much of it as any engine does. */
-    long readMicros(long now, CallRow call, GenerationShape shape) {
+    long readMicros(long now, DirectCall call, GenerationShape shape) {
         values.observe(call, shape);
         SharedParts shared = SharedParts.of(shape, open(now, call), now);
         int held = shared.mostHeld();
@@ -160,11 +164,11 @@
         return (long) (MICROS_PER_MILLI * millis);
     }
 
-    private Optional<Choice> forService(long now, CallRow call) {
-        UpstreamRow best = null;
+    private Optional<Choice> forService(long now, DirectCall call) {
+        UpstreamInstance best = null;
         double bestLoad = Double.MAX_VALUE;
-        for (UpstreamRow row : open(now, call)) {
-            double load = (double) row.occupancy() / row.slots
+        for (UpstreamInstance row : open(now, call)) {
+            double load = (double) row.totalAttempts() / row.slots
                     + (row.zone.equals(zone) ? 0 : 1e-3)
                     + 1e-4 * spread(row, call.number);
             if (load < bestLoad) {
@@ -175,26 +179,26 @@
         return Optional.ofNullable(best).map(row -> Choice.of(row, 0));
     }
 
-    private static double spread(UpstreamRow row, long number) {
+    private static double spread(UpstreamInstance row, long number) {
         return (LongHashFunction.xx3(number).hashChars(row.id) >>> 40) / (double) (1 << 24);
     }
 
     /** The engine that goes on after the prompt was taken in elsewhere: the one with the least to do. */
-    private Optional<Choice> forHandover(long now, CallRow call) {
-        UpstreamRow best = null;
+    private Optional<Choice> forHandover(long now, DirectCall call) {
+        UpstreamInstance best = null;
         double least = Double.MAX_VALUE;
         EngineModel model = models.of(call.service);
-        List<UpstreamRow> open = open(now, call);
+        List<UpstreamInstance> open = open(now, call);
         Optional<SharedParts> shared = call.intent.generation().map(shape -> SharedParts.of(shape, open, now));
-        for (UpstreamRow row : open) {
+        for (UpstreamInstance row : open) {
             if (row.role == Role.ROLE_PREFILL) {
                 continue;
             }
             boolean home = shared.filter(parts -> parts.isHomeOfStreams(row)).isPresent();
             double load = memoryLoad(row, call)
                     - (home ? HOME_PREFERENCE : 0)
-                    + row.occupancy()
-                    + row.prompts.waitMillis(now, model.latencyMillis(row.id, true)) / WAIT_OF_REQUEST_MILLIS
+                    + row.totalAttempts()
+                    + row.pendingPrompts.waitMillis(now, model.latencyMillis(row.id, true)) / WAIT_OF_REQUEST_MILLIS
                     + (row.zone.equals(zone) ? 0 : OTHER_ZONE_MILLIS)
                     + spread(row, call.number);
             if (load < least) {
@@ -209,7 +213,7 @@
      * The engine's memory taken with a call on it, as a number of requests: the places of the engine, scaled by the
      * part of the memory, and much more where it would not fit.
      */
-    private double memoryLoad(UpstreamRow row, CallRow call) {
+    private double memoryLoad(UpstreamInstance row, DirectCall call) {
         long capacity = cacheTokens(call);
         if (capacity == 0) {
             return 0;
@@ -218,15 +222,15 @@
                 .generation()
                 .map(shape -> shape.promptTokens() + shape.outputTokens())
                 .orElse(0);
-        double share = (double) (row.memoryTokens() + own) / capacity;
+        double share = (double) (row.totalMemoryTokens() + own) / capacity;
         return share * row.slots + (share > MEMORY_SHARE ? FULL_COST * share : 0);
     }
 
-    private long cacheTokens(CallRow call) {
+    private long cacheTokens(DirectCall call) {
         return limits(call.service).map(EngineLimits::cacheTokens).orElse(0L);
     }
 
-    private double tokenBytes(CallRow call) {
+    private double tokenBytes(DirectCall call) {
         return limits(call.service).map(EngineLimits::tokenBytes).orElse(0.0);
     }
 
@@ -239,7 +243,7 @@
     }
 
     /** Tokens of prompts for which each engine of a call's service has room, beside those of running requests. */
-    private long cacheRoom(CallRow call) {
+    private long cacheRoom(DirectCall call) {
         long capacity = cacheTokens(call);
         return capacity == 0 ? Long.MAX_VALUE : (long) (CACHED_SHARE * capacity);
     }
@@ -256,7 +260,7 @@
     }
 
     /** Milliseconds of work of other entries that is probably on its way to each open engine, by role. */
-    private Map<Role, Double> unseenMillis(long now, String service, List<UpstreamRow> open) {
+    private Map<Role, Double> unseenMillis(long now, String service, List<UpstreamInstance> open) {
         UnseenWork work = unseenOf(service);
         int others = Math.max(0, control.entries().size() - 1);
         Map<Role, Integer> engines = new EnumMap<>(Role.class);
@@ -267,24 +271,24 @@
         return millis;
     }
 
-    private Optional<Choice> forPrompt(long now, CallRow call, GenerationShape shape) {
-        List<UpstreamRow> open = open(now, call);
-        boolean splits = call.lastEvent.isEmpty() && !call.wholeOnly;
-        boolean prefillThere = splits && open.stream().anyMatch(row -> !row.generates());
-        boolean placeThere = open.stream().anyMatch(row -> row.generates() && hasPlace(row, call));
+    private Optional<Choice> forPrompt(long now, DirectCall call, GenerationShape shape) {
+        List<UpstreamInstance> open = open(now, call);
+        boolean splits = call.lastEventId.isEmpty() && !call.singleEngineOnly;
+        boolean prefillThere = splits && open.stream().anyMatch(row -> !row.generatesTokens());
+        boolean placeThere = open.stream().anyMatch(row -> row.generatesTokens() && hasPlace(row, call));
         EngineModel model = models.of(call.service);
         long room = cacheRoom(call);
-        open.forEach(row -> row.cache.bound(room));
+        open.forEach(row -> row.promptCache.bound(room));
         Choice best = null;
         double least = Double.MAX_VALUE;
         SharedParts shared = SharedParts.of(shape, open, now);
         Map<Role, Double> onTheirWay = unseenMillis(now, call.service, open);
         long callHash = LongHashFunction.xx3().hashChars(call.intent.id());
-        for (UpstreamRow row : open) {
+        for (UpstreamInstance row : open) {
             double onItsWay = onTheirWay.get(row.role) * UnseenWork.share(row.id, callHash);
             Choice choice = estimate(now, row, model, shape, shared, onItsWay);
             boolean fits =
-                    row.generates() ? fitsBesideStreams(choice, call, model, prefillThere) : splits && placeThere;
+                    row.generatesTokens() ? fitsBesideStreams(choice, call, model, prefillThere) : splits && placeThere;
             double cost = fits ? cost(now, choice, call, model, shape, shared) : Double.MAX_VALUE;
             if (cost < least) {
                 best = choice;
@@ -296,17 +300,17 @@
         return Optional.ofNullable(best).map(choice -> withGain(now, choice, call, model, shape));
     }
 
-    private Choice withGain(long now, Choice choice, CallRow call, EngineModel model, GenerationShape shape) {
+    private Choice withGain(long now, Choice choice, DirectCall call, EngineModel model, GenerationShape shape) {
         double answer = values.of(call, shape) * (1 - LATE_COST * lateChance(now, choice, call, model));
         double time = choice.estimate.workMillis() * prices.ofMillisecond(call.service, choice.upstream);
         return new Choice(choice.upstream, choice.prefillOnly, choice.estimate, choice.source, answer - time);
     }
 
     /** Whether a prompt may be taken in by an engine that also generates; more may wait there if no other can do it. */
-    private boolean fitsBesideStreams(Choice choice, CallRow call, EngineModel model, boolean prefillThere) {
-        UpstreamRow row = choice.upstream;
+    private boolean fitsBesideStreams(Choice choice, DirectCall call, EngineModel model, boolean prefillThere) {
+        UpstreamInstance row = choice.upstream;
         // A stream that its caller has half of goes on beside what is there: cutting it would lose what it took so far.
-        boolean idle = row.occupancy() == 0 || call.begun;
+        boolean idle = row.totalAttempts() == 0 || call.responseStarted;
         double backlog = choice.waitMillis() + choice.estimate.workMillis();
         return idle
                 || hasPlace(row, call)
@@ -319,26 +323,31 @@
      * places come free ever later. A fleet was seen to stay in that state for ten seconds after the burst that began
      * it.
      */
-    private boolean hasPlace(UpstreamRow row, CallRow call) {
+    private boolean hasPlace(UpstreamInstance row, DirectCall call) {
         int briefTokens = BRIEF_EVENTS * tokensPerEvent(call.service);
         boolean brief = call.intent
                 .generation()
                 .filter(shape -> shape.outputTokens() <= briefTokens)
                 .isPresent();
         double share = brief ? PLACES_SHARE_BRIEF : PLACES_SHARE;
-        return row.occupancy() < share * row.slots && memoryLoad(row, call) < FULL_COST * MEMORY_SHARE;
+        return row.totalAttempts() < share * row.slots && memoryLoad(row, call) < FULL_COST * MEMORY_SHARE;
     }
 
     private Choice estimate(
-            long now, UpstreamRow row, EngineModel model, GenerationShape shape, SharedParts shared, double onItsWay) {
+            long now,
+            UpstreamInstance row,
+            EngineModel model,
+            GenerationShape shape,
+            SharedParts shared,
+            double onItsWay) {
         int own = shared.heldBy(row);
         int held = shared.withinReachOf(row);
         int uncached = Math.max(0, shape.promptTokens() - held);
-        boolean generates = row.generates();
+        boolean generates = row.generatesTokens();
         double latency = model.latencyMillis(row.id, generates);
-        double work = model.workMillis(row.id, generates, row.occupancy(), held, uncached)
+        double work = model.workMillis(row.id, generates, row.totalAttempts(), held, uncached)
                 + model.moveMillis(Math.max(0, held - own));
-        double wait = row.prompts.waitMillis(now, latency) + onItsWay;
+        double wait = row.pendingPrompts.waitMillis(now, latency) + onItsWay;
         double handover = generates ? 0 : model.handoverMillis(shape.promptTokens());
         double first = wait + work + latency + (row.zone.equals(zone) ? 0 : OTHER_ZONE_MILLIS) + handover;
         PromptEstimate estimate = new PromptEstimate(held, uncached, wait, work, first);
@@ -346,8 +355,8 @@
     }
 
     private double cost(
-            long now, Choice choice, CallRow call, EngineModel model, GenerationShape shape, SharedParts shared) {
-        UpstreamRow row = choice.upstream;
+            long now, Choice choice, DirectCall call, EngineModel model, GenerationShape shape, SharedParts shared) {
+        UpstreamInstance row = choice.upstream;
         int own = shared.heldBy(row);
         int movedTokens = Math.max(0, choice.estimate.held() - own) + (choice.prefillOnly ? shape.promptTokens() : 0);
         double moved = movedTokens * tokenBytes(call) / BYTES_PER_GIGABYTE * MOVE_COST;
@@ -357,24 +366,24 @@
     }
 
     /** What is lost on average by an answer's coming late: its chance to, and by how much. */
-    private static double lateCost(long now, Choice choice, CallRow call, EngineModel model) {
+    private static double lateCost(long now, Choice choice, DirectCall call, EngineModel model) {
         double late = lateMillis(now, choice, call) / call.route.targetMillis();
         return lateChance(now, choice, call, model) * LATE_COST + Math.clamp(late, 0, MOST_TARGETS_LATE) * LATER_COST;
     }
 
-    private static double lateChance(long now, Choice choice, CallRow call, EngineModel model) {
+    private static double lateChance(long now, Choice choice, DirectCall call, EngineModel model) {
         double error = Math.max(LEAST_ERROR_MILLIS, model.error() * choice.firstMillis());
         return 1 / (1 + Math.exp(-LOGISTIC * lateMillis(now, choice, call) / error));
     }
 
     /** Milliseconds by which the first event is expected after the target, or before it if negative. */
-    private static double lateMillis(long now, Choice choice, CallRow call) {
-        return Durations.millis(now - call.arrivedAt) + choice.firstMillis() - call.route.targetMillis();
+    private static double lateMillis(long now, Choice choice, DirectCall call) {
+        return Durations.millis(now - call.arrivedAtNanos) + choice.firstMillis() - call.route.targetMillis();
     }
 
     /** The upstreams that take a call now; one that asked another entry for rest only if no other has its role. */
-    private List<UpstreamRow> open(long now, CallRow call) {
-        List<UpstreamRow> open = upstreams.ofService(call.service).stream()
+    private List<UpstreamInstance> open(long now, DirectCall call) {
+        List<UpstreamInstance> open = upstreams.instancesOf(call.service).stream()
                 .filter(row -> isOpen(now, row, call))
                 .toList();
         if (!backpressure.rests().isAnyAskedElsewhere()) {
@@ -387,23 +396,24 @@
                 .toList();
     }
 
-    private boolean isAskedElsewhere(long now, UpstreamRow row) {
+    private boolean isAskedElsewhere(long now, UpstreamInstance row) {
         return backpressure.rests().isAskedElsewhere(now, row.id);
     }
 
-    private boolean isOpen(long now, UpstreamRow row, CallRow call) {
-        boolean serving = !row.leaving && !row.changing && !row.isAvoided(now) && !call.excluded.contains(row.id);
+    private boolean isOpen(long now, UpstreamInstance row, DirectCall call) {
+        boolean serving =
+                !row.draining && !row.roleChanging && !row.isAvoided(now) && !call.excludedUpstreams.contains(row.id);
         return serving && hasPermit(now, row, call);
     }
 
-    private boolean hasPermit(long now, UpstreamRow row, CallRow call) {
-        boolean kept = call.keptPermit.filter(row.id::equals).isPresent();
+    private boolean hasPermit(long now, UpstreamInstance row, DirectCall call) {
+        boolean kept = call.reservedPermit.filter(row.id::equals).isPresent();
         return kept ? backpressure.admitsKept(now, row.id) : backpressure.admits(now, row.id);
     }
 
     /** Whether an upstream can answer a call, and not just read its prompt. */
-    private static boolean canAnswer(UpstreamRow row, CallRow call) {
-        return !call.isStream() || row.generates();
+    private static boolean canAnswer(UpstreamInstance row, DirectCall call) {
+        return !call.isStream() || row.generatesTokens();
     }
 
     /**
@@ -411,20 +421,20 @@
      *
      * @return that time in nanoseconds; empty where an upstream is open, or none asked to wait
      */
-    OptionalLong nextSend(long now, CallRow call) {
-        return nextSend(now, call, row -> !call.excluded.contains(row.id));
+    OptionalLong nextSend(long now, DirectCall call) {
+        return nextSend(now, call, row -> !call.excludedUpstreams.contains(row.id));
     }
 
     /** The same for a caller that comes back, whose request may go to any upstream. */
-    OptionalLong nextReturn(long now, CallRow call) {
+    OptionalLong nextReturn(long now, DirectCall call) {
         return nextSend(now, call, row -> true);
     }
 
-    private OptionalLong nextSend(long now, CallRow call, Predicate<UpstreamRow> counts) {
+    private OptionalLong nextSend(long now, DirectCall call, Predicate<UpstreamInstance> counts) {
         long next = Core.NEVER;
         boolean askedToWait = false;
-        for (UpstreamRow row : upstreams.ofService(call.service)) {
-            if (row.leaving || row.changing || !canAnswer(row, call) || !counts.test(row)) {
+        for (UpstreamInstance row : upstreams.instancesOf(call.service)) {
+            if (row.draining || row.roleChanging || !canAnswer(row, call) || !counts.test(row)) {
                 continue;
             }
             boolean held = !hasPermit(now, row, call);
@@ -432,7 +442,7 @@
                 return OptionalLong.empty();
             }
             askedToWait |= held;
-            long open = Math.max(row.avoidedUntil(), held ? backpressure.nextSend(now, row.id) : now);
+            long open = Math.max(row.avoidedUntilNanos(), held ? backpressure.nextSend(now, row.id) : now);
             next = Math.min(next, open);
         }
         return askedToWait ? OptionalLong.of(next) : OptionalLong.empty();
@@ -441,19 +451,19 @@
     /**
      * The engine of which a permit should be kept for the handover of a call: none if one without a limit can do it.
      */
-    Optional<UpstreamRow> limitedForHandover(long now, CallRow call) {
+    Optional<UpstreamInstance> limitedForHandover(long now, DirectCall call) {
         if (backpressure.limits().inForce() == 0) {
             return Optional.empty();
         }
-        UpstreamRow best = null;
-        for (UpstreamRow row : open(now, call)) {
-            if (!row.generates() || !hasPlace(row, call)) {
+        UpstreamInstance best = null;
+        for (UpstreamInstance row : open(now, call)) {
+            if (!row.generatesTokens() || !hasPlace(row, call)) {
                 continue;
             }
             if (!backpressure.limits().isLimited(row.id)) {
                 return Optional.empty();
             }
-            best = best == null || row.occupancy() < best.occupancy() ? row : best;
+            best = best == null || row.totalAttempts() < best.totalAttempts() ? row : best;
         }
         return Optional.ofNullable(best);
     }
--- a/src/main/java/org/cuminshelf/direct/PoisonSystem.java
+++ b/src/main/java/org/cuminshelf/direct/PoisonGuard.java
@@ -30,7 +30,7 @@
  *
  * <p>Where no crash is known a request costs one comparison here; else a hash of its body.
  */
-final class PoisonSystem {
+final class PoisonGuard {
 
     /**
      * When to come back with a quarantined request, in milliseconds: an operator has to look at it first. Callers that
@@ -40,56 +40,56 @@
     /** When to come back with one of which it isn't known yet whether it is poison: once all crashes are told. */
     static final long UNSETTLED_RETRY_AFTER_MILLIS = 500;
     /** Starts that crashed under a request from which it isn't placed again within a call. */
-    private static final int MOST_CRASHES_IN_CALL = 2;
+    private static final int MAX_CRASHES_PER_CALL = 2;
     /** Number of changes that came from control: below all of this entry's own, and above none. */
-    private static final long LEARNT = 1;
+    private static final long LEARNED_CHANGE_NUMBER = 1;
     /**
      * How long a start that crashed gets no calls: until it is forgotten, 5 s after its last heartbeat at control and
      * 6 s after that here. What comes back is another start. Guards against each entry finding out by a call of its
      * own: a route with one attempt loses it, so that a crash costs as many calls as there are entries. At a hundred
      * entries in virtual time 0.66 of the calls around three crashes were served without it, 0.92 with it.
      */
-    private static final long CRASHED_AVOIDED = Durations.nanos(12_000);
+    private static final long CRASHED_AVOIDANCE_NANOS = Durations.nanos(12_000);
     /** Least time between two urgent words to control: a crash is seen in several broken attempts. */
-    private static final long URGENT_GAP = Durations.nanos(10);
+    private static final long MIN_URGENT_REPORT_INTERVAL_NANOS = Durations.nanos(10);
     /** How often requests are counted for the metrics, which other threads read. */
-    private static final long COUNT_EVERY = Durations.nanos(1_000);
+    private static final long COUNT_INTERVAL_NANOS = Durations.nanos(1_000);
 
     /** How the log names a refusal, and when the caller may come back. */
     record Refusal(String outcome, long retryAfterMillis) {}
 
     private final PoisonRegister register = new PoisonRegister();
     private final UpstreamTable upstreams;
-    private final CrashWatch watch;
+    private final CrashDetector crashDetector;
     private final String vm;
     private final DecisionLog log;
     /** Up to which of this entry's changes each control process has heard. */
-    private final Map<Address, Long> heard = new HashMap<>();
+    private final Map<Address, Long> acknowledgedChanges = new HashMap<>();
 
-    private final ChangeNumbers own = this::nextNumber;
-    private long version = LEARNT;
-    private boolean urgent;
-    private long urgentAt = Long.MIN_VALUE;
-    private long nextCount = Long.MIN_VALUE;
+    private final ChangeNumbers localChanges = this::nextChangeNumber;
+    private long version = LEARNED_CHANGE_NUMBER;
+    private boolean reportUrgent;
+    private long nextUrgentReportNanos = Long.MIN_VALUE;
+    private long nextCountNanos = Long.MIN_VALUE;
     private volatile long suspects;
     private volatile long quarantined;
 
-    PoisonSystem(UpstreamPort port, UpstreamTable upstreams, LongSupplier clock, String vm, DecisionLog log) {
+    PoisonGuard(UpstreamClient client, UpstreamTable upstreams, LongSupplier clock, String vm, DecisionLog log) {
         this.upstreams = upstreams;
-        this.watch = new CrashWatch(port, upstreams, clock, log, this::onCrash);
+        this.crashDetector = new CrashDetector(client, upstreams, clock, log, this::onCrash);
         this.vm = vm;
         this.log = log;
     }
 
-    private long nextNumber(boolean tellAtOnce) {
-        urgent |= tellAtOnce;
+    private long nextChangeNumber(boolean urgent) {
+        reportUrgent |= urgent;
         return ++version;
     }
 
     // ---- calls
 
     /** Why a call is refused before anything is done for it, if it is. */
-    Optional<Refusal> refusal(long now, CallRow call) {
+    Optional<Refusal> refusal(long now, DirectCall call) {
         if (register.isEmpty()) {
             return Optional.empty();
         }
@@ -103,36 +103,36 @@
     }
 
     /** An attempt that had been sent broke. */
-    void broken(long now, AttemptRow attempt) {
-        watch.broken(now, attempt);
+    void onAttemptFailed(long now, DirectAttempt attempt) {
+        crashDetector.onAttemptFailed(now, attempt);
     }
 
     /**
      * Whether a call may be placed once more. Guards against a request that ends upstream after upstream within one
      * call, faster than anybody can tell: from the second on its caller has to come back.
      */
-    boolean mayGoOn(CallRow call) {
-        return register.isEmpty() || register.crashesUnder(call.fingerprint()).size() < MOST_CRASHES_IN_CALL;
+    boolean mayRetry(DirectCall call) {
+        return register.isEmpty() || register.crashesUnder(call.fingerprint()).size() < MAX_CRASHES_PER_CALL;
     }
 
     /** A call ended well, so it is no poison. */
-    void endedWell(long now, CallRow call) {
+    void onSuccess(long now, DirectCall call) {
         if (register.isEmpty()) {
             return;
         }
         int crashes = register.crashesUnder(call.fingerprint()).size();
-        if (register.endedWell(now, call.fingerprint(), vm, own) && crashes >= MOST_CRASHES_IN_CALL) {
+        if (register.endedWell(now, call.fingerprint(), vm, localChanges) && crashes >= MAX_CRASHES_PER_CALL) {
             log.note("poison", call.fingerprint().toString(), "outcome", "cleared", "crashes", crashes);
         }
     }
 
     private void onCrash(long now, String upstream, Fingerprint request, Involvement involvement) {
-        avoid(now, upstream);
-        if (!register.crashed(now, upstream, request, involvement, own)) {
+        avoidInstance(now, upstream);
+        if (!register.crashed(now, upstream, request, involvement, localChanges)) {
             return;
         }
         int crashes = register.crashesUnder(request).size();
-        if (crashes >= MOST_CRASHES_IN_CALL) {
+        if (crashes >= MAX_CRASHES_PER_CALL) {
             log.note(
                     "poison",
                     request.toString(),
@@ -147,25 +147,26 @@
         }
     }
 
-    private void avoid(long now, String upstream) {
-        upstreams.row(upstream).ifPresent(row -> row.avoid(now + CRASHED_AVOIDED));
+    private void avoidInstance(long now, String upstream) {
+        upstreams.instance(upstream).ifPresent(row -> row.avoid(now + CRASHED_AVOIDANCE_NANOS));
     }
 
     // ---- what control tells and hears
 
     void onUpdate(long now, Address control, Update update) {
-        heard.put(control, update.getPoisonHeard());
+        acknowledgedChanges.put(control, update.getPoisonHeard());
         update.getCrashesList().stream()
                 .map(UpstreamCrash::getUpstream)
                 .filter(upstream -> !register.hasCrashed(upstream))
-                .forEach(upstream -> avoid(now, upstream));
-        register.merge(now, update.getCrashesList(), update.getQuarantinedList(), ChangeNumbers.always(LEARNT));
-        watch.onUpstreams(now);
+                .forEach(upstream -> avoidInstance(now, upstream));
+        register.merge(
+                now, update.getCrashesList(), update.getQuarantinedList(), ChangeNumbers.always(LEARNED_CHANGE_NUMBER));
+        crashDetector.onUpstreamsChanged(now);
     }
 
     /** Adds what a control process has not heard yet. */
-    void describe(Address control, Subscribe.Builder subscribe) {
-        long since = heard.getOrDefault(control, 0L);
+    void addChanges(Address control, Subscribe.Builder subscribe) {
+        long since = acknowledgedChanges.getOrDefault(control, 0L);
         subscribe
                 .setPoisonVersion(version)
                 .setPoisonSince(since)
@@ -174,25 +175,25 @@
     }
 
     /** When control has to be told of news. */
-    long tellDue() {
-        return urgent ? urgentAt : Core.NEVER;
+    long nextReportDue() {
+        return reportUrgent ? nextUrgentReportNanos : Core.NEVER;
     }
 
     /** All control processes were told. */
-    void told(long now) {
-        urgent = false;
-        urgentAt = now + URGENT_GAP;
+    void onReported(long now) {
+        reportUrgent = false;
+        nextUrgentReportNanos = now + MIN_URGENT_REPORT_INTERVAL_NANOS;
     }
 
     // ---- time
 
     void tick(long now) {
-        watch.tick(now);
+        crashDetector.tick(now);
         if (now >= register.nextDue()) {
-            register.findPoison(now, vm, own);
+            register.findPoison(now, vm, localChanges);
         }
-        if (now >= nextCount) {
-            nextCount = now + COUNT_EVERY;
+        if (now >= nextCountNanos) {
+            nextCountNanos = now + COUNT_INTERVAL_NANOS;
             suspects = register.suspects();
             quarantined = register.quarantine().size();
         }
--- a/src/main/java/org/cuminshelf/direct/SharedParts.java
+++ b/src/main/java/org/cuminshelf/direct/SharedParts.java
@@ -18,15 +18,15 @@
 
     private final GenerationShape shape;
     private final long now;
-    private final List<UpstreamRow> engines;
+    private final List<UpstreamInstance> engines;
     private final int tokens;
     private final String streamHome;
     /** The two engines that probably hold most, so that the choice of a source takes no second look at all. */
-    private Optional<UpstreamRow> most = Optional.empty();
+    private Optional<UpstreamInstance> most = Optional.empty();
 
-    private Optional<UpstreamRow> second = Optional.empty();
+    private Optional<UpstreamInstance> second = Optional.empty();
 
-    private SharedParts(GenerationShape shape, List<UpstreamRow> engines, long now) {
+    private SharedParts(GenerationShape shape, List<UpstreamInstance> engines, long now) {
         this.shape = shape;
         this.now = now;
         this.engines = engines;
@@ -35,7 +35,7 @@
         engines.forEach(this::rank);
     }
 
-    private void rank(UpstreamRow row) {
+    private void rank(UpstreamInstance row) {
         int ready = readyAt(row);
         if (most.isEmpty() || ready > readyAt(most.get())) {
             second = most;
@@ -46,7 +46,7 @@
     }
 
     /** Those of a prompt among the engines that may be asked. */
-    static SharedParts of(GenerationShape shape, List<UpstreamRow> engines, long now) {
+    static SharedParts of(GenerationShape shape, List<UpstreamInstance> engines, long now) {
         return new SharedParts(shape, engines, now);
     }
 
@@ -56,17 +56,17 @@
     }
 
     /** Tokens of the prompt that an engine probably holds. */
-    int heldBy(UpstreamRow row) {
-        return Math.min(tokens, row.cache.heldTokens(shape.parts()));
+    int heldBy(UpstreamInstance row) {
+        return Math.min(tokens, row.promptCache.heldTokens(shape.parts()));
     }
 
     /** Tokens of the prompt that another engine can fetch from an engine. */
-    private int readyAt(UpstreamRow row) {
-        return Math.min(tokens, row.cache.readyTokens(shape.parts(), now));
+    private int readyAt(UpstreamInstance row) {
+        return Math.min(tokens, row.promptCache.readyTokens(shape.parts(), now));
     }
 
     /** Whether an engine is the home of the subject among those that generate. */
-    boolean isHomeOfStreams(UpstreamRow row) {
+    boolean isHomeOfStreams(UpstreamInstance row) {
         return row.id.equals(streamHome);
     }
 
@@ -79,14 +79,14 @@
      * Another engine from which an engine may fetch what it lacks of the shared parts. It fetches nothing that it
      * holds, and reads what the other turns out to have dropped, so that a wrong guess costs next to nothing.
      */
-    Optional<UpstreamRow> sourceFor(UpstreamRow row) {
-        int known = row.cache.heldTokens(shape.parts());
-        Optional<UpstreamRow> other = most.filter(engine -> engine != row).or(() -> second);
+    Optional<UpstreamInstance> sourceFor(UpstreamInstance row) {
+        int known = row.promptCache.heldTokens(shape.parts());
+        Optional<UpstreamInstance> other = most.filter(engine -> engine != row).or(() -> second);
         return other.filter(engine -> readyAt(engine) >= known + LEAST_FETCH);
     }
 
     /** Tokens of the prompt that an engine probably holds or can fetch. */
-    int withinReachOf(UpstreamRow row) {
+    int withinReachOf(UpstreamInstance row) {
         return Math.max(heldBy(row), sourceFor(row).map(this::readyAt).orElse(0));
     }
 
@@ -106,8 +106,8 @@
         String subject = shape.parts().get(parts - 2).id();
         String best = "";
         long highest = Long.MIN_VALUE;
-        for (UpstreamRow row : engines) {
-            if (!row.generates()) {
+        for (UpstreamInstance row : engines) {
+            if (!row.generatesTokens()) {
                 continue;
             }
             long hash = LongHashFunction.xx3().hashChars(subject + row.id);
--- a/src/main/java/org/cuminshelf/direct/PacedPort.java
+++ b/src/main/java/org/cuminshelf/direct/ThrottledUpstreamClient.java
@@ -15,38 +15,38 @@
  * <p>Failure it guards against: a kind of request that nobody thought of, such as the release of a KV cache, goes to an
  * upstream past the choice that looks at its limit and its rest. Whatever is sent passes here, or is not sent.
  */
-final class PacedPort implements UpstreamPort {
+final class ThrottledUpstreamClient implements UpstreamClient {
 
     private static final UpstreamExchange NOT_SENT = () -> {};
 
-    private final UpstreamPort port;
+    private final UpstreamClient delegate;
     private final Backpressure backpressure;
     private final LongSupplier clock;
 
-    PacedPort(UpstreamPort port, Backpressure backpressure, LongSupplier clock) {
-        this.port = port;
+    ThrottledUpstreamClient(UpstreamClient delegate, Backpressure backpressure, LongSupplier clock) {
+        this.delegate = delegate;
         this.backpressure = backpressure;
         this.clock = clock;
     }
 
     @Override
-    public UpstreamExchange send(Address address, String upstream, UpstreamRequest request, UpstreamHandler handler) {
+    public UpstreamExchange send(Address address, String instanceId, UpstreamRequest request, UpstreamHandler handler) {
         long now = clock.getAsLong();
-        if (!backpressure.admits(now, upstream)) {
+        if (!backpressure.admits(now, instanceId)) {
             handler.onFailed(false, "the upstream asked to wait");
             return NOT_SENT;
         }
-        backpressure.use(now, upstream);
-        return port.send(address, upstream, request, handler);
+        backpressure.use(now, instanceId);
+        return delegate.send(address, instanceId, request, handler);
     }
 
     @Override
-    public void forgetIdle(Address address, String upstream) {
-        port.forgetIdle(address, upstream);
+    public void discardIdleConnections(Address address, String instanceId) {
+        delegate.discardIdleConnections(address, instanceId);
     }
 
     @Override
-    public void probe(Address address, String upstream, Consumer<Reachability> whenSeen) {
-        port.probe(address, upstream, whenSeen);
+    public void probe(Address address, String instanceId, Consumer<Reachability> onResult) {
+        delegate.probe(address, instanceId, onResult);
     }
 }
--- a/src/main/java/org/cuminshelf/direct/UpstreamPort.java
+++ b/src/main/java/org/cuminshelf/direct/UpstreamClient.java
@@ -8,33 +8,33 @@
 import org.cuminshelf.exchange.UpstreamRequest;
 
 /** Where requests to upstreams leave. A handler may be called before the sending returns. */
-public interface UpstreamPort {
+public interface UpstreamClient {
 
     /**
      * Sends a request.
      *
      * @param address  where
-     * @param upstream identity of the upstream's start
+     * @param instanceId identity of the upstream's start
      * @param request  the request
      * @param handler  takes the answer
      * @return the exchange, to cancel it
      */
-    UpstreamExchange send(Address address, String upstream, UpstreamRequest request, UpstreamHandler handler);
+    UpstreamExchange send(Address address, String instanceId, UpstreamRequest request, UpstreamHandler handler);
 
     /**
      * Forgets kept connections to an upstream, which may have gone silent.
      *
      * @param address  where
-     * @param upstream identity of the upstream's start
+     * @param instanceId identity of the upstream's start
      */
-    void forgetIdle(Address address, String upstream);
+    void discardIdleConnections(Address address, String instanceId);
 
     /**
      * Opens a connection without a request on it, and keeps it for the next one.
      *
      * @param address  where
-     * @param upstream identity of the upstream's start
-     * @param whenSeen takes what that showed
+     * @param instanceId identity of the upstream's start
+     * @param onResult takes what that showed
      */
-    void probe(Address address, String upstream, Consumer<Reachability> whenSeen);
+    void probe(Address address, String instanceId, Consumer<Reachability> onResult);
 }
--- a/src/main/java/org/cuminshelf/direct/UpstreamProtocol.java
+++ b/src/main/java/org/cuminshelf/direct/UpstreamProtocol.java
@@ -14,7 +14,7 @@
      * @param request the request
      * @return what it asks for
      */
-    CallIntent intent(ReceivedRequest request);
+    CallIntent readIntent(ReceivedRequest request);
 
     /**
      * Writes an attempt.
@@ -23,7 +23,7 @@
      * @param plan    what the attempt asks
      * @return the request to the upstream
      */
-    UpstreamRequest attempt(ReceivedRequest request, AttemptPlan plan);
+    UpstreamRequest attemptRequest(ReceivedRequest request, AttemptPlan plan);
 
     /**
      * Writes the word that a KV cache isn't needed any more.
@@ -31,7 +31,7 @@
      * @param handle the cache
      * @return the request to the engine that holds it
      */
-    UpstreamRequest release(CacheHandle handle);
+    UpstreamRequest releaseRequest(CacheHandle handle);
 
     /**
      * Reads the head of an answer.
@@ -40,7 +40,7 @@
      * @param headers all headers
      * @return what it says
      */
-    AnswerFacts facts(int status, HttpFields headers);
+    ResponseMetadata readMetadata(int status, HttpFields headers);
 
     /**
      * Reads the answer to an attempt that only took the prompt in.
@@ -48,5 +48,5 @@
      * @param body the answer
      * @return the name of the KV cache at the engine, if the answer holds one
      */
-    Optional<String> cacheHandle(byte[] body);
+    Optional<String> readCacheHandle(byte[] body);
 }
--- a/src/main/java/org/cuminshelf/direct/UpstreamTable.java
+++ b/src/main/java/org/cuminshelf/direct/UpstreamTable.java
@@ -26,9 +26,9 @@
  * <p>Failures it guards against:
  * <ul>
  *   <li>All control processes were just killed and know nobody yet. An upstream that none lists any more is kept for
- *       {@link #UNLISTED_KEPT}, in which a living one has announced itself several times.</li>
+ *       {@link #UNLISTED_RETENTION_NANOS}, in which a living one has announced itself several times.</li>
  *   <li>A delayed announcement of an upstream that is gone arrives late and brings it back. Starts that ended are
- *       remembered for {@link #ENDED_KEPT} and never taken in again.</li>
+ *       remembered for {@link #ENDED_RETENTION_NANOS} and never taken in again.</li>
  *   <li>An upstream starts again under its name, and what it held and how fast it was is believed of the new start:
  *       prompts count on parts that it lost. Each start has a row of its own, and the newest ends those before.</li>
  *   <li>Another upstream has the address. It refuses, its identity being another, and the old one ends here.</li>
@@ -36,37 +36,37 @@
  */
 final class UpstreamTable {
 
-    private static final long UNLISTED_KEPT = Durations.nanos(6_000);
-    private static final long ENDED_KEPT = Durations.nanos(60_000);
+    private static final long UNLISTED_RETENTION_NANOS = Durations.nanos(6_000);
+    private static final long ENDED_RETENTION_NANOS = Durations.nanos(60_000);
     /** What another entry told counts for as long; it tells ten times a second. */
-    private static final long LOAD_KEPT = Durations.nanos(1_000);
+    private static final long LOAD_RETENTION_NANOS = Durations.nanos(1_000);
 
     /**
      * Starts of a name that ended.
      *
-     * @param upTo when the last of them started, in Unix milliseconds
-     * @param at   when that was told, in nanoseconds
+     * @param lastStartMillis when the last of them started, in Unix milliseconds
+     * @param endedAtNanos   when that was told, in nanoseconds
      */
-    private record Ended(long upTo, long at) {}
+    private record EndedInstances(long lastStartMillis, long endedAtNanos) {}
 
     /**
      * What another entry told last.
      *
-     * @param at   when, in nanoseconds
-     * @param rows the upstreams where it has something under way
+     * @param receivedAtNanos   when, in nanoseconds
+     * @param instances the upstreams where it has something under way
      */
-    private record TakenLoad(long at, Set<UpstreamRow> rows) {}
+    private record ReportedLoad(long receivedAtNanos, Set<UpstreamInstance> instances) {}
 
     /** In the order in which they became known, so that equal inputs give equal decisions. */
-    private final Map<String, UpstreamRow> rows = new LinkedHashMap<>();
+    private final Map<String, UpstreamInstance> instances = new LinkedHashMap<>();
 
-    private final Map<String, List<UpstreamRow>> byService = new HashMap<>();
+    private final Map<String, List<UpstreamInstance>> byService = new HashMap<>();
     /** The newest start of each name. */
-    private final Map<String, UpstreamRow> byName = new HashMap<>();
+    private final Map<String, UpstreamInstance> newestByName = new HashMap<>();
 
-    private final LinkedHashMap<String, Ended> ended = new LinkedHashMap<>();
-    private final HeldDirectories directories = HeldDirectories.none();
-    private final Map<Address, TakenLoad> loads = new HashMap<>();
+    private final LinkedHashMap<String, EndedInstances> endedByName = new LinkedHashMap<>();
+    private final HeldDirectories directoryVersions = HeldDirectories.none();
+    private final Map<Address, ReportedLoad> loadByEntry = new HashMap<>();
     private final Leavers leavers;
     private final DecisionLog log;
 
@@ -75,187 +75,192 @@
         this.log = log;
     }
 
-    Collection<UpstreamRow> rows() {
-        return rows.values();
+    Collection<UpstreamInstance> instances() {
+        return instances.values();
     }
 
-    List<UpstreamRow> ofService(String service) {
+    List<UpstreamInstance> instancesOf(String service) {
         return byService.getOrDefault(service, List.of());
     }
 
-    Optional<UpstreamRow> row(String id) {
-        return Optional.ofNullable(rows.get(id));
+    Optional<UpstreamInstance> instance(String id) {
+        return Optional.ofNullable(instances.get(id));
     }
 
     long directoryIncarnation(Address control) {
-        return directories.incarnation(control);
+        return directoryVersions.incarnation(control);
     }
 
     long directoryVersion(Address control) {
-        return directories.version(control);
+        return directoryVersions.version(control);
     }
 
     void onUpdate(long now, Address control, Update update) {
-        if (directories.isStale(control, update)) {
+        if (directoryVersions.isStale(control, update)) {
             return;
         }
-        directories.note(control, update);
+        directoryVersions.note(control, update);
         if (update.getWholeDirectory()) {
-            rows.values().forEach(row -> unlist(now, row, control));
+            instances.values().forEach(instance -> unlist(now, instance, control));
         }
-        update.getUpstreamsList().forEach(beat -> onBeat(now, control, beat));
+        update.getUpstreamsList().forEach(heartbeat -> applyHeartbeat(now, control, heartbeat));
     }
 
-    private void onBeat(long now, Address control, UpstreamBeat beat) {
-        if (beat.getDeleted()) {
-            Optional.ofNullable(byName.get(beat.getName()))
-                    .filter(row -> row.bornMillis <= beat.getBornMs())
-                    .ifPresent(row -> row.announcedEnd = true);
-            end(now, beat.getName(), beat.getBornMs(), "deleted");
+    private void applyHeartbeat(long now, Address control, UpstreamBeat heartbeat) {
+        if (heartbeat.getDeleted()) {
+            Optional.ofNullable(newestByName.get(heartbeat.getName()))
+                    .filter(instance -> instance.startedAtMillis <= heartbeat.getBornMs())
+                    .ifPresent(instance -> instance.shutdownAnnounced = true);
+            markEnded(now, heartbeat.getName(), heartbeat.getBornMs(), "deleted");
             return;
         }
-        if (isPast(beat)) {
+        if (isObsolete(heartbeat)) {
             return;
         }
-        UpstreamRow row = rows.get(beat.getId());
-        if (beat.getLapsed()) {
-            if (row != null) {
-                unlist(now, row, control);
+        UpstreamInstance instance = instances.get(heartbeat.getId());
+        if (heartbeat.getLapsed()) {
+            if (instance != null) {
+                unlist(now, instance, control);
             }
             return;
         }
-        boolean known = row != null;
+        boolean known = instance != null;
         if (!known) {
-            row = add(now, beat);
+            instance = add(now, heartbeat);
         }
-        boolean changed = row.onBeat(beat);
-        row.listedBy.add(control);
-        row.unlistedSince = Core.NEVER;
+        boolean changed = instance.applyHeartbeat(heartbeat);
+        instance.listedBy.add(control);
+        instance.unlistedSinceNanos = Core.NEVER;
         if (changed || !known) {
             log.note(
                     "upstream",
-                    row.id,
+                    instance.id,
                     "state",
-                    row.leaving ? "leaving" : "serving",
+                    instance.draining ? "leaving" : "serving",
                     "service",
-                    row.service,
+                    instance.service,
                     "role",
-                    row.role,
+                    instance.role,
                     "address",
-                    row.address,
+                    instance.address,
                     "sequence",
-                    row.sequence,
+                    instance.heartbeatSequence,
                     "told-by",
                     control);
         }
     }
 
     /** Whether a word is of a start that ended, or that a newer one of the same name followed. */
-    private boolean isPast(UpstreamBeat beat) {
-        Ended past = ended.get(beat.getName());
-        UpstreamRow newest = byName.get(beat.getName());
-        return past != null && beat.getBornMs() <= past.upTo || newest != null && beat.getBornMs() < newest.bornMillis;
+    private boolean isObsolete(UpstreamBeat heartbeat) {
+        EndedInstances ended = endedByName.get(heartbeat.getName());
+        UpstreamInstance newest = newestByName.get(heartbeat.getName());
+        return ended != null && heartbeat.getBornMs() <= ended.lastStartMillis
+                || newest != null && heartbeat.getBornMs() < newest.startedAtMillis;
     }
 
-    private UpstreamRow add(long now, UpstreamBeat beat) {
-        UpstreamRow before = byName.get(beat.getName());
-        if (before != null) {
-            end(now, before, "it started again");
+    private UpstreamInstance add(long now, UpstreamBeat heartbeat) {
+        UpstreamInstance previous = newestByName.get(heartbeat.getName());
+        if (previous != null) {
+            markEnded(now, previous, "it started again");
         }
-        UpstreamRow row = new UpstreamRow(now, beat);
-        if (leavers.contains(row.id)) {
-            row.leave();
+        UpstreamInstance instance = new UpstreamInstance(now, heartbeat);
+        if (leavers.contains(instance.id)) {
+            instance.startDraining();
         }
-        rows.put(row.id, row);
-        byName.put(row.name, row);
-        byService.computeIfAbsent(row.service, key -> new ArrayList<>()).add(row);
-        return row;
+        instances.put(instance.id, instance);
+        newestByName.put(instance.name, instance);
+        byService.computeIfAbsent(instance.service, key -> new ArrayList<>()).add(instance);
+        return instance;
     }
 
-    private static void unlist(long now, UpstreamRow row, Address control) {
-        row.listedBy.remove(control);
-        if (row.listedBy.isEmpty() && row.unlistedSince == Core.NEVER) {
-            row.unlistedSince = now;
+    private static void unlist(long now, UpstreamInstance instance, Address control) {
+        instance.listedBy.remove(control);
+        if (instance.listedBy.isEmpty() && instance.unlistedSinceNanos == Core.NEVER) {
+            instance.unlistedSinceNanos = now;
         }
     }
 
     /** A start said that it leaves, to this entry or to another one; it gets no new work. */
-    void leaves(long now, String id, boolean directly, String source) {
-        if (leavers.add(now, id, directly)) {
-            row(id).ifPresent(UpstreamRow::leave);
+    void markDraining(long now, String id, boolean reportedDirectly, String source) {
+        if (leavers.add(now, id, reportedDirectly)) {
+            instance(id).ifPresent(UpstreamInstance::startDraining);
             log.note("upstream", id, "outcome", "leaving-stated", "source", source);
         }
     }
 
     /** A start ended; it is never taken in again. */
-    void end(long now, UpstreamRow row, String reason) {
-        end(now, row.name, row.bornMillis, reason);
+    void markEnded(long now, UpstreamInstance instance, String reason) {
+        markEnded(now, instance.name, instance.startedAtMillis, reason);
     }
 
     /** All starts of a name up to a time ended. */
-    private void end(long now, String name, long upTo, String reason) {
-        Ended before = ended.remove(name);
-        ended.put(name, new Ended(before == null ? upTo : Math.max(upTo, before.upTo), now));
-        UpstreamRow row = byName.get(name);
-        if (row != null && row.bornMillis <= upTo) {
-            row.leaving = true;
-            remove(row);
-            log.note("upstream", row.id, "state", "ended", "reason", reason);
+    private void markEnded(long now, String name, long lastStartMillis, String reason) {
+        EndedInstances previous = endedByName.remove(name);
+        endedByName.put(
+                name,
+                new EndedInstances(
+                        previous == null ? lastStartMillis : Math.max(lastStartMillis, previous.lastStartMillis), now));
+        UpstreamInstance instance = newestByName.get(name);
+        if (instance != null && instance.startedAtMillis <= lastStartMillis) {
+            instance.draining = true;
+            remove(instance);
+            log.note("upstream", instance.id, "state", "ended", "reason", reason);
         }
     }
 
-    private void remove(UpstreamRow row) {
-        rows.remove(row.id);
-        byName.remove(row.name, row);
-        byService.get(row.service).remove(row);
+    private void remove(UpstreamInstance instance) {
+        instances.remove(instance.id);
+        newestByName.remove(instance.name, instance);
+        byService.get(instance.service).remove(instance);
     }
 
     /**
      * Takes what another entry has under way. Only upstreams that it names, or named before, are touched: with all of
      * them looked at, this took four tenths of the processor time of an entry's decisions at 33 entries.
      */
-    void onLoad(long now, Address entry, EntryLoad load) {
-        Set<UpstreamRow> told = new HashSet<>();
-        for (UpstreamLoad one : load.getUpstreamsList()) {
-            UpstreamRow row = rows.get(one.getId());
-            if (row != null) {
-                row.onLoad(entry, one, LoadGossip.waiting(now, one));
-                told.add(row);
+    void applyLoad(long now, Address entry, EntryLoad load) {
+        Set<UpstreamInstance> reported = new HashSet<>();
+        for (UpstreamLoad upstreamLoad : load.getUpstreamsList()) {
+            UpstreamInstance instance = instances.get(upstreamLoad.getId());
+            if (instance != null) {
+                instance.applyLoad(entry, upstreamLoad, LoadGossip.waiting(now, upstreamLoad));
+                reported.add(instance);
             }
         }
-        TakenLoad before = loads.put(entry, new TakenLoad(now, told));
-        if (before == null) {
+        ReportedLoad previous = loadByEntry.put(entry, new ReportedLoad(now, reported));
+        if (previous == null) {
             return;
         }
-        for (UpstreamRow row : before.rows) {
-            if (!told.contains(row)) {
-                row.forgetLoad(entry);
+        for (UpstreamInstance instance : previous.instances) {
+            if (!reported.contains(instance)) {
+                instance.removeLoad(entry);
             }
         }
     }
 
     /** Forgets what is too old. */
     void tick(long now) {
-        List<UpstreamRow> silent = rows.values().stream()
-                .filter(row -> row.unlistedSince != Core.NEVER && now - row.unlistedSince > UNLISTED_KEPT)
+        List<UpstreamInstance> silent = instances.values().stream()
+                .filter(instance -> instance.unlistedSinceNanos != Core.NEVER
+                        && now - instance.unlistedSinceNanos > UNLISTED_RETENTION_NANOS)
                 .toList();
-        silent.forEach(this::forget);
-        Iterator<Ended> oldest = ended.values().iterator();
-        while (oldest.hasNext() && now - oldest.next().at > ENDED_KEPT) {
+        silent.forEach(this::removeSilent);
+        Iterator<EndedInstances> oldest = endedByName.values().iterator();
+        while (oldest.hasNext() && now - oldest.next().endedAtNanos > ENDED_RETENTION_NANOS) {
             oldest.remove();
         }
-        loads.entrySet().removeIf(entry -> {
-            boolean old = now - entry.getValue().at > LOAD_KEPT;
-            if (old) {
-                entry.getValue().rows.forEach(row -> row.forgetLoad(entry.getKey()));
+        loadByEntry.entrySet().removeIf(entry -> {
+            boolean outdated = now - entry.getValue().receivedAtNanos > LOAD_RETENTION_NANOS;
+            if (outdated) {
+                entry.getValue().instances.forEach(instance -> instance.removeLoad(entry.getKey()));
             }
-            return old;
+            return outdated;
         });
     }
 
     /** It fell silent; unlike a start that ended it may announce itself again. */
-    private void forget(UpstreamRow row) {
-        remove(row);
-        log.note("upstream", row.id, "state", "silent", "service", row.service);
+    private void removeSilent(UpstreamInstance instance) {
+        remove(instance);
+        log.note("upstream", instance.id, "state", "silent", "service", instance.service);
     }
 }
--- a/src/main/java/org/cuminshelf/direct/UsageMeter.java
+++ b/src/main/java/org/cuminshelf/direct/UsageMeter.java
@@ -42,12 +42,12 @@
     }
 
     /** A call began to run; it counts once, however often it is sent. */
-    void began(CallRow call, long at) {
+    void began(DirectCall call, long at) {
         Optional<Organisation> organisation = call.organisation;
-        if (call.counted || organisation.isEmpty()) {
+        if (call.usageCounted || organisation.isEmpty()) {
             return;
         }
-        call.counted = true;
+        call.usageCounted = true;
         OptionalLong window = window(at);
         if (window.isPresent()
                 && !ledger.count(window.getAsLong(), organisation.get().name())) {
--- a/src/main/java/org/cuminshelf/direct/WaitingCalls.java
+++ b/src/main/java/org/cuminshelf/direct/WaitingCalls.java
@@ -36,7 +36,7 @@
     /** Part of a call's time after which it is refused instead, so that its caller can still come back. */
     private static final double MOST_OF_ITS_TIME = 0.5;
 
-    private record Waiting(CallRow call, long latestStart, long until) {}
+    private record Waiting(DirectCall call, long latestStart, long until) {}
 
     private final Map<Long, Waiting> calls = new HashMap<>();
     private long nextTry = Core.NEVER;
@@ -49,7 +49,7 @@
      * @param ownMillis milliseconds that it takes to its first event once it is placed
      * @return whether it waits now
      */
-    boolean addForTurn(long now, CallRow call, double ownMillis) {
+    boolean addForTurn(long now, DirectCall call, double ownMillis) {
         double slack = call.route.targetMillis() - ownMillis;
         double patience = Math.clamp(slack - MARGIN_MILLIS, 0, PATIENCE_SHARE * call.route.targetMillis());
         return add(now, call, slack, Durations.nanos((long) patience));
@@ -64,10 +64,10 @@
      * @param nextAt when an upstream may be sent a request again, in nanoseconds
      * @return whether it waits now
      */
-    boolean addUntil(long now, CallRow call, long nextAt) {
-        double share = call.cache.isPresent() ? 1 : PATIENCE_SHARE;
+    boolean addUntil(long now, DirectCall call, long nextAt) {
+        double share = call.kvCache.isPresent() ? 1 : PATIENCE_SHARE;
         long patience = Durations.nanos((long) (share * call.route.targetMillis()));
-        boolean inTime = nextAt < call.arrivedAt + patience;
+        boolean inTime = nextAt < call.arrivedAtNanos + patience;
         return inTime && add(now, call, call.route.targetMillis(), patience);
     }
 
@@ -78,8 +78,8 @@
      * @param call the call
      * @return whether it waits now
      */
-    boolean addForUpstreams(long now, CallRow call) {
-        return add(now, call, call.route.targetMillis(), upstreamPatience(call.deadline - call.arrivedAt));
+    boolean addForUpstreams(long now, DirectCall call) {
+        return add(now, call, call.route.targetMillis(), upstreamPatience(call.deadlineNanos - call.arrivedAtNanos));
     }
 
     /** How long a call of so much time, in nanoseconds, waits for what a restarted entry has not heard yet. */
@@ -87,19 +87,19 @@
         return Math.min(UPSTREAM_PATIENCE, (long) (MOST_OF_ITS_TIME * time));
     }
 
-    private boolean add(long now, CallRow call, double slackMillis, long patience) {
-        long until = Math.min(call.deadline, call.arrivedAt + patience);
+    private boolean add(long now, DirectCall call, double slackMillis, long patience) {
+        long until = Math.min(call.deadlineNanos, call.arrivedAtNanos + patience);
         if (now >= until) {
             calls.remove(call.number);
             return false;
         }
-        long latestStart = call.arrivedAt + Durations.nanos((long) slackMillis);
+        long latestStart = call.arrivedAtNanos + Durations.nanos((long) slackMillis);
         calls.put(call.number, new Waiting(call, latestStart, until));
         nextTry = Math.min(nextTry, now + TRY_EVERY);
         return true;
     }
 
-    void remove(CallRow call) {
+    void remove(DirectCall call) {
         calls.remove(call.number);
     }
 
@@ -108,7 +108,7 @@
     }
 
     /** The calls to try now, those that must start soonest first; what can't be on time any more comes last. */
-    List<CallRow> due(long now) {
+    List<DirectCall> due(long now) {
         if (now < nextDue()) {
             return List.of();
         }
@@ -121,7 +121,7 @@
     }
 
     /** Whether a call's patience is over, so that it is to be decided now. */
-    boolean isOver(long now, CallRow call) {
+    boolean isOver(long now, DirectCall call) {
         Waiting waiting = calls.get(call.number);
         return waiting == null || now >= waiting.until;
     }
--- a/src/main/java/org/cuminshelf/platform/PlatformProtocol.java
+++ b/src/main/java/org/cuminshelf/platform/PlatformProtocol.java
@@ -14,13 +14,13 @@
 import java.util.regex.Pattern;
 import org.cuminshelf.backpressure.Demands;
 import org.cuminshelf.backpressure.StatedLimit;
-import org.cuminshelf.direct.AnswerFacts;
 import org.cuminshelf.direct.AttemptPlan;
 import org.cuminshelf.direct.CacheHandle;
 import org.cuminshelf.direct.CallIntent;
 import org.cuminshelf.direct.GenerationShape;
-import org.cuminshelf.direct.HopHeaders;
+import org.cuminshelf.direct.HopByHopHeaders;
 import org.cuminshelf.direct.PromptPart;
+import org.cuminshelf.direct.ResponseMetadata;
 import org.cuminshelf.direct.UpstreamProtocol;
 import org.cuminshelf.exchange.ReceivedRequest;
 import org.cuminshelf.exchange.UpstreamRequest;
@@ -53,7 +53,7 @@
     private static final byte[] NOTHING = new byte[0];
 
     @Override
-    public CallIntent intent(ReceivedRequest request) {
+    public CallIntent readIntent(ReceivedRequest request) {
         HttpFields headers = request.headers();
         return new CallIntent(
                 Optional.ofNullable(headers.get(Headers.REQUEST_ID)).orElse(""),
@@ -118,12 +118,12 @@
     }
 
     @Override
-    public UpstreamRequest attempt(ReceivedRequest request, AttemptPlan plan) {
+    public UpstreamRequest attemptRequest(ReceivedRequest request, AttemptPlan plan) {
         Set<String> named = namedByConnection(request.headers());
         HttpFields.Mutable headers = HttpFields.build();
         for (HttpField field : request.headers()) {
             String name = field.getName().toLowerCase(Locale.ROOT);
-            boolean kept = !HopHeaders.contains(field) && !Headers.NOT_PASSED_ON.contains(name);
+            boolean kept = !HopByHopHeaders.contains(field) && !Headers.NOT_PASSED_ON.contains(name);
             if (kept && !named.contains(name)) {
                 headers.add(field);
             }
@@ -151,15 +151,15 @@
     }
 
     @Override
-    public UpstreamRequest release(CacheHandle handle) {
+    public UpstreamRequest releaseRequest(CacheHandle handle) {
         HttpFields headers =
                 HttpFields.build().put(HttpHeader.HOST, handle.engine().value());
         return new UpstreamRequest("DELETE", "/cuminshelf/kv-handle/" + handle.handle(), headers, NOTHING);
     }
 
     @Override
-    public AnswerFacts facts(int status, HttpFields headers) {
-        return new AnswerFacts(
+    public ResponseMetadata readMetadata(int status, HttpFields headers) {
+        return new ResponseMetadata(
                 Optional.ofNullable(headers.get(Headers.REQUEST_ID)),
                 status == MISDIRECTED || headers.contains(Headers.NOT_EXECUTED),
                 Optional.ofNullable(headers.get(Headers.ANSWERING_START)),
@@ -194,7 +194,7 @@
     }
 
     @Override
-    public Optional<String> cacheHandle(byte[] body) {
+    public Optional<String> readCacheHandle(byte[] body) {
         try {
             JsonNode root = JSON.readTree(body);
             return Optional.ofNullable(root).map(node -> node.path("kvHandle").textValue());
--- a/src/main/java/org/cuminshelf/process/DirectEntryProcess.java
+++ b/src/main/java/org/cuminshelf/process/DirectEntryProcess.java
@@ -16,8 +16,8 @@
 import org.cuminshelf.core.Outbox;
 import org.cuminshelf.direct.DirectCore;
 import org.cuminshelf.direct.DirectSettings;
-import org.cuminshelf.direct.RouteReader;
-import org.cuminshelf.direct.UpstreamPort;
+import org.cuminshelf.direct.RouteTableReader;
+import org.cuminshelf.direct.UpstreamClient;
 import org.cuminshelf.direct.UpstreamProtocol;
 import org.cuminshelf.exchange.CallerExchange;
 import org.cuminshelf.exchange.CallerHandler;
@@ -145,7 +145,7 @@
 
     private void open(Options options) throws IOException {
         network.listen(common.listen(), this::accept);
-        callers = CallerListener.start(options.callers(), lock, new Callers(), core::limits);
+        callers = CallerListener.start(options.callers(), lock, new Callers(), core::callerLimits);
         if (options.readiness().isPresent()) {
             readiness = Optional.of(
                     CallerListener.start(options.readiness().get(), lock, new Readiness(), () -> CallerLimits.DEFAULT));
@@ -194,7 +194,7 @@
     public void seeds(List<Address> seeds) {
         lock.lock();
         try {
-            core.seeds(seeds);
+            core.replaceSeeds(seeds);
             Logger.info(LOG + "event=reload vm={} seeds={}", common.vm(), seeds);
         } finally {
             lock.unlock();
@@ -213,7 +213,7 @@
 
     private void readRoutes(byte[] deflated, Consumer<Optional<RouteTable>> whenRead) {
         configReader.execute(() -> {
-            Optional<RouteTable> read = RouteReader.parse(deflated, format);
+            Optional<RouteTable> read = RouteTableReader.parse(deflated, format);
             lock.lock();
             try {
                 whenRead.accept(read);
@@ -303,7 +303,7 @@
     }
 
     /** Requests to upstreams. */
-    private final class Port implements UpstreamPort {
+    private final class Port implements UpstreamClient {
         @Override
         public UpstreamExchange send(
                 Address address, String upstream, UpstreamRequest request, UpstreamHandler handler) {
@@ -311,7 +311,7 @@
         }
 
         @Override
-        public void forgetIdle(Address address, String upstream) {
+        public void discardIdleConnections(Address address, String upstream) {
             connections.forgetIdle(address, upstream);
         }
 
--- a/src/main/java/org/cuminshelf/process/StructuredLog.java
+++ b/src/main/java/org/cuminshelf/process/StructuredLog.java
@@ -49,7 +49,7 @@
     }
 
     @Override
-    public synchronized void ordinary(String id, Object... fields) {
+    public synchronized void noteCompletion(String id, Object... fields) {
         metrics.count(REQUEST, fields);
         turnSecond();
         if (ordinary++ < MOST_ORDINARY) {
--- a/src/test/java/org/cuminshelf/direct/CallSystemTest.java
+++ b/src/test/java/org/cuminshelf/direct/CallDispatcherTest.java
@@ -8,30 +8,30 @@
 import org.cuminshelf.routes.RequestKind;
 
 /** The way of a call through an entry that reaches upstreams straight. */
-class CallSystemTest {
+class CallDispatcherTest {
 
     private static final String EVENT_1 = "id: 1\ndata: a\n\n";
     private static final String EVENT_2 = "id: 2\ndata: b\n\n";
 
     private static DirectFixture plain(RequestKind kind, int attempts) {
         return new DirectFixture(DirectFixture.route(kind, attempts, false))
-                .ready()
-                .upstream("u1", Role.ROLE_MIXED)
-                .upstream("u2", Role.ROLE_MIXED);
+                .becomeReady()
+                .addUpstream("u1", Role.ROLE_MIXED)
+                .addUpstream("u2", Role.ROLE_MIXED);
     }
 
     private static DirectFixture stream(boolean resumable) {
         return new DirectFixture(DirectFixture.route(RequestKind.STREAM, 2, resumable))
-                .ready()
-                .upstream("u1", Role.ROLE_DECODE)
-                .upstream("u2", Role.ROLE_DECODE);
+                .becomeReady()
+                .addUpstream("u1", Role.ROLE_DECODE)
+                .addUpstream("u2", Role.ROLE_DECODE);
     }
 
     @Example
     void anAnswerIsPassedOnAsItCame() {
         DirectFixture entry = plain(RequestKind.NON_IDEMPOTENT, 1);
-        DirectFixture.Answer answer = entry.ask("a");
-        entry.last().whole(200, "hello");
+        DirectFixture.CallerResponse answer = entry.sendRequest("a");
+        entry.lastSent().respond(200, "hello");
         assertThat(answer.status).isEqualTo(200);
         assertThat(answer.body.toString()).isEqualTo("hello");
         assertThat(answer.headers.get("Seal")).isEqualTo("s");
@@ -45,28 +45,28 @@
     @Example
     void whatMayHaveRunAndMayNotBeRepeatedIsNeitherSentAgainNorCalledNotRun() {
         DirectFixture entry = plain(RequestKind.NON_IDEMPOTENT, 2);
-        DirectFixture.Answer answer = entry.ask("a");
-        entry.last().handler.onFailed(true, "reset");
-        assertThat(entry.sent).hasSize(1);
+        DirectFixture.CallerResponse answer = entry.sendRequest("a");
+        entry.lastSent().handler.onFailed(true, "reset");
+        assertThat(entry.sentRequests).hasSize(1);
         assertThat(answer.status).isEqualTo(502);
     }
 
     @Example
     void whatNeverLeftGoesElsewhereThoughItMayNotBeRepeated() {
         DirectFixture entry = plain(RequestKind.NON_IDEMPOTENT, 1);
-        DirectFixture.Answer answer = entry.ask("a");
-        entry.last().handler.onFailed(false, "refused");
-        assertThat(entry.sent).hasSize(2);
-        entry.last().whole(200, "x");
+        DirectFixture.CallerResponse answer = entry.sendRequest("a");
+        entry.lastSent().handler.onFailed(false, "refused");
+        assertThat(entry.sentRequests).hasSize(2);
+        entry.lastSent().respond(200, "x");
         assertThat(answer.status).isEqualTo(200);
     }
 
     @Example
     void whatTheUpstreamSaysItDidNotRunIsRefusedTruthfullyWithATimeToComeBack() {
         DirectFixture entry = plain(RequestKind.NON_IDEMPOTENT, 1);
-        DirectFixture.Answer answer = entry.ask("a");
-        entry.last().head(503, "Not-Run", "1");
-        entry.last().handler.onComplete();
+        DirectFixture.CallerResponse answer = entry.sendRequest("a");
+        entry.lastSent().respondHead(503, "Not-Run", "1");
+        entry.lastSent().handler.onComplete();
         assertThat(answer.status).isEqualTo(503);
         assertThat(answer.headers.get("Retry-After")).isNotNull();
     }
@@ -74,12 +74,12 @@
     @Example
     void anIdempotentRequestIsRepeatedElsewhereWithinItsAttempts() {
         DirectFixture entry = plain(RequestKind.IDEMPOTENT, 2);
-        DirectFixture.Answer answer = entry.ask("a");
-        entry.last().handler.onFailed(true, "reset");
-        assertThat(entry.sent).hasSize(2);
-        assertThat(entry.sent.get(0).upstream).isNotEqualTo(entry.sent.get(1).upstream);
-        entry.last().handler.onFailed(true, "reset");
-        assertThat(entry.sent).hasSize(2);
+        DirectFixture.CallerResponse answer = entry.sendRequest("a");
+        entry.lastSent().handler.onFailed(true, "reset");
+        assertThat(entry.sentRequests).hasSize(2);
+        assertThat(entry.sentRequests.get(0).upstream).isNotEqualTo(entry.sentRequests.get(1).upstream);
+        entry.lastSent().handler.onFailed(true, "reset");
+        assertThat(entry.sentRequests).hasSize(2);
         assertThat(answer.status).isEqualTo(502);
     }
 
@@ -90,19 +90,19 @@
     @Example
     void anAnswerThatNamesAnotherRequestIsNotPassedOn() {
         DirectFixture entry = plain(RequestKind.NON_IDEMPOTENT, 1);
-        DirectFixture.Answer answer = entry.ask("a");
-        entry.last().head(200, "Seal", "s", "Id", "b");
-        assertThat(entry.last().cancelled).isTrue();
+        DirectFixture.CallerResponse answer = entry.sendRequest("a");
+        entry.lastSent().respondHead(200, "Seal", "s", "Id", "b");
+        assertThat(entry.lastSent().cancelled).isTrue();
         assertThat(answer.status).isEqualTo(502);
     }
 
     @Example
     void aSuccessWithoutTheMarkOfARunIsNoSuccess() {
         DirectFixture entry = plain(RequestKind.NON_IDEMPOTENT, 1);
-        DirectFixture.Answer answer = entry.ask("a");
-        entry.last().head(200);
-        entry.last().body("forged");
-        entry.last().handler.onComplete();
+        DirectFixture.CallerResponse answer = entry.sendRequest("a");
+        entry.lastSent().respondHead(200);
+        entry.lastSent().respondBody("forged");
+        entry.lastSent().handler.onComplete();
         assertThat(answer.status).isEqualTo(502);
         assertThat(answer.body.toString()).doesNotContain("forged");
     }
@@ -114,14 +114,14 @@
     @Example
     void aStreamThatMayBeResumedGoesOnAfterTheLastWholeEvent() {
         DirectFixture entry = stream(true);
-        DirectFixture.Answer answer = entry.ask("a", "Tokens", "500");
-        entry.last().sealed(200);
-        entry.last().body(EVENT_1 + "id: 2\nda");
-        entry.last().handler.onFailed(true, "reset");
-        assertThat(entry.last().request.headers().get("Last")).isEqualTo("1");
-        entry.last().sealed(200);
-        entry.last().body(EVENT_2);
-        entry.last().handler.onComplete();
+        DirectFixture.CallerResponse answer = entry.sendRequest("a", "Tokens", "500");
+        entry.lastSent().respondSealedHead(200);
+        entry.lastSent().respondBody(EVENT_1 + "id: 2\nda");
+        entry.lastSent().handler.onFailed(true, "reset");
+        assertThat(entry.lastSent().request.headers().get("Last")).isEqualTo("1");
+        entry.lastSent().respondSealedHead(200);
+        entry.lastSent().respondBody(EVENT_2);
+        entry.lastSent().handler.onComplete();
         assertThat(answer.body.toString()).isEqualTo(EVENT_1 + EVENT_2);
         assertThat(answer.complete).isTrue();
     }
@@ -129,11 +129,11 @@
     @Example
     void aStreamThatMayNotBeResumedIsCutAndDoesNotLookComplete() {
         DirectFixture entry = stream(false);
-        DirectFixture.Answer answer = entry.ask("a", "Tokens", "500");
-        entry.last().sealed(200);
-        entry.last().body(EVENT_1);
-        entry.last().handler.onFailed(true, "reset");
-        assertThat(entry.sent).hasSize(1);
+        DirectFixture.CallerResponse answer = entry.sendRequest("a", "Tokens", "500");
+        entry.lastSent().respondSealedHead(200);
+        entry.lastSent().respondBody(EVENT_1);
+        entry.lastSent().handler.onFailed(true, "reset");
+        assertThat(entry.sentRequests).hasSize(1);
         assertThat(answer.complete).isFalse();
         assertThat(answer.aborted).isTrue();
     }
@@ -141,10 +141,10 @@
     @Example
     void anEventThatTheCallerHoldsIsNotGivenTwice() {
         DirectFixture entry = stream(true);
-        DirectFixture.Answer answer = entry.ask("a", "Tokens", "500", "Last", "1");
-        entry.last().sealed(200);
-        entry.last().body(EVENT_1 + EVENT_2);
-        entry.last().handler.onComplete();
+        DirectFixture.CallerResponse answer = entry.sendRequest("a", "Tokens", "500", "Last", "1");
+        entry.lastSent().respondSealedHead(200);
+        entry.lastSent().respondBody(EVENT_1 + EVENT_2);
+        entry.lastSent().handler.onComplete();
         assertThat(answer.body.toString()).isEqualTo(EVENT_2);
     }
 
@@ -154,44 +154,45 @@
     @Example
     void theWorkOfACallerThatLeftIsStopped() {
         DirectFixture entry = stream(false);
-        DirectFixture.Answer answer = entry.ask("a", "Tokens", "500");
+        DirectFixture.CallerResponse answer = entry.sendRequest("a", "Tokens", "500");
         entry.core.onGone(answer);
-        assertThat(entry.last().cancelled).isTrue();
+        assertThat(entry.lastSent().cancelled).isTrue();
         assertThat(entry.core.openCalls()).isZero();
     }
 
     @Example
     void aRequestThatMayNotBeRepeatedRunsOnWhenItsCallerLeft() {
         DirectFixture entry = plain(RequestKind.NON_IDEMPOTENT, 1);
-        DirectFixture.Answer answer = entry.ask("a");
+        DirectFixture.CallerResponse answer = entry.sendRequest("a");
         entry.core.onGone(answer);
-        assertThat(entry.last().cancelled).isFalse();
+        assertThat(entry.lastSent().cancelled).isFalse();
     }
 
     @Example
     void aRequestIsAnsweredWhenItsTimeIsUpAndNotCalledNotRun() {
         DirectFixture entry = plain(RequestKind.NON_IDEMPOTENT, 1);
-        DirectFixture.Answer answer = entry.ask("a");
-        entry.pass(900);
+        DirectFixture.CallerResponse answer = entry.sendRequest("a");
+        entry.advance(900);
         assertThat(answer.status).isEqualTo(504);
     }
 
     @Example
     void anIdempotentRequestLeavesAnUpstreamThatStaysSilent() {
         DirectFixture entry = plain(RequestKind.IDEMPOTENT, 2);
-        entry.ask("a");
-        entry.pass(300);
-        assertThat(entry.sent).hasSize(2);
-        assertThat(entry.sent.get(0).cancelled).isTrue();
+        entry.sendRequest("a");
+        entry.advance(300);
+        assertThat(entry.sentRequests).hasSize(2);
+        assertThat(entry.sentRequests.get(0).cancelled).isTrue();
     }
 
     @Example
     void theTimeLeftIsToldToTheUpstream() {
         DirectFixture entry = plain(RequestKind.IDEMPOTENT, 2);
-        entry.ask("a");
-        assertThat(entry.last().request.headers().get("Left")).isEqualTo("800");
-        entry.pass(300);
-        assertThat(Integer.parseInt(entry.last().request.headers().get("Left"))).isBetween(500, 660);
+        entry.sendRequest("a");
+        assertThat(entry.lastSent().request.headers().get("Left")).isEqualTo("800");
+        entry.advance(300);
+        assertThat(Integer.parseInt(entry.lastSent().request.headers().get("Left")))
+                .isBetween(500, 660);
     }
 
     /*
@@ -201,39 +202,39 @@
     @Example
     void anUpstreamWhoseAddressBelongsToAnotherStartIsNeverUsedAgain() {
         DirectFixture entry = plain(RequestKind.NON_IDEMPOTENT, 2);
-        entry.ask("a");
-        String gone = entry.last().upstream;
-        entry.last().head(421, "Not-Run", "1", "Start", "other");
-        entry.last().handler.onComplete();
-        assertThat(entry.last().upstream).isNotEqualTo(gone);
-        entry.update(Update.newBuilder()
+        entry.sendRequest("a");
+        String gone = entry.lastSent().upstream;
+        entry.lastSent().respondHead(421, "Not-Run", "1", "Start", "other");
+        entry.lastSent().handler.onComplete();
+        assertThat(entry.lastSent().upstream).isNotEqualTo(gone);
+        entry.sendUpdate(Update.newBuilder()
                 .setDirectoryIncarnation(1)
                 .setDirectoryVersion(9)
-                .addUpstreams(DirectFixture.beat(gone, Role.ROLE_MIXED)));
+                .addUpstreams(DirectFixture.heartbeat(gone, Role.ROLE_MIXED)));
         for (int index = 0; index < 8; index++) {
-            entry.ask("n" + index);
-            assertThat(entry.last().upstream).isNotEqualTo(gone);
+            entry.sendRequest("n" + index);
+            assertThat(entry.lastSent().upstream).isNotEqualTo(gone);
         }
     }
 
     @Example
     void aPromptIsTakenInByOneEngineAndItsStreamComesFromAnother() {
         DirectFixture entry = new DirectFixture(DirectFixture.route(RequestKind.STREAM, 1, false))
-                .ready()
-                .upstream("p", Role.ROLE_PREFILL)
-                .upstream("d", Role.ROLE_DECODE);
-        entry.ask("warm", "Tokens", "100");
-        DirectFixture.Answer answer = entry.ask("a", "Tokens", "9000");
-        assertThat(entry.last().upstream).isEqualTo("p");
-        assertThat(entry.last().request.headers().get("Prefill")).isEqualTo("true");
-        entry.last().head(200);
-        entry.last().body("kv1");
-        entry.last().handler.onComplete();
-        assertThat(entry.last().upstream).isEqualTo("d");
-        assertThat(entry.last().request.headers().get("Cache")).isEqualTo("kv1");
-        entry.last().sealed(200);
-        entry.last().body(EVENT_1);
-        entry.last().handler.onComplete();
+                .becomeReady()
+                .addUpstream("p", Role.ROLE_PREFILL)
+                .addUpstream("d", Role.ROLE_DECODE);
+        entry.sendRequest("warm", "Tokens", "100");
+        DirectFixture.CallerResponse answer = entry.sendRequest("a", "Tokens", "9000");
+        assertThat(entry.lastSent().upstream).isEqualTo("p");
+        assertThat(entry.lastSent().request.headers().get("Prefill")).isEqualTo("true");
+        entry.lastSent().respondHead(200);
+        entry.lastSent().respondBody("kv1");
+        entry.lastSent().handler.onComplete();
+        assertThat(entry.lastSent().upstream).isEqualTo("d");
+        assertThat(entry.lastSent().request.headers().get("Cache")).isEqualTo("kv1");
+        entry.lastSent().respondSealedHead(200);
+        entry.lastSent().respondBody(EVENT_1);
+        entry.lastSent().handler.onComplete();
         assertThat(answer.complete).isTrue();
     }
 
@@ -245,26 +246,26 @@
     @Example
     void aRequestThatComesBeforeAQuorumConfirmedTheRoutesWaitsForThat() {
         DirectFixture entry = new DirectFixture(DirectFixture.route(RequestKind.IDEMPOTENT, 1, false));
-        DirectFixture.Answer answer = entry.ask("a");
-        entry.pass(300);
+        DirectFixture.CallerResponse answer = entry.sendRequest("a");
+        entry.advance(300);
         assertThat(entry.core.isReady()).isFalse();
         assertThat(answer.status).isZero();
-        entry.ready();
-        entry.pass(20);
-        assertThat(entry.sent).isEmpty();
-        entry.upstream("u", Role.ROLE_MIXED);
-        entry.pass(20);
-        entry.last().whole(200, "here");
+        entry.becomeReady();
+        entry.advance(20);
+        assertThat(entry.sentRequests).isEmpty();
+        entry.addUpstream("u", Role.ROLE_MIXED);
+        entry.advance(20);
+        entry.lastSent().respond(200, "here");
         assertThat(answer.body.toString()).isEqualTo("here");
     }
 
     @Example
     void aRequestThatComesTooEarlyIsRefusedAfterHalfOfItsTime() {
         DirectFixture entry = new DirectFixture(DirectFixture.route(RequestKind.IDEMPOTENT, 1, false));
-        DirectFixture.Answer answer = entry.ask("a");
-        DirectFixture.Answer gone = entry.ask("gone");
+        DirectFixture.CallerResponse answer = entry.sendRequest("a");
+        DirectFixture.CallerResponse gone = entry.sendRequest("gone");
         entry.core.onGone(gone);
-        entry.pass(450);
+        entry.advance(450);
         assertThat(answer.status).isEqualTo(503);
         assertThat(answer.headers.get("Retry-After")).isNotNull();
         assertThat(gone.status).isZero();
@@ -274,6 +275,6 @@
     @Example
     void aHostOrPathWithoutARouteIsNotFound() {
         DirectFixture entry = plain(RequestKind.IDEMPOTENT, 1);
-        assertThat(entry.ask("a", "Host", "other").status).isEqualTo(404);
+        assertThat(entry.sendRequest("a", "Host", "other").status).isEqualTo(404);
     }
 }
--- a/src/test/java/org/cuminshelf/direct/ControlFeedTest.java
+++ b/src/test/java/org/cuminshelf/direct/ControlSubscriptionTest.java
@@ -22,7 +22,7 @@
 import org.cuminshelf.routes.RouteTable;
 
 /** What an entry takes of configurations that are read beside the way of requests. */
-class ControlFeedTest {
+class ControlSubscriptionTest {
 
     private static final Address FIRST = Address.of("10.0.0.1:7000");
     private static final Address SECOND = Address.of("10.0.0.2:7000");
@@ -31,11 +31,11 @@
     private final RecordingOutbox out = new RecordingOutbox();
     private long now = Durations.nanos(10_000);
     private final UpstreamTable upstreams = new UpstreamTable(Leavers.none(), DecisionLog.none());
-    private final ControlFeed feed = new ControlFeed(
+    private final ControlSubscription feed = new ControlSubscription(
             new DirectSettings("r", "z", "vm", List.of(FIRST), new RepeatLimits(0.2, 100, 10_000)),
             (deflated, whenRead) -> reading.add(whenRead),
             upstreams,
-            new PoisonSystem(DirectFixture.noPort(), upstreams, () -> now, "vm", DecisionLog.none()),
+            new PoisonGuard(DirectFixture.noClient(), upstreams, () -> now, "vm", DecisionLog.none()),
             new UsageMeter(OptionalLong.empty(), DecisionLog.none()),
             now,
             Invariants.throwing(),
@@ -49,23 +49,23 @@
     void anOlderBodyThatIsReadAfterANewerOneChangesNothing() {
         tell(FIRST, 8);
         tell(SECOND, 9);
-        feed.onBody(now, SECOND, body(9));
-        feed.onBody(now, FIRST, body(8));
+        feed.onConfigBody(now, SECOND, body(9));
+        feed.onConfigBody(now, FIRST, body(8));
         assertThat(reading).hasSize(2);
         reading.get(0).accept(Optional.of(table(9)));
-        assertThat(feed.version()).isEqualTo(9);
+        assertThat(feed.configVersion()).isEqualTo(9);
         reading.get(1).accept(Optional.of(table(8)));
-        assertThat(feed.version()).isEqualTo(9);
+        assertThat(feed.configVersion()).isEqualTo(9);
         assertThat(feed.routes().version()).isEqualTo(9);
     }
 
     @Example
     void theSameBodyTwiceIsTakenOnce() {
         tell(FIRST, 9);
-        feed.onBody(now, FIRST, body(9));
-        feed.onBody(now, SECOND, body(9));
+        feed.onConfigBody(now, FIRST, body(9));
+        feed.onConfigBody(now, SECOND, body(9));
         reading.forEach(whenRead -> whenRead.accept(Optional.of(table(9))));
-        assertThat(feed.version()).isEqualTo(9);
+        assertThat(feed.configVersion()).isEqualTo(9);
     }
 
     /* A body that can't be read would be fetched over and over, on a link that requests need. */
@@ -73,14 +73,14 @@
     void aBodyThatCannotBeReadIsNotFetchedAgain() {
         tell(FIRST, 9);
         feed.tick(now, out);
-        feed.onBody(now, FIRST, body(9));
+        feed.onConfigBody(now, FIRST, body(9));
         reading.getFirst().accept(Optional.empty());
         out.take(message -> true);
         now += Durations.nanos(5_000);
         tell(FIRST, 9);
         feed.tick(now, out);
         assertThat(out.take(Envelope::hasConfigFetch)).isEmpty();
-        assertThat(feed.version()).isZero();
+        assertThat(feed.configVersion()).isZero();
     }
 
     /* An entry that just started is ready only once it has read the version that a quorum confirmed. */
@@ -91,7 +91,7 @@
                 FIRST,
                 Update.newBuilder().setConfigVersion(9).setConfirmed(true).build());
         assertThat(feed.isReady()).isFalse();
-        feed.onBody(now, FIRST, body(9));
+        feed.onConfigBody(now, FIRST, body(9));
         assertThat(feed.isReady()).isFalse();
         reading.getFirst().accept(Optional.of(table(9)));
         assertThat(feed.isReady()).isTrue();
--- a/src/test/java/org/cuminshelf/direct/DirectFixture.java
+++ b/src/test/java/org/cuminshelf/direct/DirectFixture.java
@@ -48,10 +48,10 @@
 
     long now = Durations.nanos(10_000);
     final RecordingOutbox out = new RecordingOutbox();
-    final List<Sent> sent = new ArrayList<>();
+    final List<SentRequest> sentRequests = new ArrayList<>();
     final DirectCore core;
-    private RouteTable table;
-    private int beats;
+    private RouteTable routeTable;
+    private int directoryVersion;
     /** What a new connection to an upstream shows. */
     Reachability reachability = Reachability.LISTENING;
     /** New connections that were opened to see who listens. */
@@ -62,20 +62,20 @@
     }
 
     DirectFixture(Organisations organisations, Route... routes) {
-        this.table = table(7, organisations, routes);
+        this.routeTable = routeTable(7, organisations, routes);
         this.core = DirectCore.start(
                 new DirectSettings(
                         "r", "z", "vm", List.of(CONTROL), new RepeatLimits(0.2, 100, 10_000), OptionalLong.of(5_000)),
                 SELF,
-                new Protocol(),
-                RouteReader.atOnce(document -> Optional.of(table)),
-                new Port(),
+                new TestProtocol(),
+                RouteTableReader.synchronous(document -> Optional.of(routeTable)),
+                new RecordingClient(),
                 () -> now,
                 Invariants.throwing(),
                 DecisionLog.none());
     }
 
-    static RouteTable table(long version, Organisations organisations, Route... routes) {
+    static RouteTable routeTable(long version, Organisations organisations, Route... routes) {
         Map<String, RoutedService> services = Map.of("s", new RoutedService("s", 100, Optional.empty()));
         return RouteTable.of(version, List.of(routes), services, organisations, CallerLimits.DEFAULT);
     }
@@ -99,40 +99,40 @@
                 false);
     }
 
-    DirectFixture ready() {
-        update(Update.newBuilder().setVoter(true).setConfigVersion(7).setConfirmed(true));
-        return take(table);
+    DirectFixture becomeReady() {
+        sendUpdate(Update.newBuilder().setVoter(true).setConfigVersion(7).setConfirmed(true));
+        return applyConfig(routeTable);
     }
 
     /** The body of a configuration arrives. */
-    DirectFixture take(RouteTable newer) {
-        table = newer;
+    DirectFixture applyConfig(RouteTable routes) {
+        routeTable = routes;
         core.accept(
                 now,
                 Envelope.newBuilder()
                         .setFrom(CONTROL.value())
                         .setConfigBody(ConfigBody.newBuilder()
-                                .setVersion(newer.version())
+                                .setVersion(routes.version())
                                 .setDeflated(Deflated.deflate(ByteString.copyFromUtf8("x"))))
                         .build(),
                 out);
         return this;
     }
 
-    DirectFixture upstream(String id, Role role) {
-        update(Update.newBuilder()
+    DirectFixture addUpstream(String id, Role role) {
+        sendUpdate(Update.newBuilder()
                 .setDirectoryIncarnation(1)
-                .setDirectoryVersion(++beats)
-                .addUpstreams(beat(id, role)));
+                .setDirectoryVersion(++directoryVersion)
+                .addUpstreams(heartbeat(id, role)));
         return this;
     }
 
     /** Control names the entries that it hears from. */
-    void entries(String... addresses) {
-        update(Update.newBuilder().addAllEntryAddresses(List.of(addresses)));
+    void setEntries(String... addresses) {
+        sendUpdate(Update.newBuilder().addAllEntryAddresses(List.of(addresses)));
     }
 
-    static UpstreamBeat beat(String id, Role role) {
+    static UpstreamBeat heartbeat(String id, Role role) {
         return UpstreamBeat.newBuilder()
                 .setId(id)
                 .setName(id)
@@ -149,7 +149,7 @@
         return Address.of("10.9.0.1:" + (80 + id.hashCode() % 10_000));
     }
 
-    void update(Update.Builder update) {
+    void sendUpdate(Update.Builder update) {
         core.accept(
                 now,
                 Envelope.newBuilder().setFrom(CONTROL.value()).setUpdate(update).build(),
@@ -157,12 +157,12 @@
     }
 
     /** A caller's request; header Tokens makes it a generation of so many prompt tokens. */
-    Answer ask(String id, String... headers) {
+    CallerResponse sendRequest(String id, String... headers) {
         HttpFields.Mutable fields = HttpFields.build().put("Host", "h").put("Id", id);
         for (int index = 0; index < headers.length; index += 2) {
             fields.put(headers[index], headers[index + 1]);
         }
-        Answer answer = new Answer();
+        CallerResponse answer = new CallerResponse();
         core.onRequest(new ReceivedRequest("POST", "/a/b", fields.asImmutable(), new byte[0]), answer);
         return answer;
     }
@@ -171,10 +171,10 @@
      * Has another entry tell how long prompts took, alone and beside streams: a latency, and a time for each thousand
      * tokens. All that an entry decides of engines rests on such observations.
      */
-    DirectFixture teach(String engine, Role role, double latencyMillis, double millisPerThousand) {
+    DirectFixture reportPrefillTimes(String engine, Role role, double latencyMillis, double millisPerThousand) {
         for (int index = 0; index < 60; index++) {
             int tokens = 100 + 70 * index;
-            tell(EntryLoad.newBuilder()
+            reportLoad(EntryLoad.newBuilder()
                     .addTaken(TakenPrompt.newBuilder()
                             .setUpstream(engine)
                             .setBesideStreams(role != Role.ROLE_PREFILL)
@@ -185,7 +185,7 @@
     }
 
     /** Another entry tells what it has under way and saw. */
-    void tell(EntryLoad.Builder load) {
+    void reportLoad(EntryLoad.Builder load) {
         core.accept(
                 now,
                 Envelope.newBuilder()
@@ -195,7 +195,7 @@
                 out);
     }
 
-    void pass(long millis) {
+    void advance(long millis) {
         long end = now + Durations.nanos(millis);
         while (core.nextDue() < end) {
             now = Math.max(now, core.nextDue());
@@ -205,12 +205,12 @@
         core.tick(now, out);
     }
 
-    Sent last() {
-        return sent.getLast();
+    SentRequest lastSent() {
+        return sentRequests.getLast();
     }
 
     /** What the caller got. */
-    static final class Answer implements CallerExchange {
+    static final class CallerResponse implements CallerExchange {
         int status;
         HttpFields headers = HttpFields.EMPTY;
         final StringBuilder body = new StringBuilder();
@@ -248,19 +248,19 @@
     }
 
     /** What an upstream got, and the means to answer it. */
-    static final class Sent implements UpstreamExchange {
+    static final class SentRequest implements UpstreamExchange {
         final String upstream;
         final UpstreamRequest request;
         final UpstreamHandler handler;
         boolean cancelled;
 
-        Sent(String upstream, UpstreamRequest request, UpstreamHandler handler) {
+        SentRequest(String upstream, UpstreamRequest request, UpstreamHandler handler) {
             this.upstream = upstream;
             this.request = request;
             this.handler = handler;
         }
 
-        void head(int status, String... headers) {
+        void respondHead(int status, String... headers) {
             HttpFields.Mutable fields = HttpFields.build();
             for (int index = 0; index < headers.length; index += 2) {
                 fields.put(headers[index], headers[index + 1]);
@@ -268,17 +268,17 @@
             handler.onHead(status, fields);
         }
 
-        void sealed(int status) {
+        void respondSealedHead(int status) {
             handler.onHead(status, SEALED);
         }
 
-        void body(String text) {
+        void respondBody(String text) {
             handler.onBody(ByteBuffer.wrap(text.getBytes(StandardCharsets.UTF_8)));
         }
 
-        void whole(int status, String text) {
-            sealed(status);
-            body(text);
+        void respond(int status, String text) {
+            respondSealedHead(status);
+            respondBody(text);
             handler.onComplete();
         }
 
@@ -289,8 +289,8 @@
     }
 
     /** The way to upstreams of a test that sends nothing there. */
-    static UpstreamPort noPort() {
-        return new UpstreamPort() {
+    static UpstreamClient noClient() {
+        return new UpstreamClient() {
             @Override
             public UpstreamExchange send(
                     Address address, String upstream, UpstreamRequest request, UpstreamHandler handler) {
@@ -298,7 +298,7 @@
             }
 
             @Override
-            public void forgetIdle(Address address, String upstream) {
+            public void discardIdleConnections(Address address, String upstream) {
                 throw new UnsupportedOperationException("there are no connections here");
             }
 
@@ -309,17 +309,17 @@
         };
     }
 
-    private final class Port implements UpstreamPort {
+    private final class RecordingClient implements UpstreamClient {
         @Override
         public UpstreamExchange send(
                 Address address, String upstream, UpstreamRequest request, UpstreamHandler handler) {
-            Sent one = new Sent(upstream, request, handler);
-            sent.add(one);
+            SentRequest one = new SentRequest(upstream, request, handler);
+            sentRequests.add(one);
             return one;
         }
 
         @Override
-        public void forgetIdle(Address address, String upstream) {
+        public void discardIdleConnections(Address address, String upstream) {
             // No connections here.
         }
 
@@ -331,9 +331,9 @@
     }
 
     /** A protocol with the shortest names. */
-    private static final class Protocol implements UpstreamProtocol {
+    private static final class TestProtocol implements UpstreamProtocol {
         @Override
-        public CallIntent intent(ReceivedRequest request) {
+        public CallIntent readIntent(ReceivedRequest request) {
             HttpFields headers = request.headers();
             Optional<GenerationShape> shape = Optional.ofNullable(headers.get("Tokens"))
                     .map(tokens -> new GenerationShape(
@@ -363,7 +363,7 @@
         }
 
         @Override
-        public UpstreamRequest attempt(ReceivedRequest request, AttemptPlan plan) {
+        public UpstreamRequest attemptRequest(ReceivedRequest request, AttemptPlan plan) {
             HttpFields.Mutable fields = HttpFields.build()
                     .put("Expect", plan.upstream())
                     .put("Left", String.valueOf(plan.remainingMillis()))
@@ -376,13 +376,13 @@
         }
 
         @Override
-        public UpstreamRequest release(CacheHandle handle) {
+        public UpstreamRequest releaseRequest(CacheHandle handle) {
             return new UpstreamRequest("DELETE", "/" + handle.handle(), HttpFields.EMPTY, new byte[0]);
         }
 
         @Override
-        public AnswerFacts facts(int status, HttpFields headers) {
-            return new AnswerFacts(
+        public ResponseMetadata readMetadata(int status, HttpFields headers) {
+            return new ResponseMetadata(
                     Optional.ofNullable(headers.get("Id")),
                     headers.contains("Not-Run"),
                     Optional.ofNullable(headers.get("Start")),
@@ -391,7 +391,7 @@
         }
 
         @Override
-        public Optional<String> cacheHandle(byte[] body) {
+        public Optional<String> readCacheHandle(byte[] body) {
             return Optional.of(new String(body, StandardCharsets.UTF_8)).filter(text -> !text.isEmpty());
         }
     }
--- a/src/test/java/org/cuminshelf/direct/EarlyRequestsTest.java
+++ b/src/test/java/org/cuminshelf/direct/EarlyRequestsTest.java
@@ -24,27 +24,27 @@
     @Example
     void noMoreBytesWaitThanTheEntryHasRoomFor() {
         byte[] large = new byte[4 << 20];
-        DirectFixture.Answer first = new DirectFixture.Answer();
+        DirectFixture.CallerResponse first = new DirectFixture.CallerResponse();
         assertThat(add(first, large)).isTrue();
         for (int index = 0; index < 3; index++) {
-            assertThat(add(new DirectFixture.Answer(), large)).isTrue();
+            assertThat(add(new DirectFixture.CallerResponse(), large)).isTrue();
         }
-        assertThat(add(new DirectFixture.Answer(), large)).isFalse();
+        assertThat(add(new DirectFixture.CallerResponse(), large)).isFalse();
         assertThat(early.remove(first)).isTrue();
-        assertThat(add(new DirectFixture.Answer(), large)).isTrue();
+        assertThat(add(new DirectFixture.CallerResponse(), large)).isTrue();
         assertThat(early.takeAll()).hasSize(4);
-        assertThat(add(new DirectFixture.Answer(), large)).isTrue();
+        assertThat(add(new DirectFixture.CallerResponse(), large)).isTrue();
     }
 
     @Example
     void aRequestIsOverdueOnceItWaitedLongEnough() {
-        add(new DirectFixture.Answer(), new byte[0]);
+        add(new DirectFixture.CallerResponse(), new byte[0]);
         assertThat(early.takeOverdue(Durations.nanos(1_400))).isEmpty();
         assertThat(early.takeOverdue(Durations.nanos(1_600))).isPresent();
         assertThat(early.size()).isZero();
     }
 
-    private boolean add(DirectFixture.Answer caller, byte[] body) {
+    private boolean add(DirectFixture.CallerResponse caller, byte[] body) {
         ReceivedRequest request = new ReceivedRequest("POST", "/a/b", HttpFields.EMPTY, body);
         return early.add(0, request, caller, INTENT, 8_000);
     }
--- a/src/test/java/org/cuminshelf/direct/EventSplitterTest.java
+++ b/src/test/java/org/cuminshelf/direct/EventSplitterTest.java
@@ -29,7 +29,7 @@
             }
         }
         assertThat(count).isEqualTo(3);
-        assertThat(events.toString() + new String(splitter.rest(), StandardCharsets.UTF_8))
+        assertThat(events.toString() + new String(splitter.remainder(), StandardCharsets.UTF_8))
                 .isEqualTo(STREAM);
     }
 }
--- a/src/test/java/org/cuminshelf/direct/LargePromptsUnderLoadTest.java
+++ b/src/test/java/org/cuminshelf/direct/LargePromptsUnderLoadTest.java
@@ -25,10 +25,11 @@
     private static final int CALLS = 1_500;
 
     /** A prompt that the engine has and has not read yet, or a stream that has not ended. */
-    private record Running(DirectFixture.Sent sent, long endsAt) {}
+    private record Running(DirectFixture.SentRequest sent, long endsAt) {}
 
     private final UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(5);
-    private final DirectFixture entry = new DirectFixture(DirectFixture.route(RequestKind.STREAM, 1, false)).ready();
+    private final DirectFixture entry =
+            new DirectFixture(DirectFixture.route(RequestKind.STREAM, 1, false)).becomeReady();
     private final List<Running> running = new ArrayList<>();
     private long engineFreeAt;
 
@@ -38,20 +39,21 @@
      */
     @Example
     void largePromptsAreAnsweredHalfAsOftenAsAllAtLeast() {
-        entry.pass(5_000);
-        entry.upstream(ENGINE, Role.ROLE_DECODE);
-        entry.teach(ENGINE, Role.ROLE_DECODE, 5, 1_000 * MILLIS_PER_TOKEN);
-        List<DirectFixture.Answer> usual = new ArrayList<>();
-        List<DirectFixture.Answer> large = new ArrayList<>();
+        entry.advance(5_000);
+        entry.addUpstream(ENGINE, Role.ROLE_DECODE);
+        entry.reportPrefillTimes(ENGINE, Role.ROLE_DECODE, 5, 1_000 * MILLIS_PER_TOKEN);
+        List<DirectFixture.CallerResponse> usual = new ArrayList<>();
+        List<DirectFixture.CallerResponse> large = new ArrayList<>();
         for (int call = 0; call < CALLS; call++) {
             boolean isLarge = random.nextInt(10) == 0;
             int tokens = isLarge ? LARGE_TOKENS : USUAL_TOKENS + random.nextInt(USUAL_TOKENS);
-            int before = entry.sent.size();
-            (isLarge ? large : usual).add(entry.ask("r" + call, "Tokens", String.valueOf(tokens), "Shared", "1"));
+            int before = entry.sentRequests.size();
+            (isLarge ? large : usual)
+                    .add(entry.sendRequest("r" + call, "Tokens", String.valueOf(tokens), "Shared", "1"));
             take(before, tokens);
             for (int millis = 0; millis < GAP_MILLIS; millis++) {
-                int sentBefore = entry.sent.size();
-                entry.pass(1);
+                int sentBefore = entry.sentRequests.size();
+                entry.advance(1);
                 take(sentBefore, USUAL_TOKENS);
                 finish();
             }
@@ -62,7 +64,7 @@
         assertThat(largeShare).isGreaterThan(0.5 * allShare);
     }
 
-    private static double answered(List<DirectFixture.Answer> answers) {
+    private static double answered(List<DirectFixture.CallerResponse> answers) {
         long complete = answers.stream()
                 .filter(answer -> answer.complete && answer.status == 200)
                 .count();
@@ -71,7 +73,7 @@
 
     /** The engine takes what was sent since: it reads one prompt after the other. */
     private void take(int from, int tokens) {
-        for (DirectFixture.Sent sent : entry.sent.subList(from, entry.sent.size())) {
+        for (DirectFixture.SentRequest sent : entry.sentRequests.subList(from, entry.sentRequests.size())) {
             long start = Math.max(entry.now, engineFreeAt);
             engineFreeAt = start + Durations.nanos((long) (tokens * MILLIS_PER_TOKEN));
             running.add(new Running(sent, engineFreeAt));
@@ -80,7 +82,7 @@
 
     private void finish() {
         Iterator<Running> all = running.iterator();
-        List<DirectFixture.Sent> done = new ArrayList<>();
+        List<DirectFixture.SentRequest> done = new ArrayList<>();
         while (all.hasNext()) {
             Running one = all.next();
             if (one.endsAt <= entry.now) {
@@ -89,8 +91,8 @@
             }
         }
         done.stream().filter(sent -> !sent.cancelled).forEach(sent -> {
-            sent.sealed(200);
-            sent.body("id: 1\ndata: a\n\n");
+            sent.respondSealedHead(200);
+            sent.respondBody("id: 1\ndata: a\n\n");
             sent.handler.onComplete();
         });
     }
--- a/src/test/java/org/cuminshelf/direct/LoadGossipTest.java
+++ b/src/test/java/org/cuminshelf/direct/LoadGossipTest.java
@@ -20,16 +20,16 @@
     private static final String OTHER = "10.0.1.2:7000";
 
     private static DirectFixture entry() {
-        DirectFixture entry = new DirectFixture(DirectFixture.route(RequestKind.STREAM, 1, false)).ready();
-        entry.update(Update.newBuilder()
+        DirectFixture entry = new DirectFixture(DirectFixture.route(RequestKind.STREAM, 1, false)).becomeReady();
+        entry.sendUpdate(Update.newBuilder()
                 .addEntryAddresses(DirectFixture.SELF.value())
                 .addEntryAddresses(OTHER));
-        entry.pass(5_000);
-        entry.upstream("p0", Role.ROLE_PREFILL);
-        entry.upstream("p1", Role.ROLE_PREFILL);
-        entry.upstream("d0", Role.ROLE_DECODE);
-        entry.teach("p0", Role.ROLE_PREFILL, 5, 12);
-        entry.teach("d0", Role.ROLE_DECODE, 5, 100);
+        entry.advance(5_000);
+        entry.addUpstream("p0", Role.ROLE_PREFILL);
+        entry.addUpstream("p1", Role.ROLE_PREFILL);
+        entry.addUpstream("d0", Role.ROLE_DECODE);
+        entry.reportPrefillTimes("p0", Role.ROLE_PREFILL, 5, 12);
+        entry.reportPrefillTimes("d0", Role.ROLE_DECODE, 5, 100);
         return entry;
     }
 
@@ -47,12 +47,12 @@
     void aPromptIsToldBeforeOthersChooseByAnOldView() {
         DirectFixture entry = entry();
         told(entry);
-        entry.ask("r", "Tokens", "4000");
-        entry.pass(5);
+        entry.sendRequest("r", "Tokens", "4000");
+        entry.advance(5);
         List<EntryLoad> told = told(entry);
         assertThat(told).hasSize(1);
         assertThat(told.getFirst().getUpstreams(0).getPromptsList()).hasSize(1);
-        assertThat(told.getFirst().getSent(0).getUpstream()).isEqualTo(entry.last().upstream);
+        assertThat(told.getFirst().getSent(0).getUpstream()).isEqualTo(entry.lastSent().upstream);
         assertThat(told.getFirst().getSent(0).getReadyUs()).isPositive();
     }
 
@@ -73,11 +73,11 @@
         for (int other = 1; other < entries; other++) {
             update.addEntryAddresses("10.0.2." + other + ":7000");
         }
-        entry.update(update);
+        entry.sendUpdate(update);
         told(entry);
         for (int request = 0; request < 100; request++) {
-            entry.ask("r" + request, "Tokens", "100");
-            entry.pass(10);
+            entry.sendRequest("r" + request, "Tokens", "100");
+            entry.advance(10);
         }
         return told(entry).size();
     }
@@ -86,7 +86,7 @@
     @Example
     void whatAnotherEntryDoesNotNameAnyMoreIsForgotten() {
         DirectFixture entry = entry();
-        entry.tell(EntryLoad.newBuilder()
+        entry.reportLoad(EntryLoad.newBuilder()
                 .addUpstreams(UpstreamLoad.newBuilder()
                         .setId("p0")
                         .setRunning(1)
@@ -95,27 +95,27 @@
                         .setId("p1")
                         .setRunning(1)
                         .addPrompts(WaitingPrompt.newBuilder().setWorkUs(90_000))));
-        entry.tell(EntryLoad.newBuilder()
+        entry.reportLoad(EntryLoad.newBuilder()
                 .addUpstreams(UpstreamLoad.newBuilder()
                         .setId("p1")
                         .setRunning(1)
                         .addPrompts(WaitingPrompt.newBuilder().setWorkUs(90_000))));
-        entry.ask("r", "Tokens", "4000");
-        assertThat(entry.last().upstream).isEqualTo("p0");
+        entry.sendRequest("r", "Tokens", "4000");
+        assertThat(entry.lastSent().upstream).isEqualTo("p0");
     }
 
     @Example
     void whatTheOthersSentCountsAtTheEngineThatGotIt() {
         DirectFixture entry = entry();
         for (String busy : List.of("p0", "p1")) {
-            entry.tell(EntryLoad.newBuilder()
+            entry.reportLoad(EntryLoad.newBuilder()
                     .addUpstreams(UpstreamLoad.newBuilder()
                             .setId(busy)
                             .setRunning(1)
                             .addPrompts(WaitingPrompt.newBuilder().setWorkUs(90_000))));
-            entry.ask("r" + busy, "Tokens", "4000");
-            assertThat(entry.last().upstream).isNotEqualTo(busy).startsWith("p");
-            entry.last().handler.onFailed(true, "reset");
+            entry.sendRequest("r" + busy, "Tokens", "4000");
+            assertThat(entry.lastSent().upstream).isNotEqualTo(busy).startsWith("p");
+            entry.lastSent().handler.onFailed(true, "reset");
         }
     }
 
@@ -125,52 +125,52 @@
     @Example
     void partsThatTheOthersSentAreFetched() {
         DirectFixture entry = entry();
-        entry.tell(EntryLoad.newBuilder()
+        entry.reportLoad(EntryLoad.newBuilder()
                 .addSent(SentPrompt.newBuilder()
                         .setUpstream("p0")
                         .addParts("shared")
                         .addTokens(5_000)
                         .setReadyUs(20_000)));
-        entry.tell(EntryLoad.newBuilder()
+        entry.reportLoad(EntryLoad.newBuilder()
                 .addUpstreams(UpstreamLoad.newBuilder()
                         .setId("p0")
                         .setRunning(1)
                         .addPrompts(WaitingPrompt.newBuilder().setWorkUs(150_000))));
-        entry.pass(30);
-        entry.ask("r", "Tokens", "6000", "Shared", "5000");
-        assertThat(entry.last().upstream).isEqualTo("p1");
-        assertThat(entry.last().request.headers().get("Parts-From"))
+        entry.advance(30);
+        entry.sendRequest("r", "Tokens", "6000", "Shared", "5000");
+        assertThat(entry.lastSent().upstream).isEqualTo("p1");
+        assertThat(entry.lastSent().request.headers().get("Parts-From"))
                 .isEqualTo(DirectFixture.address("p0").value());
     }
 
     @Example
     void anIncompleteWordOfAPromptChangesNothing() {
         DirectFixture entry = entry();
-        entry.tell(EntryLoad.newBuilder()
+        entry.reportLoad(EntryLoad.newBuilder()
                 .addSent(SentPrompt.newBuilder().setUpstream("p0").addParts("shared"))
                 .addSent(SentPrompt.newBuilder()
                         .setUpstream("gone")
                         .addParts("x")
                         .addTokens(1)));
-        entry.ask("r", "Tokens", "6000", "Shared", "5000");
-        assertThat(entry.last().request.headers().contains("Parts-From")).isFalse();
+        entry.sendRequest("r", "Tokens", "6000", "Shared", "5000");
+        assertThat(entry.lastSent().request.headers().contains("Parts-From")).isFalse();
     }
 
     /** Guards against entries that each pay a request to learn what another one was told by an upstream. */
     @Example
     void whatUpstreamsAskForIsTold() {
         DirectFixture entry = new DirectFixture(DirectFixture.route(RequestKind.NON_IDEMPOTENT, 1, false))
-                .ready()
-                .upstream("u1", Role.ROLE_MIXED);
-        entry.entries(DirectFixture.SELF.value(), "10.0.1.2:7000");
-        entry.ask("a");
-        DirectFixture.Sent first = entry.last();
-        entry.ask("b");
-        first.head(503, "Not-Run", "1", "Rest", "3000", "Limit", "2.5");
+                .becomeReady()
+                .addUpstream("u1", Role.ROLE_MIXED);
+        entry.setEntries(DirectFixture.SELF.value(), "10.0.1.2:7000");
+        entry.sendRequest("a");
+        DirectFixture.SentRequest first = entry.lastSent();
+        entry.sendRequest("b");
+        first.respondHead(503, "Not-Run", "1", "Rest", "3000", "Limit", "2.5");
         first.handler.onComplete();
-        entry.last().head(200, "Seal", "s", "Leaving", "1");
+        entry.lastSent().respondHead(200, "Seal", "s", "Leaving", "1");
         told(entry);
-        entry.pass(150);
+        entry.advance(150);
         EntryLoad told = told(entry).getLast();
         assertThat(told.getLimits(0).getPerSecond()).isEqualTo(2.5);
         assertThat(told.getDemands(0).getCallsPerSecond()).isPositive();
@@ -181,18 +181,18 @@
     @Example
     void whatAnUpstreamAskedOfAnotherEntryIsTaken() {
         DirectFixture entry = new DirectFixture(DirectFixture.route(RequestKind.NON_IDEMPOTENT, 1, false))
-                .ready()
-                .upstream("u1", Role.ROLE_MIXED)
-                .upstream("u2", Role.ROLE_MIXED);
-        entry.tell(EntryLoad.newBuilder()
+                .becomeReady()
+                .addUpstream("u1", Role.ROLE_MIXED)
+                .addUpstream("u2", Role.ROLE_MIXED);
+        entry.reportLoad(EntryLoad.newBuilder()
                 .addLimits(HeardLimit.newBuilder().setUpstream("u1").setPerSecond(2))
                 .addLeaving("u2"));
         assertThat(entry.core.limitedUpstreams()).isEqualTo(1);
-        DirectFixture.Answer refused = entry.ask("a");
+        DirectFixture.CallerResponse refused = entry.sendRequest("a");
         assertThat(refused.status).isEqualTo(503);
-        assertThat(entry.sent).isEmpty();
-        entry.pass(501);
-        entry.ask("b");
-        assertThat(entry.last().upstream).isEqualTo("u1");
+        assertThat(entry.sentRequests).isEmpty();
+        entry.advance(501);
+        entry.sendRequest("b");
+        assertThat(entry.lastSent().upstream).isEqualTo("u1");
     }
 }
