--- a/src/test/java/org/cuminshelf/direct/OfferedWorkTest.java
+++ b/src/test/java/org/cuminshelf/direct/OfferedWorkTest.java
@@ -19,16 +19,16 @@
     private static final int PLACES = 6;
 
     private static DirectFixture fleet() {
-        DirectFixture entry = new DirectFixture(DirectFixture.route(RequestKind.STREAM, 1, false)).ready();
+        DirectFixture entry = new DirectFixture(DirectFixture.route(RequestKind.STREAM, 1, false)).becomeReady();
         // Long after its start: a young entry waits for upstreams that it has not heard of.
-        entry.pass(5_000);
-        entry.upstream("p0", Role.ROLE_PREFILL).upstream("d0", Role.ROLE_DECODE);
-        entry.teach("p0", Role.ROLE_PREFILL, 5, 12).teach("d0", Role.ROLE_DECODE, 5, 24);
+        entry.advance(5_000);
+        entry.addUpstream("p0", Role.ROLE_PREFILL).addUpstream("d0", Role.ROLE_DECODE);
+        entry.reportPrefillTimes("p0", Role.ROLE_PREFILL, 5, 12).reportPrefillTimes("d0", Role.ROLE_DECODE, 5, 24);
         return entry;
     }
 
     private static OfferedWork told(DirectFixture entry) {
-        entry.pass(ASKED_EVERY_MILLIS);
+        entry.advance(ASKED_EVERY_MILLIS);
         return entry.out.take(Envelope::hasSubscribe).stream()
                 .map(Envelope::getSubscribe)
                 .reduce((first, second) -> second)
@@ -46,15 +46,15 @@
     void whatIsRefusedForWantOfAPlaceIsNoWorkForEnginesThatRead() {
         DirectFixture entry = fleet();
         for (int stream = 0; stream < PLACES; stream++) {
-            entry.ask("s" + stream, "Tokens", "10");
+            entry.sendRequest("s" + stream, "Tokens", "10");
         }
         OfferedWork before = told(entry);
-        int sentBefore = entry.sent.size();
+        int sentBefore = entry.sentRequests.size();
         for (int call = 0; call < CALLS; call++) {
-            entry.ask("r" + call, "Tokens", "600", "Shared", "1");
+            entry.sendRequest("r" + call, "Tokens", "600", "Shared", "1");
         }
-        entry.pass(100);
-        assertThat(entry.sent).hasSize(sentBefore);
+        entry.advance(100);
+        assertThat(entry.sentRequests).hasSize(sentBefore);
         OfferedWork after = told(entry);
         assertThat(after.getDecode()).isGreaterThan(before.getDecode());
         assertThat(after.getPrefill()).isEqualTo(before.getPrefill());
@@ -64,11 +64,11 @@
     @Example
     void whatIsHandedOverIsOfferedOnce() {
         DirectFixture entry = fleet();
-        entry.ask("r", "Tokens", "4000", "Shared", "1");
-        assertThat(entry.last().upstream).isEqualTo("p0");
+        entry.sendRequest("r", "Tokens", "4000", "Shared", "1");
+        assertThat(entry.lastSent().upstream).isEqualTo("p0");
         OfferedWork read = told(entry);
-        entry.last().whole(200, "handle");
-        assertThat(entry.last().upstream).isEqualTo("d0");
+        entry.lastSent().respond(200, "handle");
+        assertThat(entry.lastSent().upstream).isEqualTo("d0");
         assertThat(told(entry)).isEqualTo(read);
     }
 
@@ -76,14 +76,14 @@
     @Example
     void whatIsRefusedForWantOfTimeIsNoWorkForEnginesThatGenerate() {
         DirectFixture entry = fleet();
-        entry.ask("warm", "Tokens", "4000");
+        entry.sendRequest("warm", "Tokens", "4000");
         OfferedWork one = told(entry);
         for (int call = 0; call < CALLS; call++) {
-            entry.ask("r" + call, "Tokens", "4000");
+            entry.sendRequest("r" + call, "Tokens", "4000");
         }
         OfferedWork all = told(entry);
-        assertThat(entry.sent.size()).isLessThan(CALLS / 2);
+        assertThat(entry.sentRequests.size()).isLessThan(CALLS / 2);
         assertThat(all.getPrefill()).isGreaterThan(CALLS / 2 * one.getPrefill());
-        assertThat(all.getDecode()).isLessThanOrEqualTo((entry.sent.size() + 1) * one.getDecode());
+        assertThat(all.getDecode()).isLessThanOrEqualTo((entry.sentRequests.size() + 1) * one.getDecode());
     }
 }
--- a/src/test/java/org/cuminshelf/direct/OrganisationCallsTest.java
+++ b/src/test/java/org/cuminshelf/direct/OrganisationCallsTest.java
@@ -42,46 +42,46 @@
 
     private static DirectFixture entry(Organisations organisations, Route route) {
         return new DirectFixture(organisations, route)
-                .ready()
-                .upstream("u1", Role.ROLE_DECODE)
-                .upstream("u2", Role.ROLE_DECODE);
+                .becomeReady()
+                .addUpstream("u1", Role.ROLE_DECODE)
+                .addUpstream("u2", Role.ROLE_DECODE);
     }
 
     @Example
     void eachAttemptCarriesTheNameOfTheOrganisation() {
         DirectFixture entry = entry(ACME, ROUTE);
-        entry.ask("x", "Key", "k2");
-        assertThat(entry.last().request.headers().get("Organisation")).isEqualTo("acme");
-        entry.last().handler.onFailed(true, "reset");
-        assertThat(entry.sent).hasSize(2);
-        assertThat(entry.last().request.headers().get("Organisation")).isEqualTo("acme");
+        entry.sendRequest("x", "Key", "k2");
+        assertThat(entry.lastSent().request.headers().get("Organisation")).isEqualTo("acme");
+        entry.lastSent().handler.onFailed(true, "reset");
+        assertThat(entry.sentRequests).hasSize(2);
+        assertThat(entry.lastSent().request.headers().get("Organisation")).isEqualTo("acme");
     }
 
     @Example
     void aRequestWithoutAKnownKeyReachesNoUpstream() {
         DirectFixture entry = entry(ACME, ROUTE);
-        assertThat(entry.ask("x").status).isEqualTo(401);
-        assertThat(entry.ask("y", "Key", "unknown").status).isEqualTo(401);
-        assertThat(entry.sent).isEmpty();
+        assertThat(entry.sendRequest("x").status).isEqualTo(401);
+        assertThat(entry.sendRequest("y", "Key", "unknown").status).isEqualTo(401);
+        assertThat(entry.sentRequests).isEmpty();
     }
 
     @Example
     void aPublicRouteNeedsNoKeyAndNamesTheHolderOfAKnownOne() {
         DirectFixture entry = entry(ACME, open());
-        entry.ask("x", "Key", "unknown");
-        assertThat(entry.last().request.headers().get("Organisation")).isNull();
-        entry.ask("y", "Key", "k1");
-        assertThat(entry.last().request.headers().get("Organisation")).isEqualTo("acme");
+        entry.sendRequest("x", "Key", "unknown");
+        assertThat(entry.lastSent().request.headers().get("Organisation")).isNull();
+        entry.sendRequest("y", "Key", "k1");
+        assertThat(entry.lastSent().request.headers().get("Organisation")).isEqualTo("acme");
     }
 
     /* A key is taken away; a caller that kept its connection open goes on with it. */
     @Example
     void aKeyThatWasTakenAwayIsRefusedFromTheNextRequestOn() {
         DirectFixture entry = entry(ACME, ROUTE);
-        DirectFixture.Answer before = entry.ask("x", "Key", "k1");
-        entry.take(DirectFixture.table(8, organisations("k2"), ROUTE));
-        assertThat(entry.ask("y", "Key", "k1").status).isEqualTo(401);
-        entry.last().whole(200, "done");
+        DirectFixture.CallerResponse before = entry.sendRequest("x", "Key", "k1");
+        entry.applyConfig(DirectFixture.routeTable(8, organisations("k2"), ROUTE));
+        assertThat(entry.sendRequest("y", "Key", "k1").status).isEqualTo(401);
+        entry.lastSent().respond(200, "done");
         assertThat(before.status).isEqualTo(200);
     }
 
@@ -92,25 +92,25 @@
     @Example
     void anUnknownKeyMayComeBackWhileANewerConfigurationIsOnItsWay() {
         DirectFixture entry = entry(ACME, ROUTE);
-        entry.update(Update.newBuilder().setVoter(true).setConfigVersion(8));
-        DirectFixture.Answer early = entry.ask("x", "Key", "k3");
+        entry.sendUpdate(Update.newBuilder().setVoter(true).setConfigVersion(8));
+        DirectFixture.CallerResponse early = entry.sendRequest("x", "Key", "k3");
         assertThat(early.status).isEqualTo(503);
         assertThat(early.headers.contains("Retry-After")).isTrue();
-        entry.take(DirectFixture.table(8, organisations("k2", "k3"), ROUTE));
-        entry.ask("y", "Key", "k3");
-        assertThat(entry.last().request.headers().get("Organisation")).isEqualTo("acme");
-        assertThat(entry.ask("z", "Key", "k1").status).isEqualTo(401);
+        entry.applyConfig(DirectFixture.routeTable(8, organisations("k2", "k3"), ROUTE));
+        entry.sendRequest("y", "Key", "k3");
+        assertThat(entry.lastSent().request.headers().get("Organisation")).isEqualTo("acme");
+        assertThat(entry.sendRequest("z", "Key", "k1").status).isEqualTo(401);
     }
 
     /* The same at an entry that hears from no control process, and can't know of what was added since. */
     @Example
     void anUnknownKeyMayComeBackWhileNothingIsHeardFromControl() {
         DirectFixture entry = entry(ACME, ROUTE);
-        entry.pass(2_000);
-        assertThat(entry.ask("x", "Key", "k3").status).isEqualTo(503);
-        entry.ask("y", "Key", "k1");
-        assertThat(entry.sent).hasSize(1);
-        entry.update(Update.newBuilder().setVoter(true).setConfigVersion(7));
-        assertThat(entry.ask("z", "Key", "k3").status).isEqualTo(401);
+        entry.advance(2_000);
+        assertThat(entry.sendRequest("x", "Key", "k3").status).isEqualTo(503);
+        entry.sendRequest("y", "Key", "k1");
+        assertThat(entry.sentRequests).hasSize(1);
+        entry.sendUpdate(Update.newBuilder().setVoter(true).setConfigVersion(7));
+        assertThat(entry.sendRequest("z", "Key", "k3").status).isEqualTo(401);
     }
 }
--- a/src/test/java/org/cuminshelf/direct/PlacementTest.java
+++ b/src/test/java/org/cuminshelf/direct/PlacementTest.java
@@ -17,20 +17,20 @@
     private static final long PATIENCE_OVER = 200;
 
     private static DirectFixture fleet(int prefill, int decode) {
-        DirectFixture entry = new DirectFixture(DirectFixture.route(RequestKind.STREAM, 1, false)).ready();
+        DirectFixture entry = new DirectFixture(DirectFixture.route(RequestKind.STREAM, 1, false)).becomeReady();
         // Long after its start: a young entry waits for upstreams that it has not heard of.
-        entry.pass(5_000);
+        entry.advance(5_000);
         for (int index = 0; index < prefill; index++) {
-            entry.upstream("p" + index, Role.ROLE_PREFILL);
+            entry.addUpstream("p" + index, Role.ROLE_PREFILL);
         }
         for (int index = 0; index < decode; index++) {
-            entry.upstream("d" + index, Role.ROLE_DECODE);
+            entry.addUpstream("d" + index, Role.ROLE_DECODE);
         }
         // Engines that read 85 tokens a millisecond, half as many beside streams.
         if (prefill > 0) {
-            entry.teach("p0", Role.ROLE_PREFILL, 5, 1_000 / 85.0);
+            entry.reportPrefillTimes("p0", Role.ROLE_PREFILL, 5, 1_000 / 85.0);
         }
-        entry.teach("d0", Role.ROLE_DECODE, 5, 2_000 / 85.0);
+        entry.reportPrefillTimes("d0", Role.ROLE_DECODE, 5, 2_000 / 85.0);
         return entry;
     }
 
@@ -44,13 +44,13 @@
         for (int index = 0; index < 12; index++) {
             pausingStream(entry, "s" + index);
         }
-        entry.sent.clear();
+        entry.sentRequests.clear();
         for (int index = 0; index < 60; index++) {
-            entry.ask("r" + index, "Tokens", "2000");
+            entry.sendRequest("r" + index, "Tokens", "2000");
         }
-        entry.pass(PATIENCE_OVER);
+        entry.advance(PATIENCE_OVER);
         Map<String, Integer> counts = new HashMap<>();
-        entry.sent.forEach(sent -> counts.merge(sent.upstream, 1, Integer::sum));
+        entry.sentRequests.forEach(sent -> counts.merge(sent.upstream, 1, Integer::sum));
         assertThat(counts.getOrDefault("d0", 0)).isLessThanOrEqualTo(2);
         assertThat(counts.getOrDefault("d1", 0)).isLessThanOrEqualTo(2);
         // 2,000 tokens take 24 ms, so that some seven of them make 150 ms for the next.
@@ -60,12 +60,12 @@
 
     /** A stream that pauses for nearly as long as callers bear. */
     private static void pausingStream(DirectFixture entry, String id) {
-        entry.ask(id, "Tokens", "20");
-        DirectFixture.Sent sent = entry.last();
-        sent.sealed(200);
+        entry.sendRequest(id, "Tokens", "20");
+        DirectFixture.SentRequest sent = entry.lastSent();
+        sent.respondSealedHead(200);
         for (int event = 1; event <= 5; event++) {
-            sent.body("id: " + event + "\ndata: a\n\n");
-            entry.pass(event == 3 ? DirectFixture.PAUSE_MILLIS - 10 : 20);
+            sent.respondBody("id: " + event + "\ndata: a\n\n");
+            entry.advance(event == 3 ? DirectFixture.PAUSE_MILLIS - 10 : 20);
         }
         sent.handler.onComplete();
     }
@@ -77,13 +77,13 @@
     @Example
     void aPromptThatWouldWaitForManyOthersIsRefused() {
         DirectFixture entry = fleet(1, 1);
-        DirectFixture.Answer answer = entry.ask("r", "Tokens", "4000");
+        DirectFixture.CallerResponse answer = entry.sendRequest("r", "Tokens", "4000");
         for (int index = 0; index < 20 && answer.status == 0; index++) {
-            answer = entry.ask("r" + index, "Tokens", "4000");
+            answer = entry.sendRequest("r" + index, "Tokens", "4000");
         }
-        entry.pass(PATIENCE_OVER);
+        entry.advance(PATIENCE_OVER);
         assertThat(answer.status).isEqualTo(503);
-        assertThat(entry.sent).hasSizeBetween(3, 6);
+        assertThat(entry.sentRequests).hasSizeBetween(3, 6);
         assertThat(answer.headers.get("Retry-After")).isNotNull();
     }
 
@@ -94,15 +94,15 @@
     @Example
     void anEngineFetchesTheSharedPartsThatItLacksFromTheOneThatHoldsThem() {
         DirectFixture entry = fleet(2, 1);
-        entry.ask("warm", "Tokens", "100", "Shared", "10");
-        entry.ask("first", "Tokens", "6000", "Shared", "5000");
-        DirectFixture.Sent first = entry.last();
-        entry.pass(100);
-        first.whole(200, "handle");
-        DirectFixture.Sent next = first;
+        entry.sendRequest("warm", "Tokens", "100", "Shared", "10");
+        entry.sendRequest("first", "Tokens", "6000", "Shared", "5000");
+        DirectFixture.SentRequest first = entry.lastSent();
+        entry.advance(100);
+        first.respond(200, "handle");
+        DirectFixture.SentRequest next = first;
         for (int index = 0; next.upstream.equals(first.upstream) && index < 20; index++) {
-            entry.ask("r" + index, "Tokens", "6000", "Shared", "5000");
-            next = entry.last();
+            entry.sendRequest("r" + index, "Tokens", "6000", "Shared", "5000");
+            next = entry.lastSent();
         }
         assertThat(next.upstream).isNotEqualTo(first.upstream);
         assertThat(next.request.headers().get("Parts-From"))
@@ -116,11 +116,11 @@
     @Example
     void aPartThatIsStillBeingReadIsNotFetched() {
         DirectFixture entry = fleet(2, 1);
-        entry.ask("first", "Tokens", "6000", "Shared", "5000");
-        String first = entry.last().upstream;
+        entry.sendRequest("first", "Tokens", "6000", "Shared", "5000");
+        String first = entry.lastSent().upstream;
         for (int index = 0; index < 20; index++) {
-            entry.ask("r" + index, "Tokens", "6000", "Shared", "5000");
-            DirectFixture.Sent next = entry.last();
+            entry.sendRequest("r" + index, "Tokens", "6000", "Shared", "5000");
+            DirectFixture.SentRequest next = entry.lastSent();
             assertThat(next.upstream.equals(first) || !next.request.headers().contains("Parts-From"))
                     .isTrue();
         }
@@ -133,11 +133,11 @@
     @Example
     void requestsOfOneSubjectKeepToOneEngineWhileItIsNotLate() {
         DirectFixture entry = fleet(4, 1);
-        entry.ask("warm", "Tokens", "100");
-        entry.ask("r0", "Tokens", "6000", "Shared", "5000");
-        String home = entry.last().upstream;
-        entry.ask("r1", "Tokens", "5500", "Shared", "5000");
-        assertThat(entry.last().upstream).isEqualTo(home);
+        entry.sendRequest("warm", "Tokens", "100");
+        entry.sendRequest("r0", "Tokens", "6000", "Shared", "5000");
+        String home = entry.lastSent().upstream;
+        entry.sendRequest("r1", "Tokens", "5500", "Shared", "5000");
+        assertThat(entry.lastSent().upstream).isEqualTo(home);
     }
 
     /*
@@ -148,13 +148,13 @@
     void aShortPromptKeepsOffAnEngineCrowdedWithStreams() {
         DirectFixture entry = fleet(1, 1);
         for (int index = 0; index < 4; index++) {
-            entry.ask("r" + index, "Tokens", "900");
-            assertThat(entry.last().upstream).isEqualTo("d0");
-            entry.last().sealed(200);
-            entry.last().body("id: 1\ndata: a\n\n");
+            entry.sendRequest("r" + index, "Tokens", "900");
+            assertThat(entry.lastSent().upstream).isEqualTo("d0");
+            entry.lastSent().respondSealedHead(200);
+            entry.lastSent().respondBody("id: 1\ndata: a\n\n");
         }
-        entry.ask("next", "Tokens", "900");
-        assertThat(entry.last().upstream).isEqualTo("p0");
+        entry.sendRequest("next", "Tokens", "900");
+        assertThat(entry.lastSent().upstream).isEqualTo("p0");
     }
 
     /*
@@ -166,10 +166,10 @@
         DirectFixture entry = fleet(1, 4);
         Set<String> engines = new HashSet<>();
         for (int index = 0; index < 4; index++) {
-            entry.ask("r" + index, "Tokens", "12000", "Shared", "5000");
-            entry.last().whole(200, "handle" + index);
-            assertThat(entry.last().request.headers().get("Cache")).isEqualTo("handle" + index);
-            engines.add(entry.last().upstream);
+            entry.sendRequest("r" + index, "Tokens", "12000", "Shared", "5000");
+            entry.lastSent().respond(200, "handle" + index);
+            assertThat(entry.lastSent().request.headers().get("Cache")).isEqualTo("handle" + index);
+            engines.add(entry.lastSent().upstream);
         }
         assertThat(engines).hasSize(1);
     }
@@ -182,18 +182,21 @@
     @Example
     void moreStreamsThanThereArePlacesAreRefusedWithATimeToComeBack() {
         DirectFixture entry = fleet(1, 1);
-        DirectFixture.Answer answer = entry.ask("r", "Tokens", "100");
+        DirectFixture.CallerResponse answer = entry.sendRequest("r", "Tokens", "100");
         for (int index = 0; index < 20; index++) {
-            answer = entry.ask("r" + index, "Tokens", "100");
+            answer = entry.sendRequest("r" + index, "Tokens", "100");
         }
-        entry.pass(PATIENCE_OVER);
-        long onDecode =
-                entry.sent.stream().filter(sent -> sent.upstream.equals("d0")).count();
+        entry.advance(PATIENCE_OVER);
+        long onDecode = entry.sentRequests.stream()
+                .filter(sent -> sent.upstream.equals("d0"))
+                .count();
         assertThat(onDecode).isLessThanOrEqualTo(6);
-        entry.sent.stream().filter(sent -> sent.upstream.equals("d0")).forEach(sent -> sent.sealed(200));
+        entry.sentRequests.stream()
+                .filter(sent -> sent.upstream.equals("d0"))
+                .forEach(sent -> sent.respondSealedHead(200));
         assertThat(answer.status).isIn(0, 503);
-        DirectFixture.Answer last = entry.ask("last", "Tokens", "100");
-        entry.pass(PATIENCE_OVER);
+        DirectFixture.CallerResponse last = entry.sendRequest("last", "Tokens", "100");
+        entry.advance(PATIENCE_OVER);
         assertThat(last.headers.get("Retry-After")).isEqualTo("1.0");
     }
 
@@ -205,16 +208,16 @@
     void aStreamWaitsAMomentForAPlace() {
         DirectFixture entry = fleet(0, 1);
         for (int index = 0; index < 6; index++) {
-            entry.ask("r" + index, "Tokens", "10");
+            entry.sendRequest("r" + index, "Tokens", "10");
         }
-        DirectFixture.Answer waiting = entry.ask("waiting", "Tokens", "10");
-        int before = entry.sent.size();
-        entry.pass(20);
-        assertThat(entry.sent).hasSize(before);
+        DirectFixture.CallerResponse waiting = entry.sendRequest("waiting", "Tokens", "10");
+        int before = entry.sentRequests.size();
+        entry.advance(20);
+        assertThat(entry.sentRequests).hasSize(before);
         assertThat(waiting.status).isZero();
-        entry.sent.getFirst().whole(200, "id: 1\ndata: a\n\n");
-        entry.pass(20);
-        assertThat(entry.sent).hasSize(before + 1);
+        entry.sentRequests.getFirst().respond(200, "id: 1\ndata: a\n\n");
+        entry.advance(20);
+        assertThat(entry.sentRequests).hasSize(before + 1);
     }
 
     /*
@@ -223,18 +226,18 @@
      */
     @Example
     void aStreamThatHasBegunGoesOnThoughAllPlacesAreTaken() {
-        DirectFixture entry = new DirectFixture(DirectFixture.route(RequestKind.STREAM, 2, true)).ready();
-        entry.upstream("d0", Role.ROLE_DECODE);
-        DirectFixture.Answer answer = entry.ask("first", "Tokens", "100");
-        DirectFixture.Sent first = entry.last();
-        first.sealed(200);
-        first.body("id: 1\ndata: a\n\n");
-        entry.upstream("d1", Role.ROLE_DECODE);
+        DirectFixture entry = new DirectFixture(DirectFixture.route(RequestKind.STREAM, 2, true)).becomeReady();
+        entry.addUpstream("d0", Role.ROLE_DECODE);
+        DirectFixture.CallerResponse answer = entry.sendRequest("first", "Tokens", "100");
+        DirectFixture.SentRequest first = entry.lastSent();
+        first.respondSealedHead(200);
+        first.respondBody("id: 1\ndata: a\n\n");
+        entry.addUpstream("d1", Role.ROLE_DECODE);
         for (int index = 0; index < 30; index++) {
-            entry.ask("r" + index, "Tokens", "100");
+            entry.sendRequest("r" + index, "Tokens", "100");
         }
         first.handler.onFailed(true, "reset");
-        assertThat(entry.last().upstream).isEqualTo("d1");
+        assertThat(entry.lastSent().upstream).isEqualTo("d1");
         assertThat(answer.aborted).isFalse();
     }
 
@@ -242,9 +245,9 @@
     void withoutEnginesForPromptsTheOthersTakeThemAll() {
         DirectFixture entry = fleet(0, 2);
         for (int index = 0; index < 6; index++) {
-            entry.ask("r" + index, "Tokens", "2000");
+            entry.sendRequest("r" + index, "Tokens", "2000");
         }
-        entry.pass(PATIENCE_OVER);
-        assertThat(entry.sent).hasSize(6);
+        entry.advance(PATIENCE_OVER);
+        assertThat(entry.sentRequests).hasSize(6);
     }
 }
--- a/src/test/java/org/cuminshelf/direct/PoisonCallsTest.java
+++ b/src/test/java/org/cuminshelf/direct/PoisonGuardTest.java
@@ -16,15 +16,15 @@
 import org.cuminshelf.routes.RequestKind;
 
 /** What an entry does with calls under which upstreams ended. */
-class PoisonCallsTest {
+class PoisonGuardTest {
 
     /** The fingerprint of all requests of {@link DirectFixture#ask}. */
     private static final Fingerprint REQUEST = Fingerprint.of("POST", "h", "/a/b", "", new byte[0]);
 
     private static DirectFixture entry(boolean resumable) {
-        DirectFixture entry = new DirectFixture(DirectFixture.route(RequestKind.STREAM, 3, resumable)).ready();
+        DirectFixture entry = new DirectFixture(DirectFixture.route(RequestKind.STREAM, 3, resumable)).becomeReady();
         for (int number = 1; number <= 4; number++) {
-            entry.upstream("u" + number, Role.ROLE_DECODE);
+            entry.addUpstream("u" + number, Role.ROLE_DECODE);
         }
         return entry;
     }
@@ -54,7 +54,7 @@
 
     /** What the entry told control of crashes since the last question, and does within 20 ms. */
     private static List<Subscribe> told(DirectFixture entry) {
-        entry.pass(20);
+        entry.advance(20);
         return entry.out.take(message -> message.hasSubscribe()).stream()
                 .map(message -> message.getSubscribe())
                 .filter(subscribe -> subscribe.getCrashesCount() > 0)
@@ -64,9 +64,9 @@
     @Example
     void aQuarantinedRequestIsRefusedBeforeAnythingIsSentAndToldWhenToComeBack() {
         DirectFixture entry = entry(true);
-        entry.update(Update.newBuilder().addQuarantined(quarantined()));
-        DirectFixture.Answer answer = entry.ask("a", "Tokens", "600");
-        assertThat(entry.sent).isEmpty();
+        entry.sendUpdate(Update.newBuilder().addQuarantined(quarantined()));
+        DirectFixture.CallerResponse answer = entry.sendRequest("a", "Tokens", "600");
+        assertThat(entry.sentRequests).isEmpty();
         assertThat(answer.status).isEqualTo(503);
         assertThat(answer.headers.get("Retry-After")).isEqualTo("3600.0");
         assertThat(answer.body.toString()).contains(REQUEST.toString());
@@ -76,11 +76,11 @@
     @Example
     void aReleasedRequestIsServedAgain() {
         DirectFixture entry = entry(true);
-        entry.update(Update.newBuilder().addQuarantined(quarantined()));
-        entry.update(
+        entry.sendUpdate(Update.newBuilder().addQuarantined(quarantined()));
+        entry.sendUpdate(
                 Update.newBuilder().addQuarantined(quarantined().toBuilder().setReleased(true)));
-        DirectFixture.Answer answer = entry.ask("a", "Tokens", "600");
-        entry.last().whole(200, "id: 1\ndata: a\n\n");
+        DirectFixture.CallerResponse answer = entry.sendRequest("a", "Tokens", "600");
+        entry.lastSent().respond(200, "id: 1\ndata: a\n\n");
         assertThat(answer.status).isEqualTo(200);
     }
 
@@ -89,11 +89,11 @@
      */
     @Example
     void copiesThatWaitAreRefusedWhenTheWordComes() {
-        DirectFixture entry = new DirectFixture(DirectFixture.route(RequestKind.STREAM, 2, true)).ready();
-        DirectFixture.Answer waiting = entry.ask("a", "Tokens", "600");
+        DirectFixture entry = new DirectFixture(DirectFixture.route(RequestKind.STREAM, 2, true)).becomeReady();
+        DirectFixture.CallerResponse waiting = entry.sendRequest("a", "Tokens", "600");
         assertThat(waiting.complete).as("no upstream is known yet").isFalse();
-        entry.update(Update.newBuilder().addQuarantined(quarantined()));
-        entry.pass(1);
+        entry.sendUpdate(Update.newBuilder().addQuarantined(quarantined()));
+        entry.advance(1);
         assertThat(waiting.status).isEqualTo(503);
         assertThat(waiting.headers.get("Retry-After")).isEqualTo("3600.0");
     }
@@ -101,11 +101,11 @@
     @Example
     void copiesThatRunAreStoppedWhenTheWordComes() {
         DirectFixture entry = entry(false);
-        DirectFixture.Answer running = entry.ask("a", "Tokens", "600");
-        assertThat(entry.sent).hasSize(1);
-        entry.update(Update.newBuilder().addQuarantined(quarantined()));
-        entry.pass(1);
-        assertThat(entry.last().cancelled).isTrue();
+        DirectFixture.CallerResponse running = entry.sendRequest("a", "Tokens", "600");
+        assertThat(entry.sentRequests).hasSize(1);
+        entry.sendUpdate(Update.newBuilder().addQuarantined(quarantined()));
+        entry.advance(1);
+        assertThat(entry.lastSent().cancelled).isTrue();
         assertThat(running.status).as("it may have run").isEqualTo(502);
         assertThat(entry.core.openCalls()).isZero();
     }
@@ -114,21 +114,21 @@
     void aRequestUnderWhichTwoUpstreamsEndedIsNotPlacedAgainWithinItsCall() {
         DirectFixture entry = entry(true);
         entry.reachability = Reachability.REFUSED;
-        DirectFixture.Answer answer = entry.ask("a", "Tokens", "600");
-        entry.last().handler.onFailed(true, "closed");
-        assertThat(entry.sent).as("placed again after the first").hasSize(2);
-        entry.last().handler.onFailed(true, "closed");
-        assertThat(entry.sent).as("not placed again after the second").hasSize(2);
+        DirectFixture.CallerResponse answer = entry.sendRequest("a", "Tokens", "600");
+        entry.lastSent().handler.onFailed(true, "closed");
+        assertThat(entry.sentRequests).as("placed again after the first").hasSize(2);
+        entry.lastSent().handler.onFailed(true, "closed");
+        assertThat(entry.sentRequests).as("not placed again after the second").hasSize(2);
         assertThat(answer.status).isEqualTo(502);
     }
 
     @Example
     void controlHearsAtOnceOfACrashAndHowFarTheRequestHadCome() {
         DirectFixture entry = entry(false);
-        entry.ask("a", "Tokens", "600");
+        entry.sendRequest("a", "Tokens", "600");
         told(entry);
         entry.reachability = Reachability.REFUSED;
-        entry.last().handler.onFailed(true, "closed");
+        entry.lastSent().handler.onFailed(true, "closed");
         List<Subscribe> told = told(entry);
         assertThat(told).hasSize(1);
         CrashedRun run = told.getFirst().getCrashes(0).getRuns(0);
@@ -139,12 +139,12 @@
     @Example
     void aStreamThatHadRunForAWhileIsToldAsSuch() {
         DirectFixture entry = entry(false);
-        entry.ask("a", "Tokens", "600");
-        entry.last().sealed(200);
-        entry.last().body("id: 1\ndata: a\n\n");
-        entry.pass(400);
+        entry.sendRequest("a", "Tokens", "600");
+        entry.lastSent().respondSealedHead(200);
+        entry.lastSent().respondBody("id: 1\ndata: a\n\n");
+        entry.advance(400);
         entry.reachability = Reachability.REFUSED;
-        entry.last().handler.onFailed(true, "closed");
+        entry.lastSent().handler.onFailed(true, "closed");
         assertThat(told(entry).getFirst().getCrashes(0).getRuns(0).getInvolvement())
                 .isEqualTo(Involvement.UNDER_WAY);
     }
@@ -156,8 +156,8 @@
     void aConnectionThatBreaksWhileTheUpstreamStillListensIsNoCrash() {
         DirectFixture entry = entry(false);
         entry.reachability = Reachability.LISTENING;
-        entry.ask("a", "Tokens", "600");
-        entry.last().handler.onFailed(true, "reset");
+        entry.sendRequest("a", "Tokens", "600");
+        entry.lastSent().handler.onFailed(true, "reset");
         assertThat(told(entry)).isEmpty();
     }
 
@@ -165,13 +165,13 @@
     void theEndOfAnUpstreamThatSaidItLeavesIsNoCrash() {
         DirectFixture entry = entry(false);
         entry.reachability = Reachability.REFUSED;
-        entry.ask("a", "Tokens", "600");
-        String upstream = entry.last().upstream;
-        entry.update(Update.newBuilder()
-                .addUpstreams(DirectFixture.beat(upstream, Role.ROLE_DECODE).toBuilder()
+        entry.sendRequest("a", "Tokens", "600");
+        String upstream = entry.lastSent().upstream;
+        entry.sendUpdate(Update.newBuilder()
+                .addUpstreams(DirectFixture.heartbeat(upstream, Role.ROLE_DECODE).toBuilder()
                         .setSequence(2)
                         .setLeaving(true)));
-        entry.last().handler.onFailed(true, "closed");
+        entry.lastSent().handler.onFailed(true, "closed");
         assertThat(told(entry)).isEmpty();
         assertThat(entry.probes).as("nobody needs to look").isZero();
     }
@@ -180,16 +180,16 @@
     void theEndOfAnUpstreamThatSaidItLeavesJustAfterItsConnectionsBrokeIsNoCrash() {
         DirectFixture entry = entry(false);
         entry.reachability = Reachability.UNKNOWN;
-        entry.ask("a", "Tokens", "600");
-        String upstream = entry.last().upstream;
-        entry.last().handler.onFailed(true, "closed");
-        entry.update(Update.newBuilder()
-                .addUpstreams(DirectFixture.beat(upstream, Role.ROLE_DECODE).toBuilder()
+        entry.sendRequest("a", "Tokens", "600");
+        String upstream = entry.lastSent().upstream;
+        entry.lastSent().handler.onFailed(true, "closed");
+        entry.sendUpdate(Update.newBuilder()
+                .addUpstreams(DirectFixture.heartbeat(upstream, Role.ROLE_DECODE).toBuilder()
                         .setSequence(2)
                         .setLeaving(true)));
-        entry.pass(2_000);
-        entry.update(Update.newBuilder()
-                .addUpstreams(DirectFixture.beat("next", Role.ROLE_DECODE).toBuilder()
+        entry.advance(2_000);
+        entry.sendUpdate(Update.newBuilder()
+                .addUpstreams(DirectFixture.heartbeat("next", Role.ROLE_DECODE).toBuilder()
                         .setAddress(DirectFixture.address(upstream).value())));
         assertThat(told(entry)).isEmpty();
     }
@@ -202,13 +202,13 @@
     void aCrashThatNothingShowsAtOnceIsSeenWhenAnotherStartHasTheAddress() {
         DirectFixture entry = entry(false);
         entry.reachability = Reachability.UNKNOWN;
-        entry.ask("a", "Tokens", "600");
-        String upstream = entry.last().upstream;
-        entry.last().handler.onFailed(true, "closed");
+        entry.sendRequest("a", "Tokens", "600");
+        String upstream = entry.lastSent().upstream;
+        entry.lastSent().handler.onFailed(true, "closed");
         assertThat(told(entry)).isEmpty();
-        entry.pass(2_000);
-        entry.update(Update.newBuilder()
-                .addUpstreams(DirectFixture.beat("next", Role.ROLE_DECODE).toBuilder()
+        entry.advance(2_000);
+        entry.sendUpdate(Update.newBuilder()
+                .addUpstreams(DirectFixture.heartbeat("next", Role.ROLE_DECODE).toBuilder()
                         .setAddress(DirectFixture.address(upstream).value())));
         assertThat(told(entry)).hasSize(1);
     }
@@ -223,24 +223,24 @@
         DirectFixture entry = entry(false);
         Fingerprint other = new Fingerprint(3, 4);
         for (String upstream : List.of("u1", "u2", "u3")) {
-            entry.update(Update.newBuilder().addCrashes(crash(upstream, other)));
+            entry.sendUpdate(Update.newBuilder().addCrashes(crash(upstream, other)));
         }
         for (int call = 0; call < 4; call++) {
-            entry.ask("b" + call, "Tokens", "600");
+            entry.sendRequest("b" + call, "Tokens", "600");
         }
-        assertThat(entry.sent).hasSize(4).allMatch(sent -> sent.upstream.equals("u4"));
+        assertThat(entry.sentRequests).hasSize(4).allMatch(sent -> sent.upstream.equals("u4"));
     }
 
     @Example
     void aSuspectThatEndsWellIsToldAsCleared() {
         DirectFixture entry = entry(false);
-        entry.update(Update.newBuilder().addCrashes(crash("a")));
-        entry.ask("a", "Tokens", "600");
-        entry.last().whole(200, "id: 1\ndata: a\n\n");
-        entry.pass(600);
+        entry.sendUpdate(Update.newBuilder().addCrashes(crash("a")));
+        entry.sendRequest("a", "Tokens", "600");
+        entry.lastSent().respond(200, "id: 1\ndata: a\n\n");
+        entry.advance(600);
         assertThat(told(entry).getLast().getCrashes(0).getRuns(0).getInvolvement())
                 .isEqualTo(Involvement.CLEARED);
-        entry.pass(1_000);
+        entry.advance(1_000);
         assertThat(entry.core.suspectedRequests()).isZero();
     }
 
@@ -251,26 +251,26 @@
     @Example
     void oneThatMayBePoisonIsAskedToComeBackUntilAllCrashesAreTold() {
         DirectFixture entry = entry(false);
-        entry.update(Update.newBuilder()
+        entry.sendUpdate(Update.newBuilder()
                 .addCrashes(crash("a"))
                 .addCrashes(crash("b"))
                 .addCrashes(crash("c")));
-        DirectFixture.Answer answer = entry.ask("a", "Tokens", "600");
-        assertThat(entry.sent).isEmpty();
+        DirectFixture.CallerResponse answer = entry.sendRequest("a", "Tokens", "600");
+        assertThat(entry.sentRequests).isEmpty();
         assertThat(answer.status).isEqualTo(503);
         assertThat(answer.headers.get("Retry-After")).isEqualTo("0.5");
-        entry.pass(1_400);
+        entry.advance(1_400);
         assertThat(entry.core.quarantinedRequests()).isEqualTo(1);
     }
 
     @Example
     void aRequestThatWaitedForTheRoutesIsRefusedToo() {
         DirectFixture entry = new DirectFixture(DirectFixture.route(RequestKind.STREAM, 2, true));
-        entry.update(Update.newBuilder().addQuarantined(quarantined()));
-        DirectFixture.Answer answer = entry.ask("a", "Tokens", "600");
-        entry.ready().upstream("u1", Role.ROLE_DECODE);
-        entry.pass(10);
-        assertThat(entry.sent).isEmpty();
+        entry.sendUpdate(Update.newBuilder().addQuarantined(quarantined()));
+        DirectFixture.CallerResponse answer = entry.sendRequest("a", "Tokens", "600");
+        entry.becomeReady().addUpstream("u1", Role.ROLE_DECODE);
+        entry.advance(10);
+        assertThat(entry.sentRequests).isEmpty();
         assertThat(answer.status).isEqualTo(503);
     }
 }
--- a/src/test/java/org/cuminshelf/direct/SharedPartsTest.java
+++ b/src/test/java/org/cuminshelf/direct/SharedPartsTest.java
@@ -20,16 +20,16 @@
     @Property(seed = "11")
     void aSourceIsAnotherEngineThatHoldsMoreThanIsKnownOfTheOwn(
             @ForAll @IntRange(min = 1, max = 12) int engines, @ForAll @IntRange(max = 0xFFF) int holders) {
-        List<UpstreamRow> rows = rows(engines, engines / 3);
+        List<UpstreamInstance> rows = rows(engines, engines / 3);
         for (int index = 0; index < engines; index++) {
             if ((holders >> index & 1) == 1) {
-                rows.get(index).cache.add(SHAPE.parts().subList(0, 1), 0);
+                rows.get(index).promptCache.add(SHAPE.parts().subList(0, 1), 0);
             }
         }
         SharedParts shared = SharedParts.of(SHAPE, rows, 0);
-        for (UpstreamRow row : rows) {
-            Optional<UpstreamRow> source = shared.sourceFor(row);
-            int known = row.cache.heldTokens(SHAPE.parts());
+        for (UpstreamInstance row : rows) {
+            Optional<UpstreamInstance> source = shared.sourceFor(row);
+            int known = row.promptCache.heldTokens(SHAPE.parts());
             assertThat(source).isNotEqualTo(Optional.of(row));
             source.ifPresent(other -> assertThat(shared.heldBy(other)).isGreaterThan(known));
             boolean elsewhere = rows.stream().anyMatch(other -> other != row && shared.heldBy(other) >= known + 256);
@@ -43,8 +43,8 @@
      */
     @Example
     void onlySubjectsOfTheEngineThatLeftGetAnotherHome() {
-        List<UpstreamRow> before = rows(9, 3);
-        List<UpstreamRow> after = before.subList(0, 8);
+        List<UpstreamInstance> before = rows(9, 3);
+        List<UpstreamInstance> after = before.subList(0, 8);
         int moved = 0;
         for (int subject = 0; subject < 200; subject++) {
             String old = home(subject, before);
@@ -55,19 +55,19 @@
         assertThat(moved).isBetween(15, 55);
     }
 
-    private static String home(int subject, List<UpstreamRow> rows) {
+    private static String home(int subject, List<UpstreamInstance> rows) {
         GenerationShape shape = new GenerationShape(
                 "m", 100, 1, List.of(new PromptPart("subject" + subject, 50), new PromptPart("own", 50)));
         SharedParts shared = SharedParts.of(shape, rows, 0);
         return rows.stream().filter(shared::isHomeOfStreams).findFirst().orElseThrow().id;
     }
 
-    private static List<UpstreamRow> rows(int engines, int prefill) {
-        List<UpstreamRow> rows = new ArrayList<>();
+    private static List<UpstreamInstance> rows(int engines, int prefill) {
+        List<UpstreamInstance> rows = new ArrayList<>();
         for (int index = 0; index < engines; index++) {
             Role role = index < prefill ? Role.ROLE_PREFILL : Role.ROLE_DECODE;
-            UpstreamRow row = new UpstreamRow(0, DirectFixture.beat("u" + index, role));
-            row.onBeat(DirectFixture.beat("u" + index, role));
+            UpstreamInstance row = new UpstreamInstance(0, DirectFixture.heartbeat("u" + index, role));
+            row.applyHeartbeat(DirectFixture.heartbeat("u" + index, role));
             rows.add(row);
         }
         return rows;
--- a/src/test/java/org/cuminshelf/direct/UpstreamTableTest.java
+++ b/src/test/java/org/cuminshelf/direct/UpstreamTableTest.java
@@ -28,13 +28,13 @@
     void anEmptyListOfAControlProcessThatJustStartedEmptiesNothing() {
         tell(1, 1, false, beat());
         tell(2, 1, true);
-        assertThat(table.ofService("s")).hasSize(1);
+        assertThat(table.instancesOf("s")).hasSize(1);
         now += Durations.nanos(5_000);
         table.tick(now);
-        assertThat(table.ofService("s")).hasSize(1);
+        assertThat(table.instancesOf("s")).hasSize(1);
         now += Durations.nanos(2_000);
         table.tick(now);
-        assertThat(table.ofService("s")).isEmpty();
+        assertThat(table.instancesOf("s")).isEmpty();
     }
 
     /*
@@ -58,22 +58,22 @@
                 CONTROL,
                 change.toBuilder().setDirectoryVersion(22).setDirectorySince(21).build());
         assertThat(table.directoryVersion(CONTROL)).isEqualTo(22);
-        assertThat(table.ofService("s")).hasSize(1);
+        assertThat(table.instancesOf("s")).hasSize(1);
     }
 
     /** Guards against new work for an upstream that leaves and is listed anew by a control process that missed it. */
     @Example
     void anUpstreamThatSaidInAnAnswerThatItLeavesStaysLeaving() {
         tell(1, 1, false, beat());
-        UpstreamRow row = table.ofService("s").getFirst();
-        table.leaves(now, row.id, true, "answer");
-        assertThat(row.leaving).isTrue();
+        UpstreamInstance row = table.instancesOf("s").getFirst();
+        table.markDraining(now, row.id, true, "answer");
+        assertThat(row.draining).isTrue();
         tell(1, 2, true);
         now += Durations.nanos(7_000);
         table.tick(now);
-        assertThat(table.ofService("s")).isEmpty();
+        assertThat(table.instancesOf("s")).isEmpty();
         tell(1, 3, false, beat().toBuilder().setSequence(9).build());
-        assertThat(table.ofService("s").getFirst().leaving).isTrue();
+        assertThat(table.instancesOf("s").getFirst().draining).isTrue();
     }
 
     @Example
@@ -81,26 +81,26 @@
         tell(1, 1, false, beat());
         tell(1, 2, false, beat().toBuilder().setDeleted(true).build());
         tell(1, 3, false, beat().toBuilder().setSequence(9).build());
-        assertThat(table.ofService("s")).isEmpty();
+        assertThat(table.instancesOf("s")).isEmpty();
     }
 
     @Example
     void anUpstreamThatIsLeavingStaysSo() {
         tell(1, 1, false, beat().toBuilder().setLeaving(true).setSequence(5).build());
         tell(1, 2, false, beat().toBuilder().setSequence(4).build());
-        assertThat(table.row("u").orElseThrow().leaving).isTrue();
+        assertThat(table.instance("u").orElseThrow().draining).isTrue();
     }
 
     @Example
     void failuresInARowMakeAnUpstreamAvoidedAndASuccessEndsThat() {
         tell(1, 1, false, beat());
-        UpstreamRow row = table.row("u").orElseThrow();
-        row.failed(now);
+        UpstreamInstance row = table.instance("u").orElseThrow();
+        row.recordFailure(now);
         assertThat(row.isAvoided(now)).isFalse();
-        row.failed(now);
+        row.recordFailure(now);
         assertThat(row.isAvoided(now)).isTrue();
         assertThat(row.isAvoided(now + Durations.nanos(500))).isFalse();
-        row.succeeded(1);
+        row.recordSuccess(1);
         assertThat(row.isAvoided(now)).isFalse();
     }
 
@@ -111,19 +111,20 @@
     @Example
     void aLaterStartOfAnUpstreamHasNothingOfTheFormer() {
         tell(1, 1, false, start(1_000));
-        UpstreamRow former = table.ofService("s").getFirst();
-        former.cache.add(List.of(new PromptPart("p", 100)), now);
-        former.running = 3;
-        former.failed(now);
-        former.failed(now);
+        UpstreamInstance former = table.instancesOf("s").getFirst();
+        former.promptCache.add(List.of(new PromptPart("p", 100)), now);
+        former.localAttempts = 3;
+        former.recordFailure(now);
+        former.recordFailure(now);
         tell(1, 2, false, start(9_000));
-        assertThat(table.ofService("s")).hasSize(1);
-        UpstreamRow row = table.ofService("s").getFirst();
+        assertThat(table.instancesOf("s")).hasSize(1);
+        UpstreamInstance row = table.instancesOf("s").getFirst();
         assertThat(row.id).isNotEqualTo(former.id);
-        assertThat(row.cache.heldTokens(List.of(new PromptPart("p", 100)))).isZero();
-        assertThat(row.occupancy()).isZero();
+        assertThat(row.promptCache.heldTokens(List.of(new PromptPart("p", 100))))
+                .isZero();
+        assertThat(row.totalAttempts()).isZero();
         assertThat(row.isAvoided(now)).isFalse();
-        assertThat(former.leaving).isTrue();
+        assertThat(former.draining).isTrue();
     }
 
     @Example
@@ -131,8 +132,8 @@
         tell(1, 1, false, start(9_000));
         tell(1, 2, false, start(1_000));
         tell(1, 3, false, start(1_000).toBuilder().setDeleted(true).build());
-        assertThat(table.ofService("s")).hasSize(1);
-        assertThat(table.ofService("s").getFirst().bornMillis).isEqualTo(9_000);
+        assertThat(table.instancesOf("s")).hasSize(1);
+        assertThat(table.instancesOf("s").getFirst().startedAtMillis).isEqualTo(9_000);
     }
 
     /*
@@ -142,20 +143,20 @@
     @Example
     void whatOthersHaveAtAnEngineIsWhatTheyToldLast() {
         tell(1, 1, false, beat());
-        UpstreamRow row = table.row("u").orElseThrow();
+        UpstreamInstance row = table.instance("u").orElseThrow();
         Address first = Address.of("10.0.1.2:7");
         Address second = Address.of("10.0.1.3:7");
-        table.onLoad(now, first, load(3, 300));
-        table.onLoad(now, second, load(2, 200));
-        table.onLoad(now, first, load(1, 100));
-        assertThat(row.occupancy()).isEqualTo(3);
-        assertThat(row.memoryTokens()).isEqualTo(300);
-        table.onLoad(now, second, EntryLoad.getDefaultInstance());
-        assertThat(row.occupancy()).isEqualTo(1);
+        table.applyLoad(now, first, load(3, 300));
+        table.applyLoad(now, second, load(2, 200));
+        table.applyLoad(now, first, load(1, 100));
+        assertThat(row.totalAttempts()).isEqualTo(3);
+        assertThat(row.totalMemoryTokens()).isEqualTo(300);
+        table.applyLoad(now, second, EntryLoad.getDefaultInstance());
+        assertThat(row.totalAttempts()).isEqualTo(1);
         now += Durations.nanos(1_500);
         table.tick(now);
-        assertThat(row.occupancy()).isZero();
-        assertThat(row.memoryTokens()).isZero();
+        assertThat(row.totalAttempts()).isZero();
+        assertThat(row.totalMemoryTokens()).isZero();
     }
 
     private static EntryLoad load(int running, int tokens) {
@@ -181,6 +182,6 @@
     }
 
     private static UpstreamBeat beat() {
-        return DirectFixture.beat("u", Role.ROLE_MIXED);
+        return DirectFixture.heartbeat("u", Role.ROLE_MIXED);
     }
 }
--- a/src/test/java/org/cuminshelf/direct/UsageMeterTest.java
+++ b/src/test/java/org/cuminshelf/direct/UsageMeterTest.java
@@ -25,9 +25,9 @@
 
     private static DirectFixture entry(RequestKind kind) {
         DirectFixture entry = new DirectFixture(ACME, DirectFixture.route(kind, 3, true))
-                .ready()
-                .upstream("u1", Role.ROLE_DECODE)
-                .upstream("u2", Role.ROLE_DECODE);
+                .becomeReady()
+                .addUpstream("u1", Role.ROLE_DECODE)
+                .addUpstream("u2", Role.ROLE_DECODE);
         entry.core.accept(
                 entry.now,
                 Envelope.newBuilder()
@@ -41,7 +41,7 @@
     /** What the entry tells of usage next. */
     private static Subscribe told(DirectFixture entry) {
         entry.out.take(Envelope::hasSubscribe);
-        entry.pass(600);
+        entry.advance(600);
         return entry.out.take(Envelope::hasSubscribe).getFirst().getSubscribe();
     }
 
@@ -55,10 +55,10 @@
     @Example
     void aStreamCountsOnceItShowedItsFirstEvent() {
         DirectFixture entry = entry(RequestKind.STREAM);
-        entry.ask("x", "Key", "k");
+        entry.sendRequest("x", "Key", "k");
         assertThat(counted(entry)).isZero();
-        entry.last().sealed(200);
-        entry.last().body("id: 1\ndata: a\n\n");
+        entry.lastSent().respondSealedHead(200);
+        entry.lastSent().respondBody("id: 1\ndata: a\n\n");
         assertThat(counted(entry)).isEqualTo(1);
     }
 
@@ -66,25 +66,25 @@
     @Example
     void aStreamThatGoesOnElsewhereCountsOnce() {
         DirectFixture entry = entry(RequestKind.STREAM);
-        entry.ask("x", "Key", "k");
-        entry.last().sealed(200);
-        entry.last().body("id: 1\ndata: a\n\n");
-        entry.last().handler.onFailed(true, "reset");
-        entry.last().sealed(200);
-        entry.last().body("id: 2\ndata: b\n\n");
-        assertThat(entry.sent).hasSize(2);
+        entry.sendRequest("x", "Key", "k");
+        entry.lastSent().respondSealedHead(200);
+        entry.lastSent().respondBody("id: 1\ndata: a\n\n");
+        entry.lastSent().handler.onFailed(true, "reset");
+        entry.lastSent().respondSealedHead(200);
+        entry.lastSent().respondBody("id: 2\ndata: b\n\n");
+        assertThat(entry.sentRequests).hasSize(2);
         assertThat(counted(entry)).isEqualTo(1);
     }
 
     @Example
     void aPlainCallThatAnUpstreamRefusedDoesNotCount() {
         DirectFixture entry = entry(RequestKind.IDEMPOTENT);
-        entry.ask("x", "Key", "k");
-        entry.last().head(503, "Not-Run", "1");
-        entry.last().handler.onComplete();
-        assertThat(entry.sent).hasSize(2);
+        entry.sendRequest("x", "Key", "k");
+        entry.lastSent().respondHead(503, "Not-Run", "1");
+        entry.lastSent().handler.onComplete();
+        assertThat(entry.sentRequests).hasSize(2);
         assertThat(counted(entry)).isZero();
-        entry.last().whole(200, "done");
+        entry.lastSent().respond(200, "done");
         assertThat(counted(entry)).isEqualTo(1);
     }
 
@@ -92,8 +92,8 @@
     @Example
     void aPlainCallWhoseAnswerWasLostCounts() {
         DirectFixture entry = entry(RequestKind.NON_IDEMPOTENT);
-        entry.ask("x", "Key", "k");
-        entry.last().handler.onFailed(true, "reset");
+        entry.sendRequest("x", "Key", "k");
+        entry.lastSent().handler.onFailed(true, "reset");
         assertThat(counted(entry)).isEqualTo(1);
     }
 
@@ -101,12 +101,12 @@
     @Example
     void onlyWhatControlHasNotHeardIsToldAgain() {
         DirectFixture entry = entry(RequestKind.IDEMPOTENT);
-        entry.ask("x", "Key", "k");
-        entry.last().whole(200, "done");
+        entry.sendRequest("x", "Key", "k");
+        entry.lastSent().respond(200, "done");
         Subscribe first = told(entry);
         assertThat(first.getUsageCount()).isEqualTo(1);
         assertThat(told(entry).getUsageCount()).isEqualTo(1);
-        entry.update(Update.newBuilder().setVoter(true).setConfigVersion(7).setUsageHeard(first.getUsageVersion()));
+        entry.sendUpdate(Update.newBuilder().setVoter(true).setConfigVersion(7).setUsageHeard(first.getUsageVersion()));
         assertThat(told(entry).getUsageCount()).isZero();
         assertThat(first.getUsageUntil()).isLessThanOrEqualTo(first.getUsage(0).getWindow());
     }
--- a/src/test/java/org/cuminshelf/platform/PlatformProtocolTest.java
+++ b/src/test/java/org/cuminshelf/platform/PlatformProtocolTest.java
@@ -10,10 +10,10 @@
 import net.jqwik.api.Example;
 import org.cuminshelf.backpressure.StatedLimit;
 import org.cuminshelf.core.Address;
-import org.cuminshelf.direct.AnswerFacts;
 import org.cuminshelf.direct.AttemptPlan;
 import org.cuminshelf.direct.CacheHandle;
 import org.cuminshelf.direct.CallIntent;
+import org.cuminshelf.direct.ResponseMetadata;
 import org.cuminshelf.exchange.ReceivedRequest;
 import org.cuminshelf.exchange.UpstreamRequest;
 import org.cuminshelf.organisations.CallerKey;
@@ -46,7 +46,7 @@
 
     @Example
     void whatACallerAsksForIsRead() {
-        CallIntent intent = protocol.intent(request(
+        CallIntent intent = protocol.readIntent(request(
                 Headers.REQUEST_ID,
                 "x",
                 Headers.DEADLINE,
@@ -64,7 +64,7 @@
     @Example
     void headersThatCanNotBeReadAreTakenForAbsent() {
         CallIntent intent =
-                protocol.intent(request(Headers.DEADLINE, "soon", Headers.TOKENS, "many", Headers.LAST_EVENT, ""));
+                protocol.readIntent(request(Headers.DEADLINE, "soon", Headers.TOKENS, "many", Headers.LAST_EVENT, ""));
         assertThat(intent.deadlineMillis()).isEmpty();
         assertThat(intent.generation()).isEmpty();
         assertThat(intent.resumeAfter()).isEmpty();
@@ -76,7 +76,7 @@
      */
     @Example
     void whatOnlyTheSystemSetsIsNotTakenFromACaller() {
-        UpstreamRequest sent = protocol.attempt(
+        UpstreamRequest sent = protocol.attemptRequest(
                 request(
                         "x-cuminshelf-kv-source",
                         "evil",
@@ -124,7 +124,7 @@
      */
     @Example
     void anUpstreamGetsTheNameOfTheOrganisationAndNeverAKey() {
-        UpstreamRequest sent = protocol.attempt(
+        UpstreamRequest sent = protocol.attemptRequest(
                 request(
                         Headers.CALLER_KEY,
                         "secret-1",
@@ -144,39 +144,39 @@
     void inNobodysNameMeansThatNoNameIsSent() {
         AttemptPlan nobodys = new AttemptPlan(
                 "i-1", Optional.empty(), 750, 3, false, Optional.empty(), Optional.empty(), OptionalLong.empty());
-        UpstreamRequest sent = protocol.attempt(request(Headers.ORGANISATION, "forged"), nobodys);
+        UpstreamRequest sent = protocol.attemptRequest(request(Headers.ORGANISATION, "forged"), nobodys);
         assertThat(sent.headers().contains(Headers.ORGANISATION)).isFalse();
     }
 
     @Example
     void whatIsReadOfARequestShowsNoKey() {
-        CallIntent intent = protocol.intent(request(Headers.CALLER_KEY, "secret"));
+        CallIntent intent = protocol.readIntent(request(Headers.CALLER_KEY, "secret"));
         assertThat(intent.keys().only()).hasValue(CallerKey.of("secret"));
         assertThat(intent.toString()).doesNotContain("secret");
-        CallIntent twice = protocol.intent(request(Headers.CALLER_KEY, "a", Headers.CALLER_KEY, "b"));
+        CallIntent twice = protocol.readIntent(request(Headers.CALLER_KEY, "a", Headers.CALLER_KEY, "b"));
         assertThat(twice.keys().only()).isEmpty();
     }
 
     @Example
     void aCacheIsNamedByItsEngineAndHandle() {
         CacheHandle cache = new CacheHandle(Address.of("10.0.0.1:80"), "k");
-        assertThat(protocol.attempt(request(), plan(false, Optional.of(cache)))
+        assertThat(protocol.attemptRequest(request(), plan(false, Optional.of(cache)))
                         .headers()
                         .get(Headers.CACHE_SOURCE))
                 .isEqualTo("10.0.0.1:80/k");
-        assertThat(protocol.release(cache).target()).isEqualTo("/cuminshelf/kv-handle/k");
-        assertThat(protocol.cacheHandle("{\"kvHandle\":\"k\"}".getBytes())).hasValue("k");
-        assertThat(protocol.cacheHandle("{".getBytes())).isEmpty();
+        assertThat(protocol.releaseRequest(cache).target()).isEqualTo("/cuminshelf/kv-handle/k");
+        assertThat(protocol.readCacheHandle("{\"kvHandle\":\"k\"}".getBytes())).hasValue("k");
+        assertThat(protocol.readCacheHandle("{".getBytes())).isEmpty();
     }
 
     @Example
     void aRefusalThatStatesItDidNotRunIsToldFromOneThatDoesNot() {
-        AnswerFacts stated = protocol.facts(503, HttpFields.build().put(Headers.NOT_EXECUTED, "1"));
-        AnswerFacts silent = protocol.facts(503, HttpFields.EMPTY);
-        AnswerFacts other = protocol.facts(421, HttpFields.build().put(Headers.ANSWERING_START, "i-2"));
+        ResponseMetadata stated = protocol.readMetadata(503, HttpFields.build().put(Headers.NOT_EXECUTED, "1"));
+        ResponseMetadata silent = protocol.readMetadata(503, HttpFields.EMPTY);
+        ResponseMetadata other = protocol.readMetadata(421, HttpFields.build().put(Headers.ANSWERING_START, "i-2"));
         assertThat(stated.notExecuted()).isTrue();
         assertThat(silent.notExecuted()).isFalse();
-        assertThat(other.start()).hasValue("i-2");
+        assertThat(other.instanceId()).hasValue("i-2");
     }
 
     private StatedLimit limit(String... stated) {
@@ -184,7 +184,7 @@
         for (String value : stated) {
             headers.add(Headers.RATE_LIMIT, value);
         }
-        return protocol.facts(200, headers).demands().limit();
+        return protocol.readMetadata(200, headers).backpressure().limit();
     }
 
     @Example
@@ -206,8 +206,8 @@
     }
 
     private Optional<Duration> rest(int status, String stated) {
-        return protocol.facts(status, HttpFields.build().put("Retry-After", stated))
-                .demands()
+        return protocol.readMetadata(status, HttpFields.build().put("Retry-After", stated))
+                .backpressure()
                 .rest();
     }
 
@@ -225,7 +225,8 @@
     @Example
     void thatAnUpstreamLeavesIsRead() {
         HttpFields leaving = HttpFields.build().put(Headers.LEAVING, "1");
-        assertThat(protocol.facts(200, leaving).demands().leaving()).isTrue();
-        assertThat(protocol.facts(200, HttpFields.EMPTY).demands().leaving()).isFalse();
+        assertThat(protocol.readMetadata(200, leaving).backpressure().leaving()).isTrue();
+        assertThat(protocol.readMetadata(200, HttpFields.EMPTY).backpressure().leaving())
+                .isFalse();
     }
 }
--- a/src/test/java/org/cuminshelf/trial/DirectFleet.java
+++ b/src/test/java/org/cuminshelf/trial/DirectFleet.java
@@ -17,7 +17,6 @@
 import org.cuminshelf.control.ControlSettings;
 import org.cuminshelf.core.Address;
 import org.cuminshelf.core.Invariants;
-import org.cuminshelf.direct.AnswerFacts;
 import org.cuminshelf.direct.AttemptPlan;
 import org.cuminshelf.direct.CacheHandle;
 import org.cuminshelf.direct.CallIntent;
@@ -27,8 +26,9 @@
 import org.cuminshelf.direct.GenerationShape;
 import org.cuminshelf.direct.PromptPart;
 import org.cuminshelf.direct.RepeatLimits;
-import org.cuminshelf.direct.RouteReader;
-import org.cuminshelf.direct.UpstreamPort;
+import org.cuminshelf.direct.ResponseMetadata;
+import org.cuminshelf.direct.RouteTableReader;
+import org.cuminshelf.direct.UpstreamClient;
 import org.cuminshelf.direct.UpstreamProtocol;
 import org.cuminshelf.exchange.CallerExchange;
 import org.cuminshelf.exchange.CallerLimits;
@@ -156,7 +156,7 @@
                         settings,
                         address,
                         new Protocol(),
-                        RouteReader.atOnce(document -> Optional.of(routes)),
+                        RouteTableReader.synchronous(document -> Optional.of(routes)),
                         new Port(booted),
                         booted::clock,
                         Invariants.throwing(),
@@ -299,7 +299,7 @@
     }
 
     /** The way from one start of an entry to the engines. */
-    private final class Port implements UpstreamPort {
+    private final class Port implements UpstreamClient {
         private final VirtualNode node;
         private final long incarnation;
 
@@ -315,7 +315,7 @@
         }
 
         @Override
-        public void forgetIdle(Address address, String upstream) {
+        public void discardIdleConnections(Address address, String upstream) {
             // There are no kept connections.
         }
 
@@ -364,7 +364,7 @@
     /** A protocol with the shortest names. */
     private static final class Protocol implements UpstreamProtocol {
         @Override
-        public CallIntent intent(ReceivedRequest request) {
+        public CallIntent readIntent(ReceivedRequest request) {
             String id = request.headers().get("Id");
             GenerationShape shape =
                     new GenerationShape("m", 600, 100, List.of(new PromptPart("shared", 100), new PromptPart(id, 500)));
@@ -373,7 +373,7 @@
         }
 
         @Override
-        public UpstreamRequest attempt(ReceivedRequest request, AttemptPlan plan) {
+        public UpstreamRequest attemptRequest(ReceivedRequest request, AttemptPlan plan) {
             HttpFields headers = HttpFields.build()
                     .put("Id", request.headers().get("Id"))
                     .put("Last", String.valueOf(plan.resumeAfter().orElse(0)));
@@ -381,13 +381,13 @@
         }
 
         @Override
-        public UpstreamRequest release(CacheHandle handle) {
+        public UpstreamRequest releaseRequest(CacheHandle handle) {
             throw new UnsupportedOperationException("these engines hand nothing over");
         }
 
         @Override
-        public AnswerFacts facts(int status, HttpFields headers) {
-            return new AnswerFacts(
+        public ResponseMetadata readMetadata(int status, HttpFields headers) {
+            return new ResponseMetadata(
                     Optional.empty(),
                     headers.contains("Not-Run"),
                     Optional.ofNullable(headers.get("Start")),
@@ -396,7 +396,7 @@
         }
 
         @Override
-        public Optional<String> cacheHandle(byte[] body) {
+        public Optional<String> readCacheHandle(byte[] body) {
             return Optional.empty();
         }
     }
