--- a/src/main/java/org/cuminshelf/direct/Admission.java
+++ b/src/main/java/org/cuminshelf/direct/AdmissionControl.java
@@ -7,13 +7,13 @@
 import org.cuminshelf.verdict.Verdict;
 
 /** Decides what is done with a call now: it is sent where it is served best, waits a moment, or is refused. */
-final class Admission {
+final class AdmissionControl {
 
     /** What is done with a call now. */
     sealed interface Decision {
 
         /** It goes to an upstream. */
-        record Send(Placement.Choice choice) implements Decision {}
+        record Send(UpstreamSelector.Choice choice) implements Decision {}
 
         /** It waits here, and is decided again. */
         record Wait() implements Decision {}
@@ -46,52 +46,52 @@
 
     private static final Decision WAIT = new Decision.Wait();
 
-    private final Placement placement;
+    private final UpstreamSelector selector;
     private final ControlFeed control;
-    private final WaitingCalls waiting;
+    private final AdmissionQueue admissionQueue;
 
-    Admission(Placement placement, ControlFeed control, WaitingCalls waiting) {
-        this.placement = placement;
+    AdmissionControl(UpstreamSelector selector, ControlFeed control, AdmissionQueue admissionQueue) {
+        this.selector = selector;
         this.control = control;
-        this.waiting = waiting;
+        this.admissionQueue = admissionQueue;
     }
 
     Decision decide(long now, CallRow call) {
-        Optional<Placement.Choice> choice = placement.choose(now, call);
+        Optional<UpstreamSelector.Choice> choice = selector.choose(now, call);
         choice.ifPresent(found -> expect(call, found));
         return choice.map(found -> decide(now, call, found)).orElseGet(() -> decideUnplaced(now, call));
     }
 
-    private static void expect(CallRow call, Placement.Choice choice) {
+    private static void expect(CallRow call, UpstreamSelector.Choice choice) {
         if (call.attempt == null) {
-            call.expectedMillis = choice.firstMillis();
-            call.waitMillis = choice.waitMillis();
+            call.expectedMillis = choice.firstEventMillis();
+            call.waitMillis = choice.queueMillis();
         }
     }
 
-    private Decision decide(long now, CallRow call, Placement.Choice choice) {
+    private Decision decide(long now, CallRow call, UpstreamSelector.Choice choice) {
         if (isHopeless(now, call, choice)) {
             return refuse(call, choice, "too-late");
         }
-        double own = choice.firstMillis() - choice.waitMillis();
-        if (choice.waitMillis() > ENGINE_WAIT_MILLIS && waitsForTurn(now, call, own)) {
+        double own = choice.firstEventMillis() - choice.queueMillis();
+        if (choice.queueMillis() > ENGINE_WAIT_MILLIS && waitsForTurn(now, call, own)) {
             return WAIT;
         }
         return sendUnlessLate(now, call, choice);
     }
 
     private Decision decideUnplaced(long now, CallRow call) {
-        OptionalLong next = placement.nextSend(now, call);
+        OptionalLong next = selector.nextSend(now, call);
         if (next.isPresent()) {
             return decideHeldBack(now, call, next.getAsLong());
         }
-        boolean full = placement.hasOpen(now, call);
+        boolean full = selector.hasOpen(now, call);
         boolean waits = full ? waitsForTurn(now, call, USUAL_FIRST_MILLIS) : waitsForUpstreams(now, call);
         if (waits) {
             return WAIT;
         }
         if (full) {
-            call.offered.ifPresent(OfferedGeneration::refusedForPlaces);
+            call.offered.ifPresent(OfferedLoad::onRefusedForSlots);
             Verdict.NotRun verdict = new Verdict.NotRun(Cause.OVERLOADED, FULL_RETRY_AFTER_MILLIS);
             return new Decision.Refuse(verdict, "all places are taken");
         }
@@ -105,17 +105,17 @@
      */
     private Decision decideHeldBack(long now, CallRow call, long nextAt) {
         boolean fresh = call.attempt == null;
-        if ((fresh || call.cache.isPresent()) && waiting.addUntil(now, call, nextAt)) {
+        if ((fresh || call.cache.isPresent()) && admissionQueue.addUntil(now, call, nextAt)) {
             return WAIT;
         }
-        call.offered.ifPresent(OfferedGeneration::refusedForPlaces);
-        Verdict.NotRun verdict = new Verdict.NotRun(Cause.OVERLOADED, returnMillis(now, call));
+        call.offered.ifPresent(OfferedLoad::onRefusedForSlots);
+        Verdict.NotRun verdict = new Verdict.NotRun(Cause.OVERLOADED, retryAfterMillis(now, call));
         return new Decision.Refuse(verdict, "upstreams-ask-to-wait");
     }
 
     /** When the caller of a call that is refused should come back, in milliseconds from now. */
-    long returnMillis(long now, CallRow call) {
-        OptionalLong next = placement.nextReturn(now, call);
+    long retryAfterMillis(long now, CallRow call) {
+        OptionalLong next = selector.nextReturn(now, call);
         if (next.isEmpty()) {
             return CallerAnswers.RETRY_AFTER_MILLIS;
         }
@@ -123,15 +123,15 @@
         return Math.max(CallerAnswers.RETRY_AFTER_MILLIS, Durations.millis(next.getAsLong() - now)) + spread;
     }
 
-    private static Decision refuse(CallRow call, Placement.Choice choice, String reason) {
-        call.offered.ifPresent(OfferedGeneration::refusedForTime);
-        long wait = (long) Math.max(CallerAnswers.RETRY_AFTER_MILLIS, choice.waitMillis());
+    private static Decision refuse(CallRow call, UpstreamSelector.Choice choice, String reason) {
+        call.offered.ifPresent(OfferedLoad::onRefusedForPrefill);
+        long wait = (long) Math.max(CallerAnswers.RETRY_AFTER_MILLIS, choice.queueMillis());
         return new Decision.Refuse(new Verdict.NotRun(Cause.OVERLOADED, wait), reason);
     }
 
     /** Whether a call waits here for its turn; one that an upstream has had, or whose answer began, doesn't. */
     private boolean waitsForTurn(long now, CallRow call, double ownMillis) {
-        return call.attempt == null && call.isStream() && waiting.addForTurn(now, call, ownMillis);
+        return call.attempt == null && call.isStream() && admissionQueue.addForTurn(now, call, ownMillis);
     }
 
     /**
@@ -139,7 +139,7 @@
      * comes while all processes restart together, of which half came back before anything was known and was lost.
      */
     private boolean waitsForUpstreams(long now, CallRow call) {
-        return call.attempt == null && control.isYoung(now) && waiting.addForUpstreams(now, call);
+        return call.attempt == null && control.isYoung(now) && admissionQueue.addForUpstreams(now, call);
     }
 
     /**
@@ -147,19 +147,19 @@
      * whose size was refused more than its share. Under more work than the engines can take their time is dear, so that
      * only what is in time goes: queues of prompts that are all late serve nobody.
      */
-    private static Decision sendUnlessLate(long now, CallRow call, Placement.Choice choice) {
-        double first = Durations.millis(now - call.arrivedAt) + choice.firstMillis();
+    private static Decision sendUnlessLate(long now, CallRow call, UpstreamSelector.Choice choice) {
+        double first = Durations.millis(now - call.arrivedAt) + choice.firstEventMillis();
         boolean inTime = first <= call.route.targetMillis();
-        if (call.attempt != null || inTime || choice.gain() > 0 || isOwed(call, first)) {
+        if (call.attempt != null || inTime || choice.netValue() > 0 || isAdmittedForFairness(call, first)) {
             return new Decision.Send(choice);
         }
         return refuse(call, choice, "too-dear");
     }
 
     /** Whether a call goes for its size's sake, which it does only where its caller will still be there. */
-    private static boolean isOwed(CallRow call, double firstMillis) {
+    private static boolean isAdmittedForFairness(CallRow call, double firstMillis) {
         return firstMillis <= longestFirst(call)
-                && call.claim.filter(SizeFairness.Claim::isOwed).isPresent();
+                && call.claim.filter(SizeFairness.Claim::hasCredit).isPresent();
     }
 
     /** Milliseconds after which the caller of a stream that shows nothing has left. */
@@ -171,11 +171,11 @@
      * Whether a generation would be answered too late to be of use. Guards against a queue of which every answer is
      * late, or made for callers that have left: what can't be served in time is refused at once, while the rest is.
      */
-    private static boolean isHopeless(long now, CallRow call, Placement.Choice choice) {
-        if (call.begun || call.cache.isPresent() || choice.firstMillis() == 0) {
+    private static boolean isHopeless(long now, CallRow call, UpstreamSelector.Choice choice) {
+        if (call.begun || call.cache.isPresent() || choice.firstEventMillis() == 0) {
             return false;
         }
-        double own = choice.firstMillis() - choice.waitMillis();
+        double own = choice.firstEventMillis() - choice.queueMillis();
         double first = Durations.millis(now - call.arrivedAt) + own;
         return first > longestFirst(call) || now + Durations.nanos((long) own) > call.deadline;
     }
--- a/src/main/java/org/cuminshelf/direct/WaitingCalls.java
+++ b/src/main/java/org/cuminshelf/direct/AdmissionQueue.java
@@ -16,7 +16,7 @@
  * by what has less time; here the call that must start soonest goes first, and what can't be on time any more goes
  * last. A place for a stream comes free each few milliseconds, so that a short wait saves most refusals of a clump.
  */
-final class WaitingCalls {
+final class AdmissionQueue {
 
     /** How often they are tried again: a place comes free about as often on the smallest deployment. */
     private static final long TRY_EVERY = Durations.nanos(10);
@@ -79,11 +79,11 @@
      * @return whether it waits now
      */
     boolean addForUpstreams(long now, CallRow call) {
-        return add(now, call, call.route.targetMillis(), upstreamPatience(call.deadline - call.arrivedAt));
+        return add(now, call, call.route.targetMillis(), maxDiscoveryWaitNanos(call.deadline - call.arrivedAt));
     }
 
     /** How long a call of so much time, in nanoseconds, waits for what a restarted entry has not heard yet. */
-    static long upstreamPatience(long time) {
+    static long maxDiscoveryWaitNanos(long time) {
         return Math.min(UPSTREAM_PATIENCE, (long) (MOST_OF_ITS_TIME * time));
     }
 
@@ -121,7 +121,7 @@
     }
 
     /** Whether a call's patience is over, so that it is to be decided now. */
-    boolean isOver(long now, CallRow call) {
+    boolean isExpired(long now, CallRow call) {
         Waiting waiting = calls.get(call.number);
         return waiting == null || now >= waiting.until;
     }
--- a/src/main/java/org/cuminshelf/direct/CallValues.java
+++ b/src/main/java/org/cuminshelf/direct/AnswerValues.java
@@ -7,7 +7,7 @@
  * What an answer is worth, in answers of usual size on the same route: a longer prompt is worth more to its caller, but
  * less than in proportion. Without it the largest prompts are the first to be refused, as they take most of an engine.
  */
-final class CallValues {
+final class AnswerValues {
 
     /** Part of a usual answer's worth that has nothing to do with its size. */
     private static final double BASE = 0.3;
@@ -22,18 +22,18 @@
 
     /** Notes a call that was asked for. */
     void observe(CallRow call, GenerationShape shape) {
-        double size = size(shape);
+        double size = sizeInPromptTokens(shape);
         meanSizes.merge(call.route.name(), size, (mean, next) -> mean + MEMORY * (next - mean));
     }
 
     /** What a call's answer is worth if it comes in time. */
-    double of(CallRow call, GenerationShape shape) {
-        double mean = meanSizes.getOrDefault(call.route.name(), size(shape));
-        return Math.min(MOST, BASE + (1 - BASE) * size(shape) / Math.max(1, mean));
+    double valueOf(CallRow call, GenerationShape shape) {
+        double mean = meanSizes.getOrDefault(call.route.name(), sizeInPromptTokens(shape));
+        return Math.min(MOST, BASE + (1 - BASE) * sizeInPromptTokens(shape) / Math.max(1, mean));
     }
 
     /** The size of a generation, in tokens of prompt. */
-    static double size(GenerationShape shape) {
+    static double sizeInPromptTokens(GenerationShape shape) {
         return shape.promptTokens() + OUTPUT_WEIGHT * shape.outputTokens();
     }
 }
--- a/src/main/java/org/cuminshelf/direct/AttemptPlan.java
+++ b/src/main/java/org/cuminshelf/direct/AttemptPlan.java
@@ -13,7 +13,7 @@
  * @param priority        place in the upstream's queue, 0 first, 9 last
  * @param prefillOnly     whether only the prompt is to be taken in, for another engine to go on from
  * @param cache           where the KV cache of the prompt can be fetched
- * @param partSource      another engine from which shared parts of the prompt may be fetched
+ * @param prefixSource      another engine from which shared parts of the prompt may be fetched
  * @param resumeAfter     the last event that the caller holds
  */
 public record AttemptPlan(
@@ -22,6 +22,6 @@
         long remainingMillis,
         int priority,
         boolean prefillOnly,
-        Optional<CacheHandle> cache,
-        Optional<Address> partSource,
+        Optional<KvCacheHandle> cache,
+        Optional<Address> prefixSource,
         OptionalLong resumeAfter) {}
--- a/src/main/java/org/cuminshelf/direct/AttemptRow.java
+++ b/src/main/java/org/cuminshelf/direct/AttemptRow.java
@@ -38,7 +38,7 @@
     /** When its upstream showed the first event of its run; {@link Core#NEVER} until then. */
     long firstEventAt = Core.NEVER;
 
-    AttemptRow(long number, CallRow call, Placement.Choice choice, long now) {
+    AttemptRow(long number, CallRow call, UpstreamSelector.Choice choice, long now) {
         this.number = number;
         this.call = call;
         this.upstream = choice.upstream();
--- a/src/main/java/org/cuminshelf/direct/AttemptSystem.java
+++ b/src/main/java/org/cuminshelf/direct/AttemptSystem.java
@@ -117,21 +117,21 @@
      * @param call   the call
      * @param choice where it goes
      */
-    void send(long now, CallRow call, Placement.Choice choice) {
+    void send(long now, CallRow call, UpstreamSelector.Choice choice) {
         UpstreamRow upstream = choice.upstream();
         AttemptRow attempt = new AttemptRow(nextAttempt++, call, choice, now);
         call.attempt = attempt;
         attempts.put(attempt.number, attempt);
         upstream.running++;
         upstream.tokens += attempt.tokens();
-        if (attempt.estimate.workMillis() > 0) {
-            upstream.prompts.add(attempt.number, new PromptQueue.Waiting(now, attempt.estimate.workMillis()));
+        if (attempt.estimate.prefillMillis() > 0) {
+            upstream.prompts.add(attempt.number, new PromptQueue.Waiting(now, attempt.estimate.prefillMillis()));
             attempt.promptWaits = true;
         }
         call.intent.generation().ifPresent(shape -> {
-            double readyMillis = attempt.estimate.waitMillis() + attempt.estimate.workMillis();
-            upstream.cache.add(shape.parts(), now + Durations.nanos((long) readyMillis));
-            gossip.onSent(upstream, shape, readyMillis);
+            double readyMillis = attempt.estimate.queueMillis() + attempt.estimate.prefillMillis();
+            upstream.cache.recordPrompt(shape.segments(), now + Durations.nanos((long) readyMillis));
+            gossip.onPromptSent(upstream, shape, readyMillis);
         });
         if (!attempt.prefillOnly) {
             call.attempts++;
@@ -143,7 +143,7 @@
                 priority(call),
                 attempt.prefillOnly,
                 attempt.prefillOnly ? Optional.empty() : call.cache,
-                choice.source().map(row -> row.address),
+                choice.prefixSource().map(row -> row.address),
                 call.lastEvent);
         UpstreamRequest request = protocol.attempt(call.request, plan);
         attemptChecks.set(attempt.number, now + silence(call, attempt));
@@ -159,7 +159,7 @@
         if (call.route.kind() == RequestKind.IDEMPOTENT) {
             return Math.max(SILENT_LEAST, SILENT_FACTOR * attempt.upstream.usualLatency());
         }
-        return SILENT_STREAM + SILENT_EXPECTED * Durations.nanos((long) attempt.estimate.firstMillis());
+        return SILENT_STREAM + SILENT_EXPECTED * Durations.nanos((long) attempt.estimate.firstEventMillis());
     }
 
     /** Takes the answer to one attempt. */
@@ -272,15 +272,15 @@
     private void onPromptTaken(long now, AttemptRow attempt) {
         forgetPrompt(attempt);
         attempt.upstream.prompts.taken(now);
-        gossip.onTaken(
+        gossip.onPrefillCompleted(
                 attempt.upstream,
                 new PromptSample(
                         attempt.upstream.id,
                         attempt.upstream.generates(),
                         attempt.streams,
-                        attempt.estimate.held(),
-                        attempt.estimate.uncached(),
-                        attempt.estimate.waitMillis(),
+                        attempt.estimate.cachedTokens(),
+                        attempt.estimate.uncachedTokens(),
+                        attempt.estimate.queueMillis(),
                         millis(now - attempt.sentAt)));
     }
 
--- a/src/main/java/org/cuminshelf/direct/CallRow.java
+++ b/src/main/java/org/cuminshelf/direct/CallRow.java
@@ -38,7 +38,7 @@
 
     AttemptRow attempt;
     /** KV cache taken in for it by another engine, until an engine took it. */
-    Optional<CacheHandle> cache = Optional.empty();
+    Optional<KvCacheHandle> cache = Optional.empty();
 
     /** Start of an upstream with a limit of which a permit is kept for it, until it is sent there. */
     Optional<String> keptPermit = Optional.empty();
@@ -77,7 +77,7 @@
     Optional<SizeFairness.Claim> claim = Optional.empty();
 
     /** What it asks of engines, where it is a generation. */
-    Optional<OfferedGeneration> offered = Optional.empty();
+    Optional<OfferedLoad> offered = Optional.empty();
 
     Optional<Verdict> lastFailure = Optional.empty();
     /** Whether it was counted for the usage of its organisation. */
--- a/src/main/java/org/cuminshelf/direct/CallSystem.java
+++ b/src/main/java/org/cuminshelf/direct/CallSystem.java
@@ -33,9 +33,9 @@
     private final UpstreamProtocol protocol;
     private final UpstreamPort port;
     private final UpstreamTable upstreams;
-    private final Placement placement;
+    private final UpstreamSelector selector;
     private final ControlFeed control;
-    private final RepeatBudget budget;
+    private final ServiceRetryBudget budget;
     private final LongSupplier clock;
     private final Invariants invariants;
     private final DecisionLog log;
@@ -47,17 +47,17 @@
     private final AttemptSystem attempts;
     private final Map<Long, CallRow> open = new HashMap<>();
     private final Deadlines<Long> callDeadlines = Deadlines.create();
-    private final WaitingCalls waiting = new WaitingCalls();
-    private final Admission admission;
+    private final AdmissionQueue admissionQueue = new AdmissionQueue();
+    private final AdmissionControl admission;
     private final SizeFairness fairness = new SizeFairness();
 
     CallSystem(
             UpstreamProtocol protocol,
             UpstreamPort port,
             UpstreamTable upstreams,
-            Placement placement,
+            UpstreamSelector selector,
             ControlFeed control,
-            RepeatBudget budget,
+            ServiceRetryBudget budget,
             LongSupplier clock,
             Invariants invariants,
             DecisionLog log,
@@ -70,7 +70,7 @@
         this.protocol = protocol;
         this.port = port;
         this.upstreams = upstreams;
-        this.placement = placement;
+        this.selector = selector;
         this.control = control;
         this.budget = budget;
         this.clock = clock;
@@ -80,7 +80,7 @@
         this.demandWatch = demandWatch;
         this.poison = poison;
         this.usage = usage;
-        this.admission = new Admission(placement, control, waiting);
+        this.admission = new AdmissionControl(selector, control, admissionQueue);
         this.callers = new CallerAnswers(control, log);
         this.attempts = new AttemptSystem(
                 protocol, port, callers, clock, log, models, gossip, demandWatch, new AttemptOutcomes());
@@ -96,7 +96,7 @@
     }
 
     long nextDue() {
-        long ownDue = Math.min(waiting.nextDue(), callDeadlines.next());
+        long ownDue = Math.min(admissionQueue.nextDue(), callDeadlines.next());
         return Math.min(Math.min(ownDue, attempts.nextDue()), poison.nextDue());
     }
 
@@ -114,23 +114,23 @@
         budget.onRequest(now, call.service);
         backpressure.limits().called(now, call.service);
         call.intent.generation().ifPresent(shape -> {
-            call.claim = Optional.of(fairness.arrived(call.route.name(), CallValues.size(shape)));
-            call.offered = Optional.of(new OfferedGeneration(
+            call.claim = Optional.of(fairness.register(call.route.name(), AnswerValues.sizeInPromptTokens(shape)));
+            call.offered = Optional.of(new OfferedLoad(
                     control,
                     call.service,
-                    placement.readMicros(now, call, shape),
-                    placement.runningMicros(call.service, shape)));
+                    selector.prefillMicros(now, call, shape),
+                    selector.generationMicros(call.service, shape)));
         });
         place(now, call);
     }
 
     private void place(long now, CallRow call) {
         switch (admission.decide(now, call)) {
-            case Admission.Decision.Send(Placement.Choice choice) -> send(now, call, choice);
-            case Admission.Decision.Wait() -> {
+            case AdmissionControl.Decision.Send(UpstreamSelector.Choice choice) -> send(now, call, choice);
+            case AdmissionControl.Decision.Wait() -> {
                 // It is tried again with the others that wait.
             }
-            case Admission.Decision.Refuse(Verdict.NotRun verdict, String reason) -> {
+            case AdmissionControl.Decision.Refuse(Verdict.NotRun verdict, String reason) -> {
                 call.lastFailure = Optional.of(verdict);
                 giveUp(now, call, reason);
             }
@@ -140,8 +140,8 @@
     /** Tries calls that wait, as long as engines take any. */
     private void tryWaiting(long now) {
         int failures = 0;
-        for (CallRow call : waiting.due(now)) {
-            if (failures < MOST_FAILED_TRIES || waiting.isOver(now, call)) {
+        for (CallRow call : admissionQueue.due(now)) {
+            if (failures < MOST_FAILED_TRIES || admissionQueue.isExpired(now, call)) {
                 AttemptRow before = call.attempt;
                 place(now, call);
                 failures += call.attempt == before ? 1 : 0;
@@ -149,15 +149,15 @@
         }
     }
 
-    private void send(long now, CallRow call, Placement.Choice choice) {
+    private void send(long now, CallRow call, UpstreamSelector.Choice choice) {
         invariants.check(
                 call.isRepeatable() || !call.mayHaveRun,
                 "at-most-once",
                 () -> "request " + call.intent.id() + " is sent again though it may have run");
-        waiting.remove(call);
-        call.claim.ifPresent(SizeFairness.Claim::sent);
-        call.offered.ifPresent(work -> work.sent(choice));
-        placement.sent(now, choice);
+        admissionQueue.remove(call);
+        call.claim.ifPresent(SizeFairness.Claim::onSent);
+        call.offered.ifPresent(work -> work.onSent(choice));
+        selector.onSent(now, choice);
         returnPermit(call);
         attempts.send(now, call, choice);
         if (choice.prefillOnly()) {
@@ -170,7 +170,7 @@
      * that are read in vain: many would be read for one permit, of which the first to be ready uses it.
      */
     private void keepPermit(long now, CallRow call) {
-        call.keptPermit = placement.limitedForHandover(now, call).map(row -> row.id);
+        call.keptPermit = selector.handoverEngineToReserve(now, call).map(row -> row.id);
         call.keptPermit.ifPresent(start -> backpressure.limits().use(now, start));
     }
 
@@ -185,14 +185,14 @@
 
         @Override
         public void firstEvent(long now, AttemptRow attempt) {
-            usage.began(attempt.call, now);
+            usage.recordStart(attempt.call, now);
         }
 
         @Override
         public void answered(long now, AttemptRow attempt) {
             if (!attempt.prefillOnly && !attempt.facts.notExecuted()) {
                 // A plain call begins to run when it arrives there; that a stream began was seen by its first event.
-                usage.began(attempt.call, attempt.sentAt);
+                usage.recordStart(attempt.call, attempt.sentAt);
             }
             if (attempt.prefillOnly) {
                 onPromptTaken(now, attempt);
@@ -232,7 +232,7 @@
     /** A plain call that was sent had most likely begun; a stream would have shown an event. */
     private void noteUnanswered(AttemptRow attempt) {
         if (!attempt.call.isStream()) {
-            usage.began(attempt.call, attempt.sentAt);
+            usage.recordStart(attempt.call, attempt.sentAt);
         }
     }
 
@@ -247,7 +247,7 @@
         callers.pass(now, attempt);
         // Whoever answered took the KV cache.
         attempt.call.cache = Optional.empty();
-        attempt.call.claim.ifPresent(claim -> claim.ended(attempt.isSuccess()));
+        attempt.call.claim.ifPresent(claim -> claim.onEnded(attempt.isSuccess()));
         if (attempt.isSuccess()) {
             poison.endedWell(now, attempt.call);
         }
@@ -269,7 +269,7 @@
         boolean repeat = call.isRepeatable()
                 && isServerError(attempt.status)
                 && mayRepeat(now, call)
-                && budget.take(now, call.service, control.entries().size());
+                && budget.tryAcquire(now, call.service, control.entries().size());
         if (!call.begun && attempt.facts.authentic() && !repeat) {
             pass(now, attempt);
             return;
@@ -289,10 +289,10 @@
                 "status",
                 attempt.status,
                 "prompt-ms",
-                Math.round(attempt.estimate.workMillis()),
+                Math.round(attempt.estimate.prefillMillis()),
                 "running",
                 attempt.upstream.running);
-        long comeBack = admission.returnMillis(now, attempt.call);
+        long comeBack = admission.retryAfterMillis(now, attempt.call);
         attempt.upstream.avoid(now + Durations.nanos(CallerAnswers.RETRY_AFTER_MILLIS) / 2);
         failed(now, attempt, new Verdict.NotRun(Cause.OVERLOADED, comeBack));
     }
@@ -310,7 +310,7 @@
         if (handle.isPresent()) {
             attempt.upstream.succeeded(now - attempt.sentAt);
             call.readMillis = Durations.millis(now - attempt.sentAt);
-            call.cache = Optional.of(new CacheHandle(attempt.upstream.address, handle.get()));
+            call.cache = Optional.of(new KvCacheHandle(attempt.upstream.address, handle.get()));
             place(now, call);
             return;
         }
@@ -355,7 +355,7 @@
         if (safe
                 && mayRepeat(now, call)
                 && poison.mayGoOn(call)
-                && budget.take(now, call.service, control.entries().size())) {
+                && budget.tryAcquire(now, call.service, control.entries().size())) {
             place(now, call);
         } else {
             giveUp(now, call, verdict.word() + "/" + verdict.cause());
@@ -372,7 +372,7 @@
             return;
         }
         callers.giveUp(now, call, reason);
-        call.claim.ifPresent(claim -> claim.ended(false));
+        call.claim.ifPresent(claim -> claim.onEnded(false));
         close(call);
     }
 
@@ -434,7 +434,7 @@
 
     private void close(CallRow call) {
         call.done = true;
-        waiting.remove(call);
+        admissionQueue.remove(call);
         open.remove(call.number);
         callDeadlines.clear(call.number);
         returnPermit(call);
@@ -446,7 +446,7 @@
         if (call.cache.isEmpty()) {
             return;
         }
-        CacheHandle handle = call.cache.get();
+        KvCacheHandle handle = call.cache.get();
         call.cache = Optional.empty();
         long now = clock.getAsLong();
         upstreams.rows().stream()
--- a/src/main/java/org/cuminshelf/direct/ControlFeed.java
+++ b/src/main/java/org/cuminshelf/direct/ControlFeed.java
@@ -239,7 +239,7 @@
                     .setEntriesHash(entriesHash)
                     .addAllOffered(offered.values());
             poison.describe(address, subscribe);
-            usage.describe(now, address, subscribe);
+            usage.addReport(now, address, subscribe);
             out.send(address, Envelope.newBuilder().setSubscribe(subscribe));
         }
         poison.told(now);
--- a/src/main/java/org/cuminshelf/direct/DirectCore.java
+++ b/src/main/java/org/cuminshelf/direct/DirectCore.java
@@ -43,7 +43,7 @@
     private final CallSystem calls;
     private final LoadGossip gossip;
     private final Backpressure backpressure;
-    private final EarlyRequests early = new EarlyRequests();
+    private final StartupRequestQueue startupQueue = new StartupRequestQueue();
     private final Map<CallerExchange, CallRow> byExchange = new HashMap<>();
     private long nextCall = 1;
     private long nextHousekeeping;
@@ -71,15 +71,15 @@
         this.control = new ControlFeed(settings, reader, upstreams, poison, usage, now, invariants, log);
         EngineModels models = new EngineModels();
         DemandWatch demandWatch = new DemandWatch(backpressure, upstreams, log);
-        Placement placement = new Placement(upstreams, control, models, backpressure, settings.zone());
+        UpstreamSelector selector = new UpstreamSelector(upstreams, control, models, backpressure, settings.zone());
         this.gossip = new LoadGossip(upstreams, models, backpressure, demandWatch, now);
         this.calls = new CallSystem(
                 protocol,
                 new PacedPort(port, backpressure, clock),
                 upstreams,
-                placement,
+                selector,
                 control,
-                new RepeatBudget(settings.repeats()),
+                new ServiceRetryBudget(settings.repeats()),
                 clock,
                 invariants,
                 log,
@@ -126,7 +126,7 @@
         long patience = intent.deadlineMillis().orElse(DEFAULT_DEADLINE_MILLIS);
         if (control.isReady()) {
             start(now, request, exchange, intent);
-        } else if (!early.add(now, request, exchange, intent, patience)) {
+        } else if (!startupQueue.add(now, request, exchange, intent, patience)) {
             calls.callers().refuseUnready(exchange, intent);
         }
     }
@@ -201,19 +201,19 @@
 
     private void startEarly(long now) {
         if (control.isReady()) {
-            early.takeAll().forEach(one -> start(one.arrivedAt(), one.request(), one.exchange(), one.intent()));
+            startupQueue.drain().forEach(one -> start(one.arrivedAt(), one.request(), one.exchange(), one.intent()));
         }
-        Optional<EarlyRequests.Early> overdue = early.takeOverdue(now);
+        Optional<StartupRequestQueue.PendingRequest> overdue = startupQueue.pollExpired(now);
         while (overdue.isPresent()) {
             calls.callers()
                     .refuseUnready(overdue.get().exchange(), overdue.get().intent());
-            overdue = early.takeOverdue(now);
+            overdue = startupQueue.pollExpired(now);
         }
     }
 
     @Override
     public void onGone(CallerExchange exchange) {
-        early.remove(exchange);
+        startupQueue.remove(exchange);
         CallRow call = byExchange.remove(exchange);
         if (call != null) {
             calls.callerGone(clock.getAsLong(), call);
@@ -235,7 +235,7 @@
                 startEarly(now);
             }
             case ENTRY_LOAD -> gossip.onLoad(now, from, input.getEntryLoad());
-            case WALL_CLOCK -> usage.ownClock(now, input.getWallClock().getEpochMs());
+            case WALL_CLOCK -> usage.onWallClock(now, input.getWallClock().getEpochMs());
             case STOP -> leaving = true;
             default -> {
                 // Not a message for such an entry.
@@ -264,7 +264,8 @@
 
     @Override
     public long nextDue() {
-        long due = Math.min(Math.min(control.nextDue(), calls.nextDue()), Math.min(early.nextDue(), nextHousekeeping));
+        long due = Math.min(
+                Math.min(control.nextDue(), calls.nextDue()), Math.min(startupQueue.nextDue(), nextHousekeeping));
         return Math.min(due, gossip.nextDue(calls.open() > 0));
     }
 
@@ -348,6 +349,6 @@
      * @return their number
      */
     public int openCalls() {
-        return calls.open() + early.size();
+        return calls.open() + startupQueue.size();
     }
 }
--- a/src/main/java/org/cuminshelf/direct/DirectSettings.java
+++ b/src/main/java/org/cuminshelf/direct/DirectSettings.java
@@ -19,7 +19,7 @@
         String zone,
         String vm,
         List<Address> seeds,
-        RepeatLimits repeats,
+        RetryLimits repeats,
         OptionalLong usageWindowMillis) {
 
     /**
@@ -31,7 +31,7 @@
      * @param seeds   control processes known at the start
      * @param repeats how often all entries together may send requests once more
      */
-    public DirectSettings(String region, String zone, String vm, List<Address> seeds, RepeatLimits repeats) {
+    public DirectSettings(String region, String zone, String vm, List<Address> seeds, RetryLimits repeats) {
         this(region, zone, vm, seeds, repeats, OptionalLong.empty());
     }
 }
--- a/src/main/java/org/cuminshelf/direct/EnginePrices.java
+++ b/src/main/java/org/cuminshelf/direct/EngineTimePrices.java
@@ -14,7 +14,7 @@
  * follows how long the engine has prompts under way that will be free first. With the part of the engines that are
  * taken as the price, prompts waited 0.4 s at the engine that held their parts while others idled.
  */
-final class EnginePrices {
+final class EngineTimePrices {
 
     /**
      * Milliseconds of prompts at each engine at which its time is worth as much as it can be: with queues of 600 ms a
@@ -63,7 +63,7 @@
     private final Map<String, Price> prices = new HashMap<>();
 
     /** Looks at which engines have prompts under way. */
-    void observe(long now, String service, Collection<UpstreamRow> engines, EngineModel model) {
+    void updateScarcity(long now, String service, Collection<UpstreamRow> engines, EngineModel model) {
         Price price = prices.computeIfAbsent(service, key -> new Price());
         double weight = 1 - Math.exp(-(now - price.observedAt) / MEMORY_NANOS);
         price.observedAt = now;
@@ -83,19 +83,19 @@
     }
 
     /** Notes what a prompt takes that was placed. */
-    void placed(String service, double workMillis) {
+    void recordPrefill(String service, double workMillis) {
         Price price = prices.computeIfAbsent(service, key -> new Price());
         price.workMillis += WORK_WEIGHT * (workMillis - price.workMillis);
     }
 
     /** Notes how long a stream takes a place. */
-    void running(String service, double millis) {
+    void recordGeneration(String service, double millis) {
         Price price = prices.computeIfAbsent(service, key -> new Price());
         price.runningMillis += WORK_WEIGHT * (millis - price.runningMillis);
     }
 
     /** The price of a millisecond for which a prompt takes up an engine. */
-    double ofMillisecond(String service, UpstreamRow engine) {
+    double perMillisecond(String service, UpstreamRow engine) {
         Price price = prices.get(service);
         if (price == null) {
             return 0;
--- a/src/main/java/org/cuminshelf/direct/GenerationShape.java
+++ b/src/main/java/org/cuminshelf/direct/GenerationShape.java
@@ -8,6 +8,6 @@
  * @param model        the model
  * @param promptTokens tokens of the whole prompt
  * @param outputTokens tokens expected to be generated
- * @param parts        the prompt's parts in order; the last is the request's own
+ * @param segments      the prompt's parts in order; the last is the request's own
  */
-public record GenerationShape(String model, int promptTokens, int outputTokens, List<PromptPart> parts) {}
+public record GenerationShape(String model, int promptTokens, int outputTokens, List<PromptSegment> segments) {}
--- a/src/main/java/org/cuminshelf/direct/CacheHandle.java
+++ b/src/main/java/org/cuminshelf/direct/KvCacheHandle.java
@@ -8,4 +8,4 @@
  * @param engine the engine that holds it
  * @param handle its name there
  */
-public record CacheHandle(Address engine, String handle) {}
+public record KvCacheHandle(Address engine, String handle) {}
--- a/src/main/java/org/cuminshelf/direct/LoadGossip.java
+++ b/src/main/java/org/cuminshelf/direct/LoadGossip.java
@@ -85,14 +85,14 @@
     // ---- what this entry has to tell
 
     /** A prompt was sent and will probably have been read in so many milliseconds; the others should know first. */
-    void onSent(UpstreamRow upstream, GenerationShape shape, double readyMillis) {
-        nextTell = Math.min(nextTell, lastTell + gap());
+    void onPromptSent(UpstreamRow upstream, GenerationShape shape, double readyMillis) {
+        nextTell = Math.min(nextTell, lastTell + minIntervalNanos());
         if (sent.size() >= MOST_NEWS) {
             return;
         }
         SentPrompt.Builder prompt =
                 SentPrompt.newBuilder().setUpstream(upstream.id).setReadyUs(micros(readyMillis));
-        for (PromptPart part : shape.parts()) {
+        for (PromptSegment part : shape.segments()) {
             prompt.addParts(part.id());
             prompt.addTokens(part.tokens());
         }
@@ -100,7 +100,7 @@
     }
 
     /** A prompt was taken in. */
-    void onTaken(UpstreamRow upstream, PromptSample sample) {
+    void onPrefillCompleted(UpstreamRow upstream, PromptSample sample) {
         models.of(upstream.service).observe(sample);
         if (taken.size() >= MOST_NEWS) {
             return;
@@ -117,12 +117,12 @@
     }
 
     /** Least time between two messages to each of the others, in nanoseconds. */
-    private long gap() {
-        return gap(listeners);
+    private long minIntervalNanos() {
+        return minIntervalNanos(listeners);
     }
 
     /** The same, where an entry tells so many others. */
-    static long gap(int listeners) {
+    static long minIntervalNanos(int listeners) {
         double shared = listeners * (listeners + 1) / MOST_MESSAGES * NANOS_PER_SECOND;
         return Math.clamp((long) shared, listeners * LEAST_GAP, Math.max(listeners * LEAST_GAP, LONGEST_GAP));
     }
@@ -138,7 +138,7 @@
         }
         lastTell = now;
         listeners = Math.max(0, entries.size() - 1);
-        nextTell = now + Math.max(TELL_EVERY, gap());
+        nextTell = now + Math.max(TELL_EVERY, minIntervalNanos());
         EntryLoad.Builder load = EntryLoad.newBuilder().addAllSent(sent).addAllTaken(taken);
         upstreams.rows().stream().filter(row -> row.running > 0).forEach(row -> load.addUpstreams(underWay(now, row)));
         boolean asked = addDemands(now, load);
@@ -223,11 +223,11 @@
         if (row.isEmpty() || prompt.getPartsCount() != prompt.getTokensCount()) {
             return;
         }
-        List<PromptPart> parts = new ArrayList<>();
+        List<PromptSegment> parts = new ArrayList<>();
         for (int index = 0; index < prompt.getPartsCount(); index++) {
-            parts.add(new PromptPart(prompt.getParts(index), prompt.getTokens(index)));
+            parts.add(new PromptSegment(prompt.getParts(index), prompt.getTokens(index)));
         }
-        row.get().cache.add(parts, now + (long) (prompt.getReadyUs() * NANOS_PER_MICRO));
+        row.get().cache.recordPrompt(parts, now + (long) (prompt.getReadyUs() * NANOS_PER_MICRO));
     }
 
     private void onTakenElsewhere(long now, TakenPrompt prompt) {
@@ -248,7 +248,7 @@
     }
 
     /** The prompts that an entry says it has at an engine. */
-    static List<PromptQueue.Waiting> waiting(long now, UpstreamLoad load) {
+    static List<PromptQueue.Waiting> queuedPrompts(long now, UpstreamLoad load) {
         List<PromptQueue.Waiting> prompts = new ArrayList<>(load.getPromptsCount());
         for (WaitingPrompt prompt : load.getPromptsList()) {
             long sentAt = now - (long) (prompt.getAgeUs() * NANOS_PER_MICRO);
--- a/src/main/java/org/cuminshelf/direct/OfferedGeneration.java
+++ b/src/main/java/org/cuminshelf/direct/OfferedLoad.java
@@ -9,7 +9,7 @@
  * right: with one engine left that generates, 990 calls were refused for want of a place within 14 s and six for want
  * of time, while three engines read prompts.
  */
-final class OfferedGeneration {
+final class OfferedLoad {
 
     private static final double MICROS_PER_MILLI = 1e3;
 
@@ -27,7 +27,7 @@
      * @param readMicros    microseconds that its prompt takes of an engine that only reads prompts
      * @param runningMicros microseconds for which it takes a place of an engine that generates
      */
-    OfferedGeneration(ControlFeed control, String service, long readMicros, long runningMicros) {
+    OfferedLoad(ControlFeed control, String service, long readMicros, long runningMicros) {
         this.control = control;
         this.service = service;
         this.readMicros = readMicros;
@@ -35,20 +35,20 @@
     }
 
     /** The call was sent. What an engine reads beside its streams is no work for those that only read. */
-    void sent(Placement.Choice choice) {
+    void onSent(UpstreamSelector.Choice choice) {
         long read = choice.prefillOnly()
-                ? (long) (MICROS_PER_MILLI * choice.estimate().workMillis())
+                ? (long) (MICROS_PER_MILLI * choice.estimate().prefillMillis())
                 : 0;
         count(read, runningMicros);
     }
 
     /** The call was refused, as no engine that generates had a place for it. */
-    void refusedForPlaces() {
+    void onRefusedForSlots() {
         count(0, runningMicros);
     }
 
     /** The call was refused, as no engine could read its prompt in time. */
-    void refusedForTime() {
+    void onRefusedForPrefill() {
         count(readMicros, 0);
     }
 
--- a/src/main/java/org/cuminshelf/direct/PartCache.java
+++ b/src/main/java/org/cuminshelf/direct/PrefixCacheTracker.java
@@ -15,7 +15,7 @@
  * Another engine can't fetch it yet: prompts that named such a source read all of it again, 0.7 s where 0.1 s was
  * expected.
  */
-final class PartCache {
+final class PrefixCacheTracker {
 
     /** Parts remembered for one engine where its memory is not known. */
     private static final int MOST_PARTS = 4_096;
@@ -33,7 +33,7 @@
     private long tokens;
 
     /** Bounds the tokens that the engine has room for. */
-    void bound(long most) {
+    void setCapacityTokens(long most) {
         mostTokens = most;
     }
 
@@ -43,8 +43,8 @@
      * @param prompt  its parts in order
      * @param readyAt when it will probably have been read, in nanoseconds
      */
-    void add(List<PromptPart> prompt, long readyAt) {
-        for (PromptPart part : prompt) {
+    void recordPrompt(List<PromptSegment> prompt, long readyAt) {
+        for (PromptSegment part : prompt) {
             Held before = parts.get(part.id());
             long ready = before == null ? readyAt : Math.min(before.readyAt, readyAt);
             parts.put(part.id(), new Held(part.tokens(), ready));
@@ -58,17 +58,17 @@
     }
 
     /** Tokens at the beginning of a prompt that the engine will hold when it comes to it. */
-    int heldTokens(List<PromptPart> prompt) {
-        return readyTokens(prompt, Long.MAX_VALUE);
+    int cachedPrefixTokens(List<PromptSegment> prompt) {
+        return fetchablePrefixTokens(prompt, Long.MAX_VALUE);
     }
 
     /**
      * Tokens at the beginning of a prompt that another engine can fetch from this one: a part counts only if all before
      * it do.
      */
-    int readyTokens(List<PromptPart> prompt, long now) {
+    int fetchablePrefixTokens(List<PromptSegment> prompt, long now) {
         int ready = 0;
-        for (PromptPart part : prompt) {
+        for (PromptSegment part : prompt) {
             Held held = parts.get(part.id());
             if (held == null || held.readyAt > now) {
                 return ready;
--- a/src/main/java/org/cuminshelf/direct/PromptPart.java
+++ b/src/main/java/org/cuminshelf/direct/PromptSegment.java
@@ -6,4 +6,4 @@
  * @param id     names the part
  * @param tokens its length in tokens
  */
-public record PromptPart(String id, int tokens) {}
+public record PromptSegment(String id, int tokens) {}
--- a/src/main/java/org/cuminshelf/direct/RepeatLimits.java
+++ b/src/main/java/org/cuminshelf/direct/RetryLimits.java
@@ -7,8 +7,8 @@
  * @param allowance    repeats beyond that in each window
  * @param windowMillis length of the sliding window
  */
-public record RepeatLimits(double ratio, double allowance, long windowMillis) {
+public record RetryLimits(double ratio, double allowance, long windowMillis) {
 
     /** The usual limits where a deployment states none: one in five, and ten in ten seconds. */
-    public static final RepeatLimits DEFAULT = new RepeatLimits(0.2, 10, 10_000);
+    public static final RetryLimits DEFAULT = new RetryLimits(0.2, 10, 10_000);
 }
--- a/src/main/java/org/cuminshelf/direct/RepeatBudget.java
+++ b/src/main/java/org/cuminshelf/direct/ServiceRetryBudget.java
@@ -14,7 +14,7 @@
  * <p>Requests are counted in the current window and the one before, whichever has more, as a dip in load is no reason
  * to withhold a retry.
  */
-final class RepeatBudget {
+final class ServiceRetryBudget {
 
     private static final int SLICES = 10;
     /** Part of the whole that is handed out; the rest covers entries not counted yet and counts that lag. */
@@ -30,7 +30,7 @@
      *
      * @param settings what all entries together may
      */
-    RepeatBudget(RepeatLimits settings) {
+    ServiceRetryBudget(RetryLimits settings) {
         this.ratio = settings.ratio();
         this.allowance = settings.allowance();
         this.slice = Durations.nanos(settings.windowMillis()) / SLICES;
@@ -41,7 +41,7 @@
     }
 
     /** Whether one more may be sent; counts it if so. */
-    boolean take(long now, String service, int entries) {
+    boolean tryAcquire(long now, String service, int entries) {
         long[] newest = current(now, service);
         long repeats = 0;
         long requests = 0;
--- a/src/main/java/org/cuminshelf/direct/SharedParts.java
+++ b/src/main/java/org/cuminshelf/direct/SharedPrefixLocations.java
@@ -11,7 +11,7 @@
  * on at the same engine, its home: the one of highest rank by rendezvous hashing, so that a change of the fleet moves
  * few subjects.
  */
-final class SharedParts {
+final class SharedPrefixLocations {
 
     /** Tokens below which reading is as quick as having them fetched: 3 ms. */
     private static final int LEAST_FETCH = 256;
@@ -26,11 +26,11 @@
 
     private Optional<UpstreamRow> second = Optional.empty();
 
-    private SharedParts(GenerationShape shape, List<UpstreamRow> engines, long now) {
+    private SharedPrefixLocations(GenerationShape shape, List<UpstreamRow> engines, long now) {
         this.shape = shape;
         this.now = now;
         this.engines = engines;
-        this.tokens = sharedTokens(shape.parts());
+        this.tokens = sharedTokens(shape.segments());
         this.streamHome = home();
         engines.forEach(this::rank);
     }
@@ -46,8 +46,8 @@
     }
 
     /** Those of a prompt among the engines that may be asked. */
-    static SharedParts of(GenerationShape shape, List<UpstreamRow> engines, long now) {
-        return new SharedParts(shape, engines, now);
+    static SharedPrefixLocations of(GenerationShape shape, List<UpstreamRow> engines, long now) {
+        return new SharedPrefixLocations(shape, engines, now);
     }
 
     /** Tokens of the parts that other requests share. */
@@ -56,13 +56,13 @@
     }
 
     /** Tokens of the prompt that an engine probably holds. */
-    int heldBy(UpstreamRow row) {
-        return Math.min(tokens, row.cache.heldTokens(shape.parts()));
+    int tokensCachedBy(UpstreamRow row) {
+        return Math.min(tokens, row.cache.cachedPrefixTokens(shape.segments()));
     }
 
     /** Tokens of the prompt that another engine can fetch from an engine. */
     private int readyAt(UpstreamRow row) {
-        return Math.min(tokens, row.cache.readyTokens(shape.parts(), now));
+        return Math.min(tokens, row.cache.fetchablePrefixTokens(shape.segments(), now));
     }
 
     /** Whether an engine is the home of the subject among those that generate. */
@@ -71,7 +71,7 @@
     }
 
     /** Tokens of the prompt that the engine holds which holds most of it. */
-    int mostHeld() {
+    int maxCachedTokens() {
         return most.map(this::readyAt).orElse(0);
     }
 
@@ -80,30 +80,30 @@
      * holds, and reads what the other turns out to have dropped, so that a wrong guess costs next to nothing.
      */
     Optional<UpstreamRow> sourceFor(UpstreamRow row) {
-        int known = row.cache.heldTokens(shape.parts());
+        int known = row.cache.cachedPrefixTokens(shape.segments());
         Optional<UpstreamRow> other = most.filter(engine -> engine != row).or(() -> second);
         return other.filter(engine -> readyAt(engine) >= known + LEAST_FETCH);
     }
 
     /** Tokens of the prompt that an engine probably holds or can fetch. */
-    int withinReachOf(UpstreamRow row) {
-        return Math.max(heldBy(row), sourceFor(row).map(this::readyAt).orElse(0));
+    int tokensAvailableTo(UpstreamRow row) {
+        return Math.max(tokensCachedBy(row), sourceFor(row).map(this::readyAt).orElse(0));
     }
 
-    private static int sharedTokens(List<PromptPart> parts) {
+    private static int sharedTokens(List<PromptSegment> parts) {
         int sum = 0;
-        for (PromptPart part : parts.subList(0, Math.max(0, parts.size() - 1))) {
+        for (PromptSegment part : parts.subList(0, Math.max(0, parts.size() - 1))) {
             sum += part.tokens();
         }
         return sum;
     }
 
     private String home() {
-        int parts = shape.parts().size();
+        int parts = shape.segments().size();
         if (parts < 2) {
             return "";
         }
-        String subject = shape.parts().get(parts - 2).id();
+        String subject = shape.segments().get(parts - 2).id();
         String best = "";
         long highest = Long.MIN_VALUE;
         for (UpstreamRow row : engines) {
--- a/src/main/java/org/cuminshelf/direct/SizeFairness.java
+++ b/src/main/java/org/cuminshelf/direct/SizeFairness.java
@@ -92,17 +92,17 @@
         }
 
         /** The group of its size among those of its route, in one word. */
-        String size() {
+        String sizeGroup() {
             return group.name().toLowerCase(Locale.ROOT);
         }
 
         /** Whether its group was sent less than its share, so that this call is not to be refused for its cost. */
-        boolean isOwed() {
+        boolean hasCredit() {
             return group != SizeGroup.USUAL && route.owed[group.ordinal()] > 0;
         }
 
         /** The call was sent to an engine. */
-        void sent() {
+        void onSent() {
             if (!sent) {
                 sent = true;
                 route.add(group, -1);
@@ -110,7 +110,7 @@
         }
 
         /** The call ended. What was sent in vain is owed again. */
-        void ended(boolean answered) {
+        void onEnded(boolean answered) {
             if (ended) {
                 return;
             }
@@ -131,7 +131,7 @@
      * @param size  its size, in the unit in which the answer's worth is told
      * @return its claim, which is to be told what becomes of it
      */
-    Claim arrived(String route, double size) {
+    Claim register(String route, double size) {
         RouteSizes sizes = routes.computeIfAbsent(route, key -> new RouteSizes());
         SizeGroup group = sizes.groupOf(size);
         sizes.add(group, SHARE * sizes.answeredRate);
--- a/src/main/java/org/cuminshelf/direct/EarlyRequests.java
+++ b/src/main/java/org/cuminshelf/direct/StartupRequestQueue.java
@@ -17,7 +17,7 @@
  * leader again, are refused, come back 0.2 s later and are refused for good. A leader is there within a second, so a
  * request waits for it, for half of its time at the most.
  */
-final class EarlyRequests {
+final class StartupRequestQueue {
 
     /** Requests that wait at the most; what comes beyond is refused at once. */
     private static final int MOST = 2_000;
@@ -33,9 +33,10 @@
      * @param arrivedAt when it came, in nanoseconds
      * @param until     when it is refused, in nanoseconds
      */
-    record Early(ReceivedRequest request, CallerExchange exchange, CallIntent intent, long arrivedAt, long until) {}
+    record PendingRequest(
+            ReceivedRequest request, CallerExchange exchange, CallIntent intent, long arrivedAt, long until) {}
 
-    private final Map<CallerExchange, Early> requests = new LinkedHashMap<>();
+    private final Map<CallerExchange, PendingRequest> requests = new LinkedHashMap<>();
     private long bytes;
 
     /** Takes a request in, unless there are too many. */
@@ -44,36 +45,36 @@
             return false;
         }
         bytes += request.body().length;
-        long until = now + WaitingCalls.upstreamPatience(Durations.nanos(patienceMillis));
-        requests.put(exchange, new Early(request, exchange, intent, now, until));
+        long until = now + AdmissionQueue.maxDiscoveryWaitNanos(Durations.nanos(patienceMillis));
+        requests.put(exchange, new PendingRequest(request, exchange, intent, now, until));
         return true;
     }
 
     /** The caller left. Returns whether its request was waiting here. */
     boolean remove(CallerExchange exchange) {
-        Early removed = requests.remove(exchange);
+        PendingRequest removed = requests.remove(exchange);
         bytes -= removed == null ? 0 : removed.request.body().length;
         return removed != null;
     }
 
     /** Takes out all requests, in the order in which they came. */
-    List<Early> takeAll() {
-        List<Early> all = new ArrayList<>(requests.values());
+    List<PendingRequest> drain() {
+        List<PendingRequest> all = new ArrayList<>(requests.values());
         requests.clear();
         bytes = 0;
         return all;
     }
 
     /** Takes out a request that waited too long. */
-    Optional<Early> takeOverdue(long now) {
-        Optional<Early> overdue =
+    Optional<PendingRequest> pollExpired(long now) {
+        Optional<PendingRequest> overdue =
                 requests.values().stream().filter(early -> now >= early.until).findFirst();
         overdue.ifPresent(early -> remove(early.exchange));
         return overdue;
     }
 
     long nextDue() {
-        return requests.values().stream().mapToLong(Early::until).min().orElse(Core.NEVER);
+        return requests.values().stream().mapToLong(PendingRequest::until).min().orElse(Core.NEVER);
     }
 
     int size() {
--- a/src/main/java/org/cuminshelf/direct/UnseenWork.java
+++ b/src/main/java/org/cuminshelf/direct/UnreportedWork.java
@@ -13,7 +13,7 @@
  * way to an engine is added to what is known to wait there, by a different share for each call and engine, so that
  * entries which know the same spread their calls over engines that are alike within what they can't know.
  */
-final class UnseenWork {
+final class UnreportedWork {
 
     /** Time in which the rate of work follows a change: long against the clumps of arrivals, short against the mix. */
     private static final double MEMORY_MILLIS = 1_000;
@@ -41,7 +41,7 @@
     private final Map<Role, Rate> rates = new EnumMap<>(Role.class);
 
     /** Takes note of a prompt that this entry sent. */
-    void sent(long now, Role role, double workMillis) {
+    void recordSent(long now, Role role, double workMillis) {
         Rate rate = rates.computeIfAbsent(role, key -> new Rate());
         rate.now(now);
         rate.work += workMillis;
@@ -56,7 +56,7 @@
      * @param others  the other entries
      * @param engines the engines of the role
      */
-    double millis(long now, Role role, long age, int others, int engines) {
+    double expectedMillis(long now, Role role, long age, int others, int engines) {
         Rate rate = rates.get(role);
         if (rate == null || engines == 0) {
             return 0;
@@ -65,7 +65,7 @@
     }
 
     /** The share of it that a call reckons with at an engine, evenly spread up to {@link #MOST_SHARE}. */
-    static double share(String engine, long callHash) {
+    static double randomShare(String engine, long callHash) {
         return MOST_SHARE * (LongHashFunction.xx3(callHash).hashChars(engine) >>> 64 - HASH_BITS) / (1 << HASH_BITS);
     }
 }
--- a/src/main/java/org/cuminshelf/direct/UpstreamProtocol.java
+++ b/src/main/java/org/cuminshelf/direct/UpstreamProtocol.java
@@ -31,7 +31,7 @@
      * @param handle the cache
      * @return the request to the engine that holds it
      */
-    UpstreamRequest release(CacheHandle handle);
+    UpstreamRequest release(KvCacheHandle handle);
 
     /**
      * Reads the head of an answer.
--- a/src/main/java/org/cuminshelf/direct/UpstreamRow.java
+++ b/src/main/java/org/cuminshelf/direct/UpstreamRow.java
@@ -38,7 +38,7 @@
     final Address address;
     final String service;
     final String zone;
-    final PartCache cache = new PartCache();
+    final PrefixCacheTracker cache = new PrefixCacheTracker();
     /** Control processes that list it. */
     final Set<Address> listedBy = new HashSet<>();
     /** What the other entries have under way there. */
--- a/src/main/java/org/cuminshelf/direct/Placement.java
+++ b/src/main/java/org/cuminshelf/direct/UpstreamSelector.java
@@ -28,7 +28,7 @@
  * them in at full speed and hands its KV cache on; one in another role takes them in at half the speed between the
  * tokens of its streams, so there only a little may wait at once, or the streams' pauses grow too long.
  */
-final class Placement {
+final class UpstreamSelector {
 
     /**
      * A choice.
@@ -36,26 +36,26 @@
      * @param upstream    where the request goes
      * @param prefillOnly whether only its prompt is taken in there
      * @param estimate    what its prompt is expected to take there
-     * @param source      another engine from which it may fetch shared parts of the prompt that it lacks
-     * @param gain        what the answer is worth on average, in usual answers, less what its engine's time is worth
+     * @param prefixSource    another engine from which it may fetch shared parts of the prompt that it lacks
+     * @param netValue    what the answer is worth on average, in usual answers, less what its engine's time is worth
      */
     record Choice(
             UpstreamRow upstream,
             boolean prefillOnly,
             PromptEstimate estimate,
-            Optional<UpstreamRow> source,
-            double gain) {
+            Optional<UpstreamRow> prefixSource,
+            double netValue) {
 
         private static Choice of(UpstreamRow upstream, double firstMillis) {
-            return new Choice(upstream, false, PromptEstimate.ofFirst(firstMillis), Optional.empty(), 1);
+            return new Choice(upstream, false, PromptEstimate.withoutPrefill(firstMillis), Optional.empty(), 1);
         }
 
-        double firstMillis() {
-            return estimate.firstMillis();
+        double firstEventMillis() {
+            return estimate.firstEventMillis();
         }
 
-        double waitMillis() {
-            return estimate.waitMillis();
+        double queueMillis() {
+            return estimate.queueMillis();
         }
     }
 
@@ -111,12 +111,12 @@
     private final ControlFeed control;
     private final EngineModels models;
     private final Backpressure backpressure;
-    private final EnginePrices prices = new EnginePrices();
-    private final CallValues values = new CallValues();
-    private final Map<String, UnseenWork> unseen = new HashMap<>();
+    private final EngineTimePrices prices = new EngineTimePrices();
+    private final AnswerValues values = new AnswerValues();
+    private final Map<String, UnreportedWork> unseen = new HashMap<>();
     private final String zone;
 
-    Placement(
+    UpstreamSelector(
             UpstreamTable upstreams, ControlFeed control, EngineModels models, Backpressure backpressure, String zone) {
         this.upstreams = upstreams;
         this.control = control;
@@ -140,23 +140,23 @@
     }
 
     /** What a prompt takes of an engine that only reads prompts and holds as much of it as any engine does. */
-    long readMicros(long now, CallRow call, GenerationShape shape) {
+    long prefillMicros(long now, CallRow call, GenerationShape shape) {
         values.observe(call, shape);
-        SharedParts shared = SharedParts.of(shape, open(now, call), now);
-        int held = shared.mostHeld();
+        SharedPrefixLocations shared = SharedPrefixLocations.of(shape, open(now, call), now);
+        int held = shared.maxCachedTokens();
         double millis =
                 models.of(call.service).workMillis("", false, 0, held, Math.max(0, shape.promptTokens() - held));
         return (long) (MICROS_PER_MILLI * millis);
     }
 
     /** How long a generation takes a place of an engine that has a usual number of streams. */
-    long runningMicros(String service, GenerationShape shape) {
+    long generationMicros(String service, GenerationShape shape) {
         Optional<EngineLimits> limits = limits(service);
         int perEvent = tokensPerEvent(service);
         int usualStreams = limits.map(EngineLimits::slots).orElse(1) / 2;
         double events = Math.ceil((double) shape.outputTokens() / perEvent);
         double millis = events * models.of(service).gapMillis(usualStreams);
-        prices.running(service, millis);
+        prices.recordGeneration(service, millis);
         return (long) (MICROS_PER_MILLI * millis);
     }
 
@@ -185,7 +185,8 @@
         double least = Double.MAX_VALUE;
         EngineModel model = models.of(call.service);
         List<UpstreamRow> open = open(now, call);
-        Optional<SharedParts> shared = call.intent.generation().map(shape -> SharedParts.of(shape, open, now));
+        Optional<SharedPrefixLocations> shared =
+                call.intent.generation().map(shape -> SharedPrefixLocations.of(shape, open, now));
         for (UpstreamRow row : open) {
             if (row.role == Role.ROLE_PREFILL) {
                 continue;
@@ -245,25 +246,25 @@
     }
 
     /** Takes note that a call was sent where it was chosen to go. */
-    void sent(long now, Choice choice) {
-        if (choice.estimate.workMillis() > 0) {
-            unseenOf(choice.upstream.service).sent(now, choice.upstream.role, choice.estimate.workMillis());
+    void onSent(long now, Choice choice) {
+        if (choice.estimate.prefillMillis() > 0) {
+            unseenOf(choice.upstream.service).recordSent(now, choice.upstream.role, choice.estimate.prefillMillis());
         }
     }
 
-    private UnseenWork unseenOf(String service) {
-        return unseen.computeIfAbsent(service, key -> new UnseenWork());
+    private UnreportedWork unseenOf(String service) {
+        return unseen.computeIfAbsent(service, key -> new UnreportedWork());
     }
 
     /** Milliseconds of work of other entries that is probably on its way to each open engine, by role. */
     private Map<Role, Double> unseenMillis(long now, String service, List<UpstreamRow> open) {
-        UnseenWork work = unseenOf(service);
+        UnreportedWork work = unseenOf(service);
         int others = Math.max(0, control.entries().size() - 1);
         Map<Role, Integer> engines = new EnumMap<>(Role.class);
         open.forEach(row -> engines.merge(row.role, 1, Integer::sum));
         Map<Role, Double> millis = new EnumMap<>(Role.class);
-        engines.forEach(
-                (role, count) -> millis.put(role, work.millis(now, role, LoadGossip.gap(others), others, count)));
+        engines.forEach((role, count) ->
+                millis.put(role, work.expectedMillis(now, role, LoadGossip.minIntervalNanos(others), others, count)));
         return millis;
     }
 
@@ -274,14 +275,14 @@
         boolean placeThere = open.stream().anyMatch(row -> row.generates() && hasPlace(row, call));
         EngineModel model = models.of(call.service);
         long room = cacheRoom(call);
-        open.forEach(row -> row.cache.bound(room));
+        open.forEach(row -> row.cache.setCapacityTokens(room));
         Choice best = null;
         double least = Double.MAX_VALUE;
-        SharedParts shared = SharedParts.of(shape, open, now);
+        SharedPrefixLocations shared = SharedPrefixLocations.of(shape, open, now);
         Map<Role, Double> onTheirWay = unseenMillis(now, call.service, open);
         long callHash = LongHashFunction.xx3().hashChars(call.intent.id());
         for (UpstreamRow row : open) {
-            double onItsWay = onTheirWay.get(row.role) * UnseenWork.share(row.id, callHash);
+            double onItsWay = onTheirWay.get(row.role) * UnreportedWork.randomShare(row.id, callHash);
             Choice choice = estimate(now, row, model, shape, shared, onItsWay);
             boolean fits =
                     row.generates() ? fitsBesideStreams(choice, call, model, prefillThere) : splits && placeThere;
@@ -291,15 +292,16 @@
                 least = cost;
             }
         }
-        prices.observe(now, call.service, open, model);
-        Optional.ofNullable(best).ifPresent(choice -> prices.placed(call.service, choice.estimate.workMillis()));
+        prices.updateScarcity(now, call.service, open, model);
+        Optional.ofNullable(best)
+                .ifPresent(choice -> prices.recordPrefill(call.service, choice.estimate.prefillMillis()));
         return Optional.ofNullable(best).map(choice -> withGain(now, choice, call, model, shape));
     }
 
     private Choice withGain(long now, Choice choice, CallRow call, EngineModel model, GenerationShape shape) {
-        double answer = values.of(call, shape) * (1 - LATE_COST * lateChance(now, choice, call, model));
-        double time = choice.estimate.workMillis() * prices.ofMillisecond(call.service, choice.upstream);
-        return new Choice(choice.upstream, choice.prefillOnly, choice.estimate, choice.source, answer - time);
+        double answer = values.valueOf(call, shape) * (1 - LATE_COST * lateChance(now, choice, call, model));
+        double time = choice.estimate.prefillMillis() * prices.perMillisecond(call.service, choice.upstream);
+        return new Choice(choice.upstream, choice.prefillOnly, choice.estimate, choice.prefixSource, answer - time);
     }
 
     /** Whether a prompt may be taken in by an engine that also generates; more may wait there if no other can do it. */
@@ -307,7 +309,7 @@
         UpstreamRow row = choice.upstream;
         // A stream that its caller has half of goes on beside what is there: cutting it would lose what it took so far.
         boolean idle = row.occupancy() == 0 || call.begun;
-        double backlog = choice.waitMillis() + choice.estimate.workMillis();
+        double backlog = choice.queueMillis() + choice.estimate.prefillMillis();
         return idle
                 || hasPlace(row, call)
                         && (!prefillThere || backlog <= model.reading().millis());
@@ -330,9 +332,14 @@
     }
 
     private Choice estimate(
-            long now, UpstreamRow row, EngineModel model, GenerationShape shape, SharedParts shared, double onItsWay) {
-        int own = shared.heldBy(row);
-        int held = shared.withinReachOf(row);
+            long now,
+            UpstreamRow row,
+            EngineModel model,
+            GenerationShape shape,
+            SharedPrefixLocations shared,
+            double onItsWay) {
+        int own = shared.tokensCachedBy(row);
+        int held = shared.tokensAvailableTo(row);
         int uncached = Math.max(0, shape.promptTokens() - held);
         boolean generates = row.generates();
         double latency = model.latencyMillis(row.id, generates);
@@ -346,14 +353,20 @@
     }
 
     private double cost(
-            long now, Choice choice, CallRow call, EngineModel model, GenerationShape shape, SharedParts shared) {
+            long now,
+            Choice choice,
+            CallRow call,
+            EngineModel model,
+            GenerationShape shape,
+            SharedPrefixLocations shared) {
         UpstreamRow row = choice.upstream;
-        int own = shared.heldBy(row);
-        int movedTokens = Math.max(0, choice.estimate.held() - own) + (choice.prefillOnly ? shape.promptTokens() : 0);
+        int own = shared.tokensCachedBy(row);
+        int movedTokens =
+                Math.max(0, choice.estimate.cachedTokens() - own) + (choice.prefillOnly ? shape.promptTokens() : 0);
         double moved = movedTokens * tokenBytes(call) / BYTES_PER_GIGABYTE * MOVE_COST;
-        double reread = Math.max(0, shared.tokens() - choice.estimate.held()) * REREAD_COST;
-        double work = choice.estimate.workMillis() * prices.ofMillisecond(call.service, row);
-        return lateCost(now, choice, call, model) + work + moved + reread + choice.firstMillis() * MILLI_COST;
+        double reread = Math.max(0, shared.tokens() - choice.estimate.cachedTokens()) * REREAD_COST;
+        double work = choice.estimate.prefillMillis() * prices.perMillisecond(call.service, row);
+        return lateCost(now, choice, call, model) + work + moved + reread + choice.firstEventMillis() * MILLI_COST;
     }
 
     /** What is lost on average by an answer's coming late: its chance to, and by how much. */
@@ -363,13 +376,13 @@
     }
 
     private static double lateChance(long now, Choice choice, CallRow call, EngineModel model) {
-        double error = Math.max(LEAST_ERROR_MILLIS, model.error() * choice.firstMillis());
+        double error = Math.max(LEAST_ERROR_MILLIS, model.error() * choice.firstEventMillis());
         return 1 / (1 + Math.exp(-LOGISTIC * lateMillis(now, choice, call) / error));
     }
 
     /** Milliseconds by which the first event is expected after the target, or before it if negative. */
     private static double lateMillis(long now, Choice choice, CallRow call) {
-        return Durations.millis(now - call.arrivedAt) + choice.firstMillis() - call.route.targetMillis();
+        return Durations.millis(now - call.arrivedAt) + choice.firstEventMillis() - call.route.targetMillis();
     }
 
     /** The upstreams that take a call now; one that asked another entry for rest only if no other has its role. */
@@ -441,7 +454,7 @@
     /**
      * The engine of which a permit should be kept for the handover of a call: none if one without a limit can do it.
      */
-    Optional<UpstreamRow> limitedForHandover(long now, CallRow call) {
+    Optional<UpstreamRow> handoverEngineToReserve(long now, CallRow call) {
         if (backpressure.limits().inForce() == 0) {
             return Optional.empty();
         }
--- a/src/main/java/org/cuminshelf/direct/UpstreamTable.java
+++ b/src/main/java/org/cuminshelf/direct/UpstreamTable.java
@@ -219,7 +219,7 @@
         for (UpstreamLoad one : load.getUpstreamsList()) {
             UpstreamRow row = rows.get(one.getId());
             if (row != null) {
-                row.onLoad(entry, one, LoadGossip.waiting(now, one));
+                row.onLoad(entry, one, LoadGossip.queuedPrompts(now, one));
                 told.add(row);
             }
         }
--- a/src/main/java/org/cuminshelf/direct/UsageMeter.java
+++ b/src/main/java/org/cuminshelf/direct/UsageMeter.java
@@ -37,12 +37,12 @@
     }
 
     /** Takes a reading of the own time of day. */
-    void ownClock(long now, long unixMillis) {
+    void onWallClock(long now, long unixMillis) {
         clock.own(now, unixMillis);
     }
 
     /** A call began to run; it counts once, however often it is sent. */
-    void began(CallRow call, long at) {
+    void recordStart(CallRow call, long at) {
         Optional<Organisation> organisation = call.organisation;
         if (call.counted || organisation.isEmpty()) {
             return;
@@ -63,7 +63,7 @@
     }
 
     /** Adds what a control process has not heard yet. */
-    void describe(long now, Address control, Subscribe.Builder subscribe) {
+    void addReport(long now, Address control, Subscribe.Builder subscribe) {
         if (windowMillis.isEmpty()) {
             return;
         }
--- a/src/main/java/org/cuminshelf/platform/BootSettings.java
+++ b/src/main/java/org/cuminshelf/platform/BootSettings.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.Optional;
 import org.cuminshelf.core.Address;
-import org.cuminshelf.direct.RepeatLimits;
+import org.cuminshelf.direct.RetryLimits;
 
 /**
  * What the platform's settings file says to one process.
@@ -42,7 +42,7 @@
         boolean firstStart,
         Optional<Path> dataFolder,
         long graceMillis,
-        RepeatLimits repeats,
+        RetryLimits repeats,
         DutyTerms duties) {
 
     /** Variable that holds the path of the settings file. */
@@ -131,11 +131,11 @@
                 duties);
     }
 
-    private static RepeatLimits repeats(JsonNode bounds) {
+    private static RetryLimits repeats(JsonNode bounds) {
         if (!bounds.path("retryBudgetRatio").isNumber()) {
-            return RepeatLimits.DEFAULT;
+            return RetryLimits.DEFAULT;
         }
-        return new RepeatLimits(
+        return new RetryLimits(
                 bounds.path("retryBudgetRatio").doubleValue(),
                 bounds.path("retrySlack").asDouble(0),
                 (long) (bounds.path("retryWindowS").asDouble(10) * MILLIS_PER_SECOND));
--- a/src/main/java/org/cuminshelf/platform/PlatformProtocol.java
+++ b/src/main/java/org/cuminshelf/platform/PlatformProtocol.java
@@ -16,11 +16,11 @@
 import org.cuminshelf.backpressure.StatedLimit;
 import org.cuminshelf.direct.AnswerFacts;
 import org.cuminshelf.direct.AttemptPlan;
-import org.cuminshelf.direct.CacheHandle;
 import org.cuminshelf.direct.CallIntent;
 import org.cuminshelf.direct.GenerationShape;
 import org.cuminshelf.direct.HopHeaders;
-import org.cuminshelf.direct.PromptPart;
+import org.cuminshelf.direct.KvCacheHandle;
+import org.cuminshelf.direct.PromptSegment;
 import org.cuminshelf.direct.UpstreamProtocol;
 import org.cuminshelf.exchange.ReceivedRequest;
 import org.cuminshelf.exchange.UpstreamRequest;
@@ -88,15 +88,15 @@
         }
     }
 
-    private static List<PromptPart> parts(String header) {
-        List<PromptPart> parts = new ArrayList<>();
+    private static List<PromptSegment> parts(String header) {
+        List<PromptSegment> parts = new ArrayList<>();
         if (header == null) {
             return parts;
         }
         for (String entry : header.split(",")) {
             int colon = entry.indexOf(':');
             if (colon > 0) {
-                parts.add(new PromptPart(
+                parts.add(new PromptSegment(
                         entry.substring(0, colon).trim(),
                         Integer.parseInt(entry.substring(colon + 1).trim())));
             }
@@ -138,7 +138,7 @@
             headers.put(Headers.STAGE, Headers.PREFILL);
         }
         plan.cache().ifPresent(cache -> headers.put(Headers.CACHE_SOURCE, cache.engine() + "/" + cache.handle()));
-        plan.partSource().ifPresent(engine -> headers.put(Headers.PART_SOURCE, engine.value()));
+        plan.prefixSource().ifPresent(engine -> headers.put(Headers.PART_SOURCE, engine.value()));
         plan.resumeAfter().ifPresent(event -> headers.put(Headers.LAST_EVENT, String.valueOf(event)));
         return new UpstreamRequest(request.method(), request.target(), headers, request.body());
     }
@@ -151,7 +151,7 @@
     }
 
     @Override
-    public UpstreamRequest release(CacheHandle handle) {
+    public UpstreamRequest release(KvCacheHandle handle) {
         HttpFields headers =
                 HttpFields.build().put(HttpHeader.HOST, handle.engine().value());
         return new UpstreamRequest("DELETE", "/cuminshelf/kv-handle/" + handle.handle(), headers, NOTHING);
--- a/src/test/java/org/cuminshelf/direct/ControlFeedTest.java
+++ b/src/test/java/org/cuminshelf/direct/ControlFeedTest.java
@@ -32,7 +32,7 @@
     private long now = Durations.nanos(10_000);
     private final UpstreamTable upstreams = new UpstreamTable(Leavers.none(), DecisionLog.none());
     private final ControlFeed feed = new ControlFeed(
-            new DirectSettings("r", "z", "vm", List.of(FIRST), new RepeatLimits(0.2, 100, 10_000)),
+            new DirectSettings("r", "z", "vm", List.of(FIRST), new RetryLimits(0.2, 100, 10_000)),
             (deflated, whenRead) -> reading.add(whenRead),
             upstreams,
             new PoisonSystem(DirectFixture.noPort(), upstreams, () -> now, "vm", DecisionLog.none()),
--- a/src/test/java/org/cuminshelf/direct/DirectFixture.java
+++ b/src/test/java/org/cuminshelf/direct/DirectFixture.java
@@ -65,7 +65,7 @@
         this.table = table(7, organisations, routes);
         this.core = DirectCore.start(
                 new DirectSettings(
-                        "r", "z", "vm", List.of(CONTROL), new RepeatLimits(0.2, 100, 10_000), OptionalLong.of(5_000)),
+                        "r", "z", "vm", List.of(CONTROL), new RetryLimits(0.2, 100, 10_000), OptionalLong.of(5_000)),
                 SELF,
                 new Protocol(),
                 RouteReader.atOnce(document -> Optional.of(table)),
@@ -341,8 +341,8 @@
                             Integer.parseInt(tokens),
                             100,
                             List.of(
-                                    new PromptPart("shared", sharedTokens(headers)),
-                                    new PromptPart(headers.get("Id"), 10))));
+                                    new PromptSegment("shared", sharedTokens(headers)),
+                                    new PromptSegment(headers.get("Id"), 10))));
             return new CallIntent(
                     headers.get("Id"), OptionalLong.of(800), shape, number(headers.get("Last")), keys(headers));
         }
@@ -370,13 +370,13 @@
                     .put("Prefill", String.valueOf(plan.prefillOnly()));
             plan.organisation().ifPresent(name -> fields.put("Organisation", name));
             plan.cache().ifPresent(cache -> fields.put("Cache", cache.handle()));
-            plan.partSource().ifPresent(engine -> fields.put("Parts-From", engine.value()));
+            plan.prefixSource().ifPresent(engine -> fields.put("Parts-From", engine.value()));
             plan.resumeAfter().ifPresent(event -> fields.put("Last", String.valueOf(event)));
             return new UpstreamRequest("POST", request.target(), fields, request.body());
         }
 
         @Override
-        public UpstreamRequest release(CacheHandle handle) {
+        public UpstreamRequest release(KvCacheHandle handle) {
             return new UpstreamRequest("DELETE", "/" + handle.handle(), HttpFields.EMPTY, new byte[0]);
         }
 
--- a/src/test/java/org/cuminshelf/direct/OfferedWorkTest.java
+++ b/src/test/java/org/cuminshelf/direct/OfferedLoadTest.java
@@ -10,7 +10,7 @@
 import org.cuminshelf.routes.RequestKind;
 
 /** What control is told of the work that callers offered, from which it plans the roles of engines. */
-class OfferedWorkTest {
+class OfferedLoadTest {
 
     private static final int CALLS = 40;
     /** Half a second is how often an entry asks control; calls of the fixture end after 800 ms. */
--- a/src/test/java/org/cuminshelf/direct/RepeatBudgetTest.java
+++ b/src/test/java/org/cuminshelf/direct/ServiceRetryBudgetTest.java
@@ -6,7 +6,7 @@
 import org.cuminshelf.core.Durations;
 
 /** How often an entry may send requests once more. */
-class RepeatBudgetTest {
+class ServiceRetryBudgetTest {
 
     /*
      * All upstreams of a zone fail at once, every request is sent once more by every entry, and what is left falls
@@ -17,12 +17,12 @@
         int entries = 5;
         int granted = 0;
         for (int entry = 0; entry < entries; entry++) {
-            RepeatBudget budget = new RepeatBudget(new RepeatLimits(0.2, 58, 10_000));
+            ServiceRetryBudget budget = new ServiceRetryBudget(new RetryLimits(0.2, 58, 10_000));
             for (int request = 0; request < 100; request++) {
                 long now = Durations.nanos(request * 100L);
                 budget.onRequest(now, "s");
-                granted += budget.take(now, "s", entries) ? 1 : 0;
-                granted += budget.take(now, "s", entries) ? 1 : 0;
+                granted += budget.tryAcquire(now, "s", entries) ? 1 : 0;
+                granted += budget.tryAcquire(now, "s", entries) ? 1 : 0;
             }
         }
         assertThat(granted).isLessThanOrEqualTo((int) (0.2 * 500 + 58)).isGreaterThan(60);
@@ -30,11 +30,11 @@
 
     @Example
     void anOldWindowIsForgotten() {
-        RepeatBudget budget = new RepeatBudget(new RepeatLimits(0, 10, 10_000));
+        ServiceRetryBudget budget = new ServiceRetryBudget(new RetryLimits(0, 10, 10_000));
         long now = 0;
-        while (budget.take(now, "s", 1)) {
+        while (budget.tryAcquire(now, "s", 1)) {
             now += 1;
         }
-        assertThat(budget.take(Durations.nanos(11_000), "s", 1)).isTrue();
+        assertThat(budget.tryAcquire(Durations.nanos(11_000), "s", 1)).isTrue();
     }
 }
--- a/src/test/java/org/cuminshelf/direct/SharedPartsTest.java
+++ b/src/test/java/org/cuminshelf/direct/SharedPrefixLocationsTest.java
@@ -12,10 +12,10 @@
 import org.cuminshelf.message.Role;
 
 /** Where shared parts are believed to be, and from where they are fetched. */
-class SharedPartsTest {
+class SharedPrefixLocationsTest {
 
     private static final GenerationShape SHAPE = new GenerationShape(
-            "m", 9_000, 100, List.of(new PromptPart("subject", 5_000), new PromptPart("own", 4_000)));
+            "m", 9_000, 100, List.of(new PromptSegment("subject", 5_000), new PromptSegment("own", 4_000)));
 
     @Property(seed = "11")
     void aSourceIsAnotherEngineThatHoldsMoreThanIsKnownOfTheOwn(
@@ -23,18 +23,19 @@
         List<UpstreamRow> rows = rows(engines, engines / 3);
         for (int index = 0; index < engines; index++) {
             if ((holders >> index & 1) == 1) {
-                rows.get(index).cache.add(SHAPE.parts().subList(0, 1), 0);
+                rows.get(index).cache.recordPrompt(SHAPE.segments().subList(0, 1), 0);
             }
         }
-        SharedParts shared = SharedParts.of(SHAPE, rows, 0);
+        SharedPrefixLocations shared = SharedPrefixLocations.of(SHAPE, rows, 0);
         for (UpstreamRow row : rows) {
             Optional<UpstreamRow> source = shared.sourceFor(row);
-            int known = row.cache.heldTokens(SHAPE.parts());
+            int known = row.cache.cachedPrefixTokens(SHAPE.segments());
             assertThat(source).isNotEqualTo(Optional.of(row));
-            source.ifPresent(other -> assertThat(shared.heldBy(other)).isGreaterThan(known));
-            boolean elsewhere = rows.stream().anyMatch(other -> other != row && shared.heldBy(other) >= known + 256);
+            source.ifPresent(other -> assertThat(shared.tokensCachedBy(other)).isGreaterThan(known));
+            boolean elsewhere =
+                    rows.stream().anyMatch(other -> other != row && shared.tokensCachedBy(other) >= known + 256);
             assertThat(source.isPresent()).isEqualTo(elsewhere);
-            assertThat(shared.withinReachOf(row)).isBetween(shared.heldBy(row), 5_000);
+            assertThat(shared.tokensAvailableTo(row)).isBetween(shared.tokensCachedBy(row), 5_000);
         }
     }
 
@@ -57,8 +58,8 @@
 
     private static String home(int subject, List<UpstreamRow> rows) {
         GenerationShape shape = new GenerationShape(
-                "m", 100, 1, List.of(new PromptPart("subject" + subject, 50), new PromptPart("own", 50)));
-        SharedParts shared = SharedParts.of(shape, rows, 0);
+                "m", 100, 1, List.of(new PromptSegment("subject" + subject, 50), new PromptSegment("own", 50)));
+        SharedPrefixLocations shared = SharedPrefixLocations.of(shape, rows, 0);
         return rows.stream().filter(shared::isHomeOfStreams).findFirst().orElseThrow().id;
     }
 
--- a/src/test/java/org/cuminshelf/direct/SizeFairnessTest.java
+++ b/src/test/java/org/cuminshelf/direct/SizeFairnessTest.java
@@ -28,12 +28,12 @@
         for (int call = 0; call < CALLS; call++) {
             double rank = random.nextDouble();
             double size = 1_000 * Math.pow(1 - rank, -0.7);
-            SizeFairness.Claim claim = fairness.arrived("r", size);
-            boolean sent = rank < fitting || fair && claim.isOwed();
+            SizeFairness.Claim claim = fairness.register("r", size);
+            boolean sent = rank < fitting || fair && claim.hasCredit();
             if (sent) {
-                claim.sent();
+                claim.onSent();
             }
-            claim.ended(sent);
+            claim.onEnded(sent);
             answered += sent ? 1 : 0;
             large += rank >= LARGEST ? 1 : 0;
             largeAnswered += sent && rank >= LARGEST ? 1 : 0;
@@ -69,14 +69,14 @@
     void whatALongOutageRefusedIsNotMadeUpFor() {
         SizeFairness fairness = new SizeFairness();
         for (int call = 0; call < 400; call++) {
-            fairness.arrived("r", 1 + call % 100).ended(call % 2 == 0);
+            fairness.register("r", 1 + call % 100).onEnded(call % 2 == 0);
         }
         int owed = 0;
         for (int call = 0; call < 100; call++) {
-            SizeFairness.Claim claim = fairness.arrived("r", 1_000);
-            owed += claim.isOwed() ? 1 : 0;
-            claim.sent();
-            claim.ended(true);
+            SizeFairness.Claim claim = fairness.register("r", 1_000);
+            owed += claim.hasCredit() ? 1 : 0;
+            claim.onSent();
+            claim.onEnded(true);
         }
         assertThat(owed).isBetween(3, 16);
     }
@@ -89,16 +89,16 @@
     void aShortBurstSendsNoLargeCallsWhereTheyWereAnsweredBefore() {
         SizeFairness fairness = new SizeFairness();
         for (int call = 0; call < 300; call++) {
-            SizeFairness.Claim claim = fairness.arrived("r", 1 + call % 100);
-            claim.sent();
-            claim.ended(true);
+            SizeFairness.Claim claim = fairness.register("r", 1 + call % 100);
+            claim.onSent();
+            claim.onEnded(true);
         }
         int refused = 0;
-        SizeFairness.Claim next = fairness.arrived("r", 1_000);
-        while (!next.isOwed() && refused < 100) {
+        SizeFairness.Claim next = fairness.register("r", 1_000);
+        while (!next.hasCredit() && refused < 100) {
             refused++;
-            next.ended(false);
-            next = fairness.arrived("r", 1_000);
+            next.onEnded(false);
+            next = fairness.register("r", 1_000);
         }
         assertThat(refused).isBetween(4, 12);
     }
@@ -107,12 +107,12 @@
     void whatWasSentInVainIsOwedAgain() {
         SizeFairness fairness = new SizeFairness();
         for (int call = 0; call < 100; call++) {
-            fairness.arrived("r", call).ended(true);
+            fairness.register("r", call).onEnded(true);
         }
-        SizeFairness.Claim claim = fairness.arrived("r", 1_000);
-        claim.sent();
-        SizeFairness.Claim next = fairness.arrived("r", 1_000);
-        next.sent();
-        assertThat(fairness.arrived("r", 1_000).isOwed()).isTrue();
+        SizeFairness.Claim claim = fairness.register("r", 1_000);
+        claim.onSent();
+        SizeFairness.Claim next = fairness.register("r", 1_000);
+        next.onSent();
+        assertThat(fairness.register("r", 1_000).hasCredit()).isTrue();
     }
 }
--- a/src/test/java/org/cuminshelf/direct/EarlyRequestsTest.java
+++ b/src/test/java/org/cuminshelf/direct/StartupRequestQueueTest.java
@@ -11,11 +11,11 @@
 import org.eclipse.jetty.http.HttpFields;
 
 /** What waits for a starting entry. */
-class EarlyRequestsTest {
+class StartupRequestQueueTest {
 
     private static final CallIntent INTENT =
             new CallIntent("id", OptionalLong.of(8_000), Optional.empty(), OptionalLong.empty(), CallerKeys.none());
-    private final EarlyRequests early = new EarlyRequests();
+    private final StartupRequestQueue early = new StartupRequestQueue();
 
     /*
      * An entry runs out of memory at its start and is started again and again: callers with large bodies wait for it,
@@ -32,15 +32,15 @@
         assertThat(add(new DirectFixture.Answer(), large)).isFalse();
         assertThat(early.remove(first)).isTrue();
         assertThat(add(new DirectFixture.Answer(), large)).isTrue();
-        assertThat(early.takeAll()).hasSize(4);
+        assertThat(early.drain()).hasSize(4);
         assertThat(add(new DirectFixture.Answer(), large)).isTrue();
     }
 
     @Example
     void aRequestIsOverdueOnceItWaitedLongEnough() {
         add(new DirectFixture.Answer(), new byte[0]);
-        assertThat(early.takeOverdue(Durations.nanos(1_400))).isEmpty();
-        assertThat(early.takeOverdue(Durations.nanos(1_600))).isPresent();
+        assertThat(early.pollExpired(Durations.nanos(1_400))).isEmpty();
+        assertThat(early.pollExpired(Durations.nanos(1_600))).isPresent();
         assertThat(early.size()).isZero();
     }
 
--- a/src/test/java/org/cuminshelf/direct/UnseenWorkTest.java
+++ b/src/test/java/org/cuminshelf/direct/UnreportedWorkTest.java
@@ -11,7 +11,7 @@
 import org.cuminshelf.message.Role;
 
 /** What becomes of prompts whose entries hear late of each other. */
-class UnseenWorkTest {
+class UnreportedWorkTest {
 
     private static final int ENGINES = 10;
     private static final double WORK_MILLIS = 40;
@@ -23,7 +23,7 @@
 
     /** One entry: what it knows, and what it thinks is on its way. */
     private static final class Chooser {
-        private final UnseenWork unseen = new UnseenWork();
+        private final UnreportedWork unseen = new UnreportedWork();
     }
 
     /**
@@ -49,16 +49,17 @@
                 recent.poll();
             }
             long now = Durations.nanos((long) at);
-            UnseenWork unseen = choosers.get(entry).unseen;
+            UnreportedWork unseen = choosers.get(entry).unseen;
             double onItsWay = reckonsWithUnseen
-                    ? unseen.millis(now, Role.ROLE_PREFILL, Durations.nanos((long) newsMillis), entries - 1, ENGINES)
+                    ? unseen.expectedMillis(
+                            now, Role.ROLE_PREFILL, Durations.nanos((long) newsMillis), entries - 1, ENGINES)
                     : 0;
             int best = 0;
             double least = Double.MAX_VALUE;
             long call = random.nextLong();
             for (int engine = 0; engine < ENGINES; engine++) {
                 double known = Math.max(0, freeAt[engine] - at) - unseenThere(recent, entry, engine);
-                double wait = Math.max(0, known) + onItsWay * UnseenWork.share("engine-" + engine, call);
+                double wait = Math.max(0, known) + onItsWay * UnreportedWork.randomShare("engine-" + engine, call);
                 if (wait < least) {
                     best = engine;
                     least = wait;
@@ -68,7 +69,7 @@
             prompts++;
             freeAt[best] = Math.max(freeAt[best], at) + WORK_MILLIS;
             recent.add(new Sent(at, entry, best));
-            unseen.sent(now, Role.ROLE_PREFILL, WORK_MILLIS);
+            unseen.recordSent(now, Role.ROLE_PREFILL, WORK_MILLIS);
         }
         return waited / prompts;
     }
@@ -107,11 +108,11 @@
 
     @Example
     void oneEntryReckonsWithNothingUnseen() {
-        UnseenWork unseen = new UnseenWork();
-        unseen.sent(0, Role.ROLE_PREFILL, 100);
-        assertThat(unseen.millis(0, Role.ROLE_PREFILL, Durations.nanos(100), 0, 5))
+        UnreportedWork unseen = new UnreportedWork();
+        unseen.recordSent(0, Role.ROLE_PREFILL, 100);
+        assertThat(unseen.expectedMillis(0, Role.ROLE_PREFILL, Durations.nanos(100), 0, 5))
                 .isZero();
-        assertThat(unseen.millis(0, Role.ROLE_DECODE, Durations.nanos(100), 9, 5))
+        assertThat(unseen.expectedMillis(0, Role.ROLE_DECODE, Durations.nanos(100), 9, 5))
                 .isZero();
     }
 }
--- a/src/test/java/org/cuminshelf/direct/PlacementTest.java
+++ b/src/test/java/org/cuminshelf/direct/UpstreamSelectorTest.java
@@ -11,7 +11,7 @@
 import org.cuminshelf.routes.RequestKind;
 
 /** Where requests go under the load patterns of the first users. */
-class PlacementTest {
+class UpstreamSelectorTest {
 
     /** Milliseconds after which no request waits at the entry any more. */
     private static final long PATIENCE_OVER = 200;
--- a/src/test/java/org/cuminshelf/direct/UpstreamTableTest.java
+++ b/src/test/java/org/cuminshelf/direct/UpstreamTableTest.java
@@ -112,7 +112,7 @@
     void aLaterStartOfAnUpstreamHasNothingOfTheFormer() {
         tell(1, 1, false, start(1_000));
         UpstreamRow former = table.ofService("s").getFirst();
-        former.cache.add(List.of(new PromptPart("p", 100)), now);
+        former.cache.recordPrompt(List.of(new PromptSegment("p", 100)), now);
         former.running = 3;
         former.failed(now);
         former.failed(now);
@@ -120,7 +120,8 @@
         assertThat(table.ofService("s")).hasSize(1);
         UpstreamRow row = table.ofService("s").getFirst();
         assertThat(row.id).isNotEqualTo(former.id);
-        assertThat(row.cache.heldTokens(List.of(new PromptPart("p", 100)))).isZero();
+        assertThat(row.cache.cachedPrefixTokens(List.of(new PromptSegment("p", 100))))
+                .isZero();
         assertThat(row.occupancy()).isZero();
         assertThat(row.isAvoided(now)).isFalse();
         assertThat(former.leaving).isTrue();
--- a/src/test/java/org/cuminshelf/platform/PlatformProtocolTest.java
+++ b/src/test/java/org/cuminshelf/platform/PlatformProtocolTest.java
@@ -12,8 +12,8 @@
 import org.cuminshelf.core.Address;
 import org.cuminshelf.direct.AnswerFacts;
 import org.cuminshelf.direct.AttemptPlan;
-import org.cuminshelf.direct.CacheHandle;
 import org.cuminshelf.direct.CallIntent;
+import org.cuminshelf.direct.KvCacheHandle;
 import org.cuminshelf.exchange.ReceivedRequest;
 import org.cuminshelf.exchange.UpstreamRequest;
 import org.cuminshelf.organisations.CallerKey;
@@ -32,7 +32,7 @@
         return new ReceivedRequest("POST", "/a/b?c=%20d", fields.asImmutable(), new byte[] {1});
     }
 
-    private static AttemptPlan plan(boolean prefill, Optional<CacheHandle> cache) {
+    private static AttemptPlan plan(boolean prefill, Optional<KvCacheHandle> cache) {
         return new AttemptPlan(
                 "i-1",
                 Optional.of("acme"),
@@ -58,7 +58,7 @@
         assertThat(intent.id()).isEqualTo("x");
         assertThat(intent.deadlineMillis()).hasValue(8000);
         assertThat(intent.generation().orElseThrow().promptTokens()).isEqualTo(1460);
-        assertThat(intent.generation().orElseThrow().parts()).hasSize(3);
+        assertThat(intent.generation().orElseThrow().segments()).hasSize(3);
     }
 
     @Example
@@ -159,7 +159,7 @@
 
     @Example
     void aCacheIsNamedByItsEngineAndHandle() {
-        CacheHandle cache = new CacheHandle(Address.of("10.0.0.1:80"), "k");
+        KvCacheHandle cache = new KvCacheHandle(Address.of("10.0.0.1:80"), "k");
         assertThat(protocol.attempt(request(), plan(false, Optional.of(cache)))
                         .headers()
                         .get(Headers.CACHE_SOURCE))
--- a/src/test/java/org/cuminshelf/trial/DirectFleet.java
+++ b/src/test/java/org/cuminshelf/trial/DirectFleet.java
@@ -19,14 +19,14 @@
 import org.cuminshelf.core.Invariants;
 import org.cuminshelf.direct.AnswerFacts;
 import org.cuminshelf.direct.AttemptPlan;
-import org.cuminshelf.direct.CacheHandle;
 import org.cuminshelf.direct.CallIntent;
 import org.cuminshelf.direct.DecisionLog;
 import org.cuminshelf.direct.DirectCore;
 import org.cuminshelf.direct.DirectSettings;
 import org.cuminshelf.direct.GenerationShape;
-import org.cuminshelf.direct.PromptPart;
-import org.cuminshelf.direct.RepeatLimits;
+import org.cuminshelf.direct.KvCacheHandle;
+import org.cuminshelf.direct.PromptSegment;
+import org.cuminshelf.direct.RetryLimits;
 import org.cuminshelf.direct.RouteReader;
 import org.cuminshelf.direct.UpstreamPort;
 import org.cuminshelf.direct.UpstreamProtocol;
@@ -149,7 +149,7 @@
 
     private void addEntry(Address address, int number) {
         DirectSettings settings =
-                new DirectSettings("r", "z", "entry-" + number, controlAddresses, new RepeatLimits(0.2, 1_000, 10_000));
+                new DirectSettings("r", "z", "entry-" + number, controlAddresses, new RetryLimits(0.2, 1_000, 10_000));
         VirtualNode node = node(
                 address,
                 (booted, now) -> DirectCore.start(
@@ -366,8 +366,8 @@
         @Override
         public CallIntent intent(ReceivedRequest request) {
             String id = request.headers().get("Id");
-            GenerationShape shape =
-                    new GenerationShape("m", 600, 100, List.of(new PromptPart("shared", 100), new PromptPart(id, 500)));
+            GenerationShape shape = new GenerationShape(
+                    "m", 600, 100, List.of(new PromptSegment("shared", 100), new PromptSegment(id, 500)));
             return new CallIntent(
                     id, OptionalLong.of(PATIENCE_MILLIS), Optional.of(shape), OptionalLong.empty(), CALLER);
         }
@@ -381,7 +381,7 @@
         }
 
         @Override
-        public UpstreamRequest release(CacheHandle handle) {
+        public UpstreamRequest release(KvCacheHandle handle) {
             throw new UnsupportedOperationException("these engines hand nothing over");
         }
 
