--- a/src/main/java/org/cuminshelf/direct/AttemptRunner.java
+++ b/src/main/java/org/cuminshelf/direct/AttemptRunner.java
@@ -117,21 +117,21 @@
      * @param call   the call
      * @param choice where it goes
      */
-    void send(long now, DirectCall call, Placement.Choice choice) {
+    void send(long now, DirectCall call, UpstreamSelector.Choice choice) {
         UpstreamInstance upstream = choice.upstream();
         DirectAttempt attempt = new DirectAttempt(nextAttemptNumber++, call, choice, now);
         call.lastAttempt = attempt;
         attempts.put(attempt.number, attempt);
         upstream.localAttempts++;
         upstream.localMemoryTokens += attempt.memoryTokens();
-        if (attempt.estimate.workMillis() > 0) {
-            upstream.pendingPrompts.add(attempt.number, new PromptQueue.Waiting(now, attempt.estimate.workMillis()));
+        if (attempt.estimate.prefillMillis() > 0) {
+            upstream.pendingPrompts.add(attempt.number, new PromptQueue.Waiting(now, attempt.estimate.prefillMillis()));
             attempt.promptPending = true;
         }
         call.intent.generation().ifPresent(shape -> {
-            double readyMillis = attempt.estimate.waitMillis() + attempt.estimate.workMillis();
-            upstream.promptCache.add(shape.parts(), now + Durations.nanos((long) readyMillis));
-            loadGossip.onSent(upstream, shape, readyMillis);
+            double readyMillis = attempt.estimate.queueMillis() + attempt.estimate.prefillMillis();
+            upstream.promptCache.recordPrompt(shape.segments(), now + Durations.nanos((long) readyMillis));
+            loadGossip.onPromptSent(upstream, shape, readyMillis);
         });
         if (!attempt.prefillOnly) {
             call.attemptCount++;
@@ -143,7 +143,7 @@
                 queuePriority(call),
                 attempt.prefillOnly,
                 attempt.prefillOnly ? Optional.empty() : call.kvCache,
-                choice.source().map(row -> row.address),
+                choice.prefixSource().map(row -> row.address),
                 call.lastEventId);
         UpstreamRequest request = protocol.attemptRequest(call.request, plan);
         progressChecks.set(attempt.number, now + responseTimeoutNanos(call, attempt));
@@ -162,7 +162,7 @@
                     RESPONSE_TIMEOUT_LATENCY_FACTOR * attempt.upstream.smoothedLatencyNanos());
         }
         return FIRST_EVENT_MARGIN_NANOS
-                + FIRST_EVENT_ESTIMATE_FACTOR * Durations.nanos((long) attempt.estimate.firstMillis());
+                + FIRST_EVENT_ESTIMATE_FACTOR * Durations.nanos((long) attempt.estimate.firstEventMillis());
     }
 
     /** Takes the answer to one attempt. */
@@ -277,15 +277,15 @@
     private void onPromptProcessed(long now, DirectAttempt attempt) {
         removePendingPrompt(attempt);
         attempt.upstream.pendingPrompts.taken(now);
-        loadGossip.onTaken(
+        loadGossip.onPrefillCompleted(
                 attempt.upstream,
                 new PromptSample(
                         attempt.upstream.id,
                         attempt.upstream.generatesTokens(),
                         attempt.streamsAtSend,
-                        attempt.estimate.held(),
-                        attempt.estimate.uncached(),
-                        attempt.estimate.waitMillis(),
+                        attempt.estimate.cachedTokens(),
+                        attempt.estimate.uncachedTokens(),
+                        attempt.estimate.queueMillis(),
                         millis(now - attempt.sentAtNanos)));
     }
 
--- a/src/main/java/org/cuminshelf/direct/CallDispatcher.java
+++ b/src/main/java/org/cuminshelf/direct/CallDispatcher.java
@@ -33,9 +33,9 @@
     private final UpstreamProtocol protocol;
     private final UpstreamClient client;
     private final UpstreamTable upstreams;
-    private final Placement placement;
+    private final UpstreamSelector selector;
     private final ControlSubscription control;
-    private final RepeatBudget retryBudget;
+    private final ServiceRetryBudget retryBudget;
     private final LongSupplier clock;
     private final Invariants invariants;
     private final DecisionLog log;
@@ -47,17 +47,17 @@
     private final AttemptRunner attemptRunner;
     private final Map<Long, DirectCall> openCalls = new HashMap<>();
     private final Deadlines<Long> callDeadlines = Deadlines.create();
-    private final WaitingCalls waitingCalls = new WaitingCalls();
-    private final Admission admission;
+    private final AdmissionQueue waitingCalls = new AdmissionQueue();
+    private final AdmissionControl admission;
     private final SizeFairness sizeFairness = new SizeFairness();
 
     CallDispatcher(
             UpstreamProtocol protocol,
             UpstreamClient client,
             UpstreamTable upstreams,
-            Placement placement,
+            UpstreamSelector selector,
             ControlSubscription control,
-            RepeatBudget retryBudget,
+            ServiceRetryBudget retryBudget,
             LongSupplier clock,
             Invariants invariants,
             DecisionLog log,
@@ -70,7 +70,7 @@
         this.protocol = protocol;
         this.client = client;
         this.upstreams = upstreams;
-        this.placement = placement;
+        this.selector = selector;
         this.control = control;
         this.retryBudget = retryBudget;
         this.clock = clock;
@@ -80,7 +80,7 @@
         this.backpressureListener = backpressureListener;
         this.poisonGuard = poisonGuard;
         this.usageMeter = usageMeter;
-        this.admission = new Admission(placement, control, waitingCalls);
+        this.admission = new AdmissionControl(selector, control, waitingCalls);
         this.responses = new CallerResponses(control, log);
         this.attemptRunner = new AttemptRunner(
                 protocol,
@@ -122,23 +122,24 @@
         retryBudget.onRequest(now, call.service);
         backpressure.limits().called(now, call.service);
         call.intent.generation().ifPresent(shape -> {
-            call.fairnessClaim = Optional.of(sizeFairness.arrived(call.route.name(), CallValues.size(shape)));
-            call.offeredLoad = Optional.of(new OfferedGeneration(
+            call.fairnessClaim =
+                    Optional.of(sizeFairness.register(call.route.name(), AnswerValues.sizeInPromptTokens(shape)));
+            call.offeredLoad = Optional.of(new OfferedLoad(
                     control,
                     call.service,
-                    placement.readMicros(now, call, shape),
-                    placement.runningMicros(call.service, shape)));
+                    selector.prefillMicros(now, call, shape),
+                    selector.generationMicros(call.service, shape)));
         });
         place(now, call);
     }
 
     private void place(long now, DirectCall call) {
         switch (admission.decide(now, call)) {
-            case Admission.Decision.Send(Placement.Choice choice) -> sendAttempt(now, call, choice);
-            case Admission.Decision.Wait() -> {
+            case AdmissionControl.Decision.Send(UpstreamSelector.Choice choice) -> sendAttempt(now, call, choice);
+            case AdmissionControl.Decision.Wait() -> {
                 // It is tried again with the others that wait.
             }
-            case Admission.Decision.Refuse(Verdict.NotRun verdict, String reason) -> {
+            case AdmissionControl.Decision.Refuse(Verdict.NotRun verdict, String reason) -> {
                 call.lastFailure = Optional.of(verdict);
                 failCall(now, call, reason);
             }
@@ -149,7 +150,7 @@
     private void retryWaiting(long now) {
         int failures = 0;
         for (DirectCall call : waitingCalls.due(now)) {
-            if (failures < MAX_FAILED_PLACEMENTS || waitingCalls.isOver(now, call)) {
+            if (failures < MAX_FAILED_PLACEMENTS || waitingCalls.isExpired(now, call)) {
                 DirectAttempt previous = call.lastAttempt;
                 place(now, call);
                 failures += call.lastAttempt == previous ? 1 : 0;
@@ -157,15 +158,15 @@
         }
     }
 
-    private void sendAttempt(long now, DirectCall call, Placement.Choice choice) {
+    private void sendAttempt(long now, DirectCall call, UpstreamSelector.Choice choice) {
         invariants.check(
                 call.isRetryable() || !call.mayHaveRun,
                 "at-most-once",
                 () -> "request " + call.intent.id() + " is sent again though it may have run");
         waitingCalls.remove(call);
-        call.fairnessClaim.ifPresent(SizeFairness.Claim::sent);
-        call.offeredLoad.ifPresent(work -> work.sent(choice));
-        placement.sent(now, choice);
+        call.fairnessClaim.ifPresent(SizeFairness.Claim::onSent);
+        call.offeredLoad.ifPresent(work -> work.onSent(choice));
+        selector.onSent(now, choice);
         releasePermit(call);
         attemptRunner.send(now, call, choice);
         if (choice.prefillOnly()) {
@@ -178,7 +179,7 @@
      * that are read in vain: many would be read for one permit, of which the first to be ready uses it.
      */
     private void reservePermit(long now, DirectCall call) {
-        call.reservedPermit = placement.limitedForHandover(now, call).map(row -> row.id);
+        call.reservedPermit = selector.handoverEngineToReserve(now, call).map(row -> row.id);
         call.reservedPermit.ifPresent(start -> backpressure.limits().use(now, start));
     }
 
@@ -193,14 +194,14 @@
 
         @Override
         public void onFirstEvent(long now, DirectAttempt attempt) {
-            usageMeter.began(attempt.call, now);
+            usageMeter.recordStart(attempt.call, now);
         }
 
         @Override
         public void onCompleted(long now, DirectAttempt attempt) {
             if (!attempt.prefillOnly && !attempt.metadata.notExecuted()) {
                 // A plain call begins to run when it arrives there; that a stream began was seen by its first event.
-                usageMeter.began(attempt.call, attempt.sentAtNanos);
+                usageMeter.recordStart(attempt.call, attempt.sentAtNanos);
             }
             if (attempt.prefillOnly) {
                 onPrefillResponse(now, attempt);
@@ -244,7 +245,7 @@
     /** A plain call that was sent had most likely begun; a stream would have shown an event. */
     private void recordUsageWithoutResponse(DirectAttempt attempt) {
         if (!attempt.call.isStream()) {
-            usageMeter.began(attempt.call, attempt.sentAtNanos);
+            usageMeter.recordStart(attempt.call, attempt.sentAtNanos);
         }
     }
 
@@ -259,7 +260,7 @@
         responses.forwardResponse(now, attempt);
         // Whoever answered took the KV cache.
         attempt.call.kvCache = Optional.empty();
-        attempt.call.fairnessClaim.ifPresent(claim -> claim.ended(attempt.isSuccess()));
+        attempt.call.fairnessClaim.ifPresent(claim -> claim.onEnded(attempt.isSuccess()));
         if (attempt.isSuccess()) {
             poisonGuard.onSuccess(now, attempt.call);
         }
@@ -281,7 +282,7 @@
         boolean retry = call.isRetryable()
                 && isServerError(attempt.status)
                 && mayRetry(now, call)
-                && retryBudget.take(now, call.service, control.entries().size());
+                && retryBudget.tryAcquire(now, call.service, control.entries().size());
         if (!call.responseStarted && attempt.metadata.authentic() && !retry) {
             forwardResponse(now, attempt);
             return;
@@ -301,10 +302,10 @@
                 "status",
                 attempt.status,
                 "prompt-ms",
-                Math.round(attempt.estimate.workMillis()),
+                Math.round(attempt.estimate.prefillMillis()),
                 "running",
                 attempt.upstream.localAttempts);
-        long retryAfterMillis = admission.returnMillis(now, attempt.call);
+        long retryAfterMillis = admission.retryAfterMillis(now, attempt.call);
         attempt.upstream.avoid(now + Durations.nanos(CallerResponses.DEFAULT_RETRY_AFTER_MILLIS) / 2);
         onAttemptFailed(now, attempt, new Verdict.NotRun(Cause.OVERLOADED, retryAfterMillis));
     }
@@ -322,7 +323,7 @@
         if (handle.isPresent()) {
             attempt.upstream.recordSuccess(now - attempt.sentAtNanos);
             call.prefillMillis = Durations.millis(now - attempt.sentAtNanos);
-            call.kvCache = Optional.of(new CacheHandle(attempt.upstream.address, handle.get()));
+            call.kvCache = Optional.of(new KvCacheHandle(attempt.upstream.address, handle.get()));
             place(now, call);
             return;
         }
@@ -367,7 +368,7 @@
         if (retrySafe
                 && mayRetry(now, call)
                 && poisonGuard.mayRetry(call)
-                && retryBudget.take(now, call.service, control.entries().size())) {
+                && retryBudget.tryAcquire(now, call.service, control.entries().size())) {
             place(now, call);
         } else {
             failCall(now, call, verdict.word() + "/" + verdict.cause());
@@ -384,7 +385,7 @@
             return;
         }
         responses.reportFailure(now, call, reason);
-        call.fairnessClaim.ifPresent(claim -> claim.ended(false));
+        call.fairnessClaim.ifPresent(claim -> claim.onEnded(false));
         close(call);
     }
 
@@ -458,7 +459,7 @@
         if (call.kvCache.isEmpty()) {
             return;
         }
-        CacheHandle handle = call.kvCache.get();
+        KvCacheHandle handle = call.kvCache.get();
         call.kvCache = Optional.empty();
         long now = clock.getAsLong();
         upstreams.instances().stream()
--- a/src/main/java/org/cuminshelf/direct/ControlSubscription.java
+++ b/src/main/java/org/cuminshelf/direct/ControlSubscription.java
@@ -249,7 +249,7 @@
                     .setEntriesHash(entriesHash)
                     .addAllOffered(offeredWork.values());
             poisonGuard.addChanges(address, subscribe);
-            usageMeter.describe(now, address, subscribe);
+            usageMeter.addReport(now, address, subscribe);
             out.send(address, Envelope.newBuilder().setSubscribe(subscribe));
         }
         poisonGuard.onReported(now);
--- a/src/main/java/org/cuminshelf/direct/DirectAttempt.java
+++ b/src/main/java/org/cuminshelf/direct/DirectAttempt.java
@@ -38,7 +38,7 @@
     /** When its upstream showed the first event of its run; {@link Core#NEVER} until then. */
     long firstEventAtNanos = Core.NEVER;
 
-    DirectAttempt(long number, DirectCall call, Placement.Choice choice, long now) {
+    DirectAttempt(long number, DirectCall call, UpstreamSelector.Choice choice, long now) {
         this.number = number;
         this.call = call;
         this.upstream = choice.upstream();
--- a/src/main/java/org/cuminshelf/direct/DirectCall.java
+++ b/src/main/java/org/cuminshelf/direct/DirectCall.java
@@ -38,7 +38,7 @@
 
     DirectAttempt lastAttempt;
     /** KV cache taken in for it by another engine, until an engine took it. */
-    Optional<CacheHandle> kvCache = Optional.empty();
+    Optional<KvCacheHandle> kvCache = Optional.empty();
 
     /** Start of an upstream with a limit of which a permit is kept for it, until it is sent there. */
     Optional<String> reservedPermit = Optional.empty();
@@ -77,7 +77,7 @@
     Optional<SizeFairness.Claim> fairnessClaim = Optional.empty();
 
     /** What it asks of engines, where it is a generation. */
-    Optional<OfferedGeneration> offeredLoad = Optional.empty();
+    Optional<OfferedLoad> offeredLoad = Optional.empty();
 
     Optional<Verdict> lastFailure = Optional.empty();
     /** Whether it was counted for the usage of its organisation. */
--- a/src/main/java/org/cuminshelf/direct/DirectCore.java
+++ b/src/main/java/org/cuminshelf/direct/DirectCore.java
@@ -43,7 +43,7 @@
     private final CallDispatcher callDispatcher;
     private final LoadGossip loadGossip;
     private final Backpressure backpressure;
-    private final EarlyRequests earlyRequests = new EarlyRequests();
+    private final StartupRequestQueue earlyRequests = new StartupRequestQueue();
     private final Map<CallerExchange, DirectCall> callsByExchange = new HashMap<>();
     private long nextCallNumber = 1;
     private long nextHousekeepingNanos;
@@ -72,15 +72,16 @@
                 settings, routeTableReader, upstreams, poisonGuard, usageMeter, now, invariants, log);
         EngineModels engineModels = new EngineModels();
         BackpressureListener backpressureListener = new BackpressureListener(backpressure, upstreams, log);
-        Placement placement = new Placement(upstreams, control, engineModels, backpressure, settings.zone());
+        UpstreamSelector selector =
+                new UpstreamSelector(upstreams, control, engineModels, backpressure, settings.zone());
         this.loadGossip = new LoadGossip(upstreams, engineModels, backpressure, backpressureListener, now);
         this.callDispatcher = new CallDispatcher(
                 protocol,
                 new ThrottledUpstreamClient(client, backpressure, clock),
                 upstreams,
-                placement,
+                selector,
                 control,
-                new RepeatBudget(settings.retryLimits()),
+                new ServiceRetryBudget(settings.retryLimits()),
                 clock,
                 invariants,
                 log,
@@ -204,16 +205,16 @@
     private void startEarlyRequests(long now) {
         if (control.isReady()) {
             earlyRequests
-                    .takeAll()
+                    .drain()
                     .forEach(request ->
                             start(request.arrivedAt(), request.request(), request.exchange(), request.intent()));
         }
-        Optional<EarlyRequests.Early> overdue = earlyRequests.takeOverdue(now);
+        Optional<StartupRequestQueue.PendingRequest> overdue = earlyRequests.pollExpired(now);
         while (overdue.isPresent()) {
             callDispatcher
                     .responses()
                     .refuseNotReady(overdue.get().exchange(), overdue.get().intent());
-            overdue = earlyRequests.takeOverdue(now);
+            overdue = earlyRequests.pollExpired(now);
         }
     }
 
@@ -241,7 +242,7 @@
                 startEarlyRequests(now);
             }
             case ENTRY_LOAD -> loadGossip.onLoad(now, from, input.getEntryLoad());
-            case WALL_CLOCK -> usageMeter.ownClock(now, input.getWallClock().getEpochMs());
+            case WALL_CLOCK -> usageMeter.onWallClock(now, input.getWallClock().getEpochMs());
             case STOP -> draining = true;
             default -> {
                 // Not a message for such an entry.
--- a/src/main/java/org/cuminshelf/direct/DirectSettings.java
+++ b/src/main/java/org/cuminshelf/direct/DirectSettings.java
@@ -19,7 +19,7 @@
         String zone,
         String vm,
         List<Address> seeds,
-        RepeatLimits retryLimits,
+        RetryLimits retryLimits,
         OptionalLong usageWindowMillis) {
 
     /**
@@ -31,7 +31,7 @@
      * @param seeds   control processes known at the start
      * @param retryLimits how often all entries together may send requests once more
      */
-    public DirectSettings(String region, String zone, String vm, List<Address> seeds, RepeatLimits retryLimits) {
+    public DirectSettings(String region, String zone, String vm, List<Address> seeds, RetryLimits retryLimits) {
         this(region, zone, vm, seeds, retryLimits, OptionalLong.empty());
     }
 }
--- a/src/main/java/org/cuminshelf/direct/LoadGossip.java
+++ b/src/main/java/org/cuminshelf/direct/LoadGossip.java
@@ -43,7 +43,8 @@
      * Messages a second that all entries together send at the most, up to {@link #LONGEST_GAP}. Each costs some four
      * system calls at its two ends; unbounded they grew with the square of the entries, to 640 a second at each of 33.
      * A heavy day there took 0.144 of a core for each entry before and 0.098 with the bound and the sums kept in
-     * {@link UpstreamInstance}, on machines of other load. At 18 entries news within 110 ms was worth as much as news within
+     * {@link UpstreamInstance}, on machines of other load. At 18 entries news within 110 ms was worth as much as
+     * news within
      * 20; at 33 that was not measured.
      */
     private static final double MOST_MESSAGES = 6_000;
@@ -85,14 +86,14 @@
     // ---- what this entry has to tell
 
     /** A prompt was sent and will probably have been read in so many milliseconds; the others should know first. */
-    void onSent(UpstreamInstance upstream, GenerationShape shape, double readyMillis) {
-        nextTell = Math.min(nextTell, lastTell + gap());
+    void onPromptSent(UpstreamInstance upstream, GenerationShape shape, double readyMillis) {
+        nextTell = Math.min(nextTell, lastTell + minIntervalNanos());
         if (sent.size() >= MOST_NEWS) {
             return;
         }
         SentPrompt.Builder prompt =
                 SentPrompt.newBuilder().setUpstream(upstream.id).setReadyUs(micros(readyMillis));
-        for (PromptPart part : shape.parts()) {
+        for (PromptSegment part : shape.segments()) {
             prompt.addParts(part.id());
             prompt.addTokens(part.tokens());
         }
@@ -100,7 +101,7 @@
     }
 
     /** A prompt was taken in. */
-    void onTaken(UpstreamInstance upstream, PromptSample sample) {
+    void onPrefillCompleted(UpstreamInstance upstream, PromptSample sample) {
         models.of(upstream.service).observe(sample);
         if (taken.size() >= MOST_NEWS) {
             return;
@@ -117,12 +118,12 @@
     }
 
     /** Least time between two messages to each of the others, in nanoseconds. */
-    private long gap() {
-        return gap(listeners);
+    private long minIntervalNanos() {
+        return minIntervalNanos(listeners);
     }
 
     /** The same, where an entry tells so many others. */
-    static long gap(int listeners) {
+    static long minIntervalNanos(int listeners) {
         double shared = listeners * (listeners + 1) / MOST_MESSAGES * NANOS_PER_SECOND;
         return Math.clamp((long) shared, listeners * LEAST_GAP, Math.max(listeners * LEAST_GAP, LONGEST_GAP));
     }
@@ -138,7 +139,7 @@
         }
         lastTell = now;
         listeners = Math.max(0, entries.size() - 1);
-        nextTell = now + Math.max(TELL_EVERY, gap());
+        nextTell = now + Math.max(TELL_EVERY, minIntervalNanos());
         EntryLoad.Builder load = EntryLoad.newBuilder().addAllSent(sent).addAllTaken(taken);
         upstreams.instances().stream()
                 .filter(row -> row.localAttempts > 0)
@@ -228,11 +229,11 @@
         if (row.isEmpty() || prompt.getPartsCount() != prompt.getTokensCount()) {
             return;
         }
-        List<PromptPart> parts = new ArrayList<>();
+        List<PromptSegment> parts = new ArrayList<>();
         for (int index = 0; index < prompt.getPartsCount(); index++) {
-            parts.add(new PromptPart(prompt.getParts(index), prompt.getTokens(index)));
+            parts.add(new PromptSegment(prompt.getParts(index), prompt.getTokens(index)));
         }
-        row.get().promptCache.add(parts, now + (long) (prompt.getReadyUs() * NANOS_PER_MICRO));
+        row.get().promptCache.recordPrompt(parts, now + (long) (prompt.getReadyUs() * NANOS_PER_MICRO));
     }
 
     private void onTakenElsewhere(long now, TakenPrompt prompt) {
@@ -253,7 +254,7 @@
     }
 
     /** The prompts that an entry says it has at an engine. */
-    static List<PromptQueue.Waiting> waiting(long now, UpstreamLoad load) {
+    static List<PromptQueue.Waiting> queuedPrompts(long now, UpstreamLoad load) {
         List<PromptQueue.Waiting> prompts = new ArrayList<>(load.getPromptsCount());
         for (WaitingPrompt prompt : load.getPromptsList()) {
             long sentAt = now - (long) (prompt.getAgeUs() * NANOS_PER_MICRO);
--- a/src/main/java/org/cuminshelf/direct/UpstreamInstance.java
+++ b/src/main/java/org/cuminshelf/direct/UpstreamInstance.java
@@ -38,7 +38,7 @@
     final Address address;
     final String service;
     final String zone;
-    final PartCache promptCache = new PartCache();
+    final PrefixCacheTracker promptCache = new PrefixCacheTracker();
     /** Control processes that list it. */
     final Set<Address> listedBy = new HashSet<>();
     /** What the other entries have under way there. */
--- a/src/main/java/org/cuminshelf/direct/UpstreamProtocol.java
+++ b/src/main/java/org/cuminshelf/direct/UpstreamProtocol.java
@@ -31,7 +31,7 @@
      * @param handle the cache
      * @return the request to the engine that holds it
      */
-    UpstreamRequest releaseRequest(CacheHandle handle);
+    UpstreamRequest releaseRequest(KvCacheHandle handle);
 
     /**
      * Reads the head of an answer.
--- a/src/main/java/org/cuminshelf/direct/UpstreamTable.java
+++ b/src/main/java/org/cuminshelf/direct/UpstreamTable.java
@@ -223,7 +223,7 @@
         for (UpstreamLoad upstreamLoad : load.getUpstreamsList()) {
             UpstreamInstance instance = instances.get(upstreamLoad.getId());
             if (instance != null) {
-                instance.applyLoad(entry, upstreamLoad, LoadGossip.waiting(now, upstreamLoad));
+                instance.applyLoad(entry, upstreamLoad, LoadGossip.queuedPrompts(now, upstreamLoad));
                 reported.add(instance);
             }
         }
--- a/src/test/java/org/cuminshelf/direct/UpstreamTableTest.java
+++ b/src/test/java/org/cuminshelf/direct/UpstreamTableTest.java
@@ -112,7 +112,7 @@
     void aLaterStartOfAnUpstreamHasNothingOfTheFormer() {
         tell(1, 1, false, start(1_000));
         UpstreamInstance former = table.instancesOf("s").getFirst();
-        former.promptCache.add(List.of(new PromptPart("p", 100)), now);
+        former.promptCache.recordPrompt(List.of(new PromptSegment("p", 100)), now);
         former.localAttempts = 3;
         former.recordFailure(now);
         former.recordFailure(now);
@@ -120,7 +120,7 @@
         assertThat(table.instancesOf("s")).hasSize(1);
         UpstreamInstance row = table.instancesOf("s").getFirst();
         assertThat(row.id).isNotEqualTo(former.id);
-        assertThat(row.promptCache.heldTokens(List.of(new PromptPart("p", 100))))
+        assertThat(row.promptCache.cachedPrefixTokens(List.of(new PromptSegment("p", 100))))
                 .isZero();
         assertThat(row.totalAttempts()).isZero();
         assertThat(row.isAvoided(now)).isFalse();
--- a/src/test/java/org/cuminshelf/trial/DirectFleet.java
+++ b/src/test/java/org/cuminshelf/trial/DirectFleet.java
@@ -18,15 +18,15 @@
 import org.cuminshelf.core.Address;
 import org.cuminshelf.core.Invariants;
 import org.cuminshelf.direct.AttemptPlan;
-import org.cuminshelf.direct.CacheHandle;
 import org.cuminshelf.direct.CallIntent;
 import org.cuminshelf.direct.DecisionLog;
 import org.cuminshelf.direct.DirectCore;
 import org.cuminshelf.direct.DirectSettings;
 import org.cuminshelf.direct.GenerationShape;
-import org.cuminshelf.direct.PromptPart;
-import org.cuminshelf.direct.RepeatLimits;
+import org.cuminshelf.direct.KvCacheHandle;
+import org.cuminshelf.direct.PromptSegment;
 import org.cuminshelf.direct.ResponseMetadata;
+import org.cuminshelf.direct.RetryLimits;
 import org.cuminshelf.direct.RouteTableReader;
 import org.cuminshelf.direct.UpstreamClient;
 import org.cuminshelf.direct.UpstreamProtocol;
@@ -150,7 +150,7 @@
 
     private void addEntry(Address address, int number) {
         DirectSettings settings =
-                new DirectSettings("r", "z", "entry-" + number, controlAddresses, new RepeatLimits(0.2, 1_000, 10_000));
+                new DirectSettings("r", "z", "entry-" + number, controlAddresses, new RetryLimits(0.2, 1_000, 10_000));
         VirtualNode node = node(
                 address,
                 (booted, now) -> DirectCore.start(
@@ -367,8 +367,8 @@
         @Override
         public CallIntent readIntent(ReceivedRequest request) {
             String id = request.headers().get("Id");
-            GenerationShape shape =
-                    new GenerationShape("m", 600, 100, List.of(new PromptPart("shared", 100), new PromptPart(id, 500)));
+            GenerationShape shape = new GenerationShape(
+                    "m", 600, 100, List.of(new PromptSegment("shared", 100), new PromptSegment(id, 500)));
             return new CallIntent(
                     id, OptionalLong.of(PATIENCE_MILLIS), Optional.of(shape), OptionalLong.empty(), CALLER);
         }
@@ -382,7 +382,7 @@
         }
 
         @Override
-        public UpstreamRequest releaseRequest(CacheHandle handle) {
+        public UpstreamRequest releaseRequest(KvCacheHandle handle) {
             throw new UnsupportedOperationException("these engines hand nothing over");
         }
 
