--- a/src/main/java/org/cuminshelf/backpressure/Backpressure.java
+++ b/src/main/java/org/cuminshelf/backpressure/Backpressure.java
@@ -5,12 +5,12 @@
 /** What upstreams ask of this entry, and when each may be sent a request. */
 public final class Backpressure {
 
-    private final RateLimits limits;
-    private final Rests rests = Rests.none();
-    private final Leavers leavers = Leavers.none();
+    private final UpstreamRateLimits limits;
+    private final UpstreamBackoffs backoffs = UpstreamBackoffs.create();
+    private final LeavingUpstreams leavingUpstreams = LeavingUpstreams.create();
 
     private Backpressure(Address self) {
-        this.limits = RateLimits.none(self);
+        this.limits = UpstreamRateLimits.create(self);
     }
 
     /**
@@ -19,7 +19,7 @@
      * @param self the address of this entry, as the others know it
      * @return the state
      */
-    public static Backpressure none(Address self) {
+    public static Backpressure create(Address self) {
         return new Backpressure(self);
     }
 
@@ -28,7 +28,7 @@
      *
      * @return the table
      */
-    public RateLimits limits() {
+    public UpstreamRateLimits limits() {
         return limits;
     }
 
@@ -37,8 +37,8 @@
      *
      * @return the table
      */
-    public Rests rests() {
-        return rests;
+    public UpstreamBackoffs backoffs() {
+        return backoffs;
     }
 
     /**
@@ -46,8 +46,8 @@
      *
      * @return the table
      */
-    public Leavers leavers() {
-        return leavers;
+    public LeavingUpstreams leavingUpstreams() {
+        return leavingUpstreams;
     }
 
     /**
@@ -57,8 +57,8 @@
      * @param start identity of its start
      * @return a time in nanoseconds, not after {@code now} if one may be sent now
      */
-    public long nextSend(long now, String start) {
-        return Math.max(limits.nextPermit(now, start), rests.next(start));
+    public long nextSendTime(long now, String start) {
+        return Math.max(limits.nextPermitTime(now, start), backoffs.nextSendTime(start));
     }
 
     /**
@@ -68,8 +68,8 @@
      * @param start identity of its start
      * @return true if it may
      */
-    public boolean admits(long now, String start) {
-        return nextSend(now, start) <= now;
+    public boolean maySend(long now, String start) {
+        return nextSendTime(now, start) <= now;
     }
 
     /**
@@ -79,8 +79,8 @@
      * @param start identity of its start
      * @return true if it may
      */
-    public boolean admitsKept(long now, String start) {
-        return rests.next(start) <= now;
+    public boolean maySendWithReservedPermit(long now, String start) {
+        return backoffs.nextSendTime(start) <= now;
     }
 
     /**
@@ -89,8 +89,8 @@
      * @param now the time in nanoseconds
      */
     public void tick(long now) {
-        rests.tick(now);
-        leavers.tick(now);
+        backoffs.tick(now);
+        leavingUpstreams.tick(now);
     }
 
     /**
@@ -99,8 +99,8 @@
      * @param now   the time in nanoseconds
      * @param start identity of the upstream's start
      */
-    public void use(long now, String start) {
-        limits.use(now, start);
-        rests.use(now, start);
+    public void onRequestSent(long now, String start) {
+        limits.takePermit(now, start);
+        backoffs.onRequestSent(now, start);
     }
 }
--- a/src/main/java/org/cuminshelf/backpressure/CallRate.java
+++ b/src/main/java/org/cuminshelf/backpressure/CallRate.java
@@ -6,29 +6,29 @@
 final class CallRate {
 
     /** Nanoseconds in which a call fades to a third: long against clumps, short against turns of the mix. */
-    private static final double FADING = Durations.nanos(1_000);
+    private static final double TIME_CONSTANT_NANOS = Durations.nanos(1_000);
 
     private static final double NANOS_PER_SECOND = Durations.nanos(1_000);
 
-    private double faded;
-    private long at;
+    private double decayedCount;
+    private long updatedAt;
 
     CallRate(long now) {
-        this.at = now;
+        this.updatedAt = now;
     }
 
     void onCall(long now) {
-        fade(now);
-        faded++;
+        decay(now);
+        decayedCount++;
     }
 
     double perSecond(long now) {
-        fade(now);
-        return faded * NANOS_PER_SECOND / FADING;
+        decay(now);
+        return decayedCount * NANOS_PER_SECOND / TIME_CONSTANT_NANOS;
     }
 
-    private void fade(long now) {
-        faded *= Math.exp((at - now) / FADING);
-        at = now;
+    private void decay(long now) {
+        decayedCount *= Math.exp((updatedAt - now) / TIME_CONSTANT_NANOS);
+        updatedAt = now;
     }
 }
--- a/src/main/java/org/cuminshelf/backpressure/Leavers.java
+++ b/src/main/java/org/cuminshelf/backpressure/LeavingUpstreams.java
@@ -12,34 +12,34 @@
  * <p>Failure it guards against: an upstream leaves without a word to control, or is listed anew by a control process
  * that missed it, and gets new work until it is gone. A start that said so does not come back.
  */
-public final class Leavers {
+public final class LeavingUpstreams {
 
     /** Time for which a start is remembered; it is gone long before. */
-    private static final long KEPT = Durations.nanos(600_000);
+    private static final long RETENTION_NANOS = Durations.nanos(600_000);
     /** Time for which the other entries are told: each hears of it several times. */
-    private static final long TOLD = Durations.nanos(2_000);
+    private static final long REPORT_PERIOD_NANOS = Durations.nanos(2_000);
 
-    private static final int MOST_KEPT = 10_000;
+    private static final int MAX_STARTS = 10_000;
 
     /**
      * A start that leaves.
      *
-     * @param at       when that was first heard, in nanoseconds
-     * @param directly whether this entry heard it from the upstream, and not from another entry
+     * @param firstReportedAt       when that was first heard, in nanoseconds
+     * @param reportedLocally whether this entry heard it from the upstream, and not from another entry
      */
-    private record Leaver(long at, boolean directly) {}
+    private record LeavingStart(long firstReportedAt, boolean reportedLocally) {}
 
-    private final Map<String, Leaver> leavers = new LinkedHashMap<>();
+    private final Map<String, LeavingStart> leavingStarts = new LinkedHashMap<>();
 
-    private Leavers() {}
+    private LeavingUpstreams() {}
 
     /**
      * Makes a table in which no upstream leaves.
      *
      * @return the table
      */
-    public static Leavers none() {
-        return new Leavers();
+    public static LeavingUpstreams create() {
+        return new LeavingUpstreams();
     }
 
     /**
@@ -47,15 +47,15 @@
      *
      * @param now      the time in nanoseconds
      * @param start    identity of its start
-     * @param directly whether it came in an answer to this entry, and not from another entry
+     * @param reportedLocally whether it came in an answer to this entry, and not from another entry
      * @return whether that is news
      */
-    public boolean add(long now, String start, boolean directly) {
-        boolean news = leavers.putIfAbsent(start, new Leaver(now, directly)) == null;
-        if (leavers.size() > MOST_KEPT) {
-            leavers.remove(leavers.keySet().iterator().next());
+    public boolean add(long now, String start, boolean reportedLocally) {
+        boolean added = leavingStarts.putIfAbsent(start, new LeavingStart(now, reportedLocally)) == null;
+        if (leavingStarts.size() > MAX_STARTS) {
+            leavingStarts.remove(leavingStarts.keySet().iterator().next());
         }
-        return news;
+        return added;
     }
 
     /**
@@ -65,7 +65,7 @@
      * @return true if it did
      */
     public boolean contains(String start) {
-        return leavers.containsKey(start);
+        return leavingStarts.containsKey(start);
     }
 
     /**
@@ -74,9 +74,10 @@
      * @param now the time in nanoseconds
      * @return starts that said lately to this entry that they leave
      */
-    public List<String> heardHere(long now) {
-        return leavers.entrySet().stream()
-                .filter(entry -> entry.getValue().directly && now - entry.getValue().at < TOLD)
+    public List<String> recentLocalReports(long now) {
+        return leavingStarts.entrySet().stream()
+                .filter(entry -> entry.getValue().reportedLocally
+                        && now - entry.getValue().firstReportedAt < REPORT_PERIOD_NANOS)
                 .map(Map.Entry::getKey)
                 .toList();
     }
@@ -87,8 +88,8 @@
      * @param now the time in nanoseconds
      */
     public void tick(long now) {
-        Iterator<Leaver> oldest = leavers.values().iterator();
-        while (oldest.hasNext() && now - oldest.next().at > KEPT) {
+        Iterator<LeavingStart> oldest = leavingStarts.values().iterator();
+        while (oldest.hasNext() && now - oldest.next().firstReportedAt > RETENTION_NANOS) {
             oldest.remove();
         }
     }
--- a/src/main/java/org/cuminshelf/backpressure/PermitSchedule.java
+++ b/src/main/java/org/cuminshelf/backpressure/PermitSchedule.java
@@ -9,55 +9,55 @@
  */
 final class PermitSchedule {
 
-    private double interval;
-    private double lapse;
+    private double intervalNanos;
+    private double lifetimeNanos;
     /** When the oldest permit came, or comes, that is neither used nor lapsed, in nanoseconds. */
-    private double oldest;
+    private double oldestPermitAt;
 
     /**
      * Begins a schedule.
      *
      * @param now      the time in nanoseconds
-     * @param interval nanoseconds between two permits
-     * @param lapse    nanoseconds for which a permit stands
+     * @param intervalNanos nanoseconds between two permits
+     * @param lifetimeNanos    nanoseconds for which a permit stands
      * @param phase    part of an interval after which the first permit comes
      */
-    PermitSchedule(long now, double interval, double lapse, double phase) {
-        this.interval = interval;
-        this.lapse = lapse;
-        this.oldest = now + phase * interval;
+    PermitSchedule(long now, double intervalNanos, double lifetimeNanos, double phase) {
+        this.intervalNanos = intervalNanos;
+        this.lifetimeNanos = lifetimeNanos;
+        this.oldestPermitAt = now + phase * intervalNanos;
     }
 
     /** Changes the interval; what was waited for of the old one counts in proportion. */
-    void change(long now, double newInterval, double newLapse) {
-        if (oldest > now) {
-            oldest = now + (oldest - now) * newInterval / interval;
+    void changeInterval(long now, double newIntervalNanos, double newLifetimeNanos) {
+        if (oldestPermitAt > now) {
+            oldestPermitAt = now + (oldestPermitAt - now) * newIntervalNanos / intervalNanos;
         }
-        interval = newInterval;
-        lapse = newLapse;
+        intervalNanos = newIntervalNanos;
+        lifetimeNanos = newLifetimeNanos;
     }
 
     /** When the next request may be sent, in nanoseconds: now or before if there is a permit. */
-    long next(long now) {
-        dropLapsed(now);
-        return (long) Math.ceil(oldest);
+    long nextPermitTime(long now) {
+        dropExpired(now);
+        return (long) Math.ceil(oldestPermitAt);
     }
 
     /** Uses the oldest permit, or the next one in advance. */
-    void use(long now) {
-        dropLapsed(now);
-        oldest += interval;
+    void takePermit(long now) {
+        dropExpired(now);
+        oldestPermitAt += intervalNanos;
     }
 
     /** Takes a permit back that was not used after all. */
-    void giveBack() {
-        oldest -= interval;
+    void returnPermit() {
+        oldestPermitAt -= intervalNanos;
     }
 
-    private void dropLapsed(long now) {
-        double late = now - lapse - oldest;
-        if (late > 0) {
-            oldest += Math.ceil(late / interval) * interval;
+    private void dropExpired(long now) {
+        double expiredNanos = now - lifetimeNanos - oldestPermitAt;
+        if (expiredNanos > 0) {
+            oldestPermitAt += Math.ceil(expiredNanos / intervalNanos) * intervalNanos;
         }
     }
 }
--- a/src/main/java/org/cuminshelf/backpressure/Rests.java
+++ b/src/main/java/org/cuminshelf/backpressure/UpstreamBackoffs.java
@@ -17,50 +17,50 @@
  *
  * <p>Rest is asked of one VM. What other entries were asked for is a reason to prefer another upstream, and no more.
  */
-public final class Rests {
+public final class UpstreamBackoffs {
 
     /**
      * Rest that this entry was asked for, for the other entries.
      *
      * @param start     identity of the upstream's start
-     * @param leftNanos how much of it is left
+     * @param remainingNanos how much of it is left
      */
-    public record Left(String start, long leftNanos) {}
+    public record RemainingBackoff(String start, long remainingNanos) {}
 
     /** Time after which one more request is tried after a rest: refusals come much sooner. */
-    private static final long TRIAL_PATIENCE = Durations.nanos(250);
+    private static final long PROBE_INTERVAL_NANOS = Durations.nanos(250);
 
     /** Time without any request after which a rest that is over is forgotten. */
-    private static final long KEPT = Durations.nanos(60_000);
+    private static final long IDLE_RETENTION_NANOS = Durations.nanos(60_000);
 
     /** What one start asked for. */
-    private static final class Rest {
+    private static final class Backoff {
         private long until;
         /** When the last request after the rest was tried; the rest goes on until one is answered. */
-        private long triedAt = Long.MIN_VALUE / 2;
+        private long probedAt = Long.MIN_VALUE / 2;
 
-        private Rest(long until) {
+        private Backoff(long until) {
             this.until = until;
         }
 
-        private long next() {
-            return Math.max(until, triedAt + TRIAL_PATIENCE);
+        private long nextSendTime() {
+            return Math.max(until, probedAt + PROBE_INTERVAL_NANOS);
         }
     }
 
-    private final Map<String, Rest> rests = new HashMap<>();
+    private final Map<String, Backoff> backoffs = new HashMap<>();
     /** When the rest ends that other entries were asked for. */
-    private final Map<String, Long> elsewhere = new HashMap<>();
+    private final Map<String, Long> remoteEnds = new HashMap<>();
 
-    private Rests() {}
+    private UpstreamBackoffs() {}
 
     /**
      * Makes a table in which no upstream rests.
      *
      * @return the table
      */
-    public static Rests none() {
-        return new Rests();
+    public static UpstreamBackoffs create() {
+        return new UpstreamBackoffs();
     }
 
     /**
@@ -68,11 +68,11 @@
      *
      * @param now   when it came, in nanoseconds
      * @param start identity of the upstream's start
-     * @param rest  how long it wants nothing from here
+     * @param duration  how long it wants nothing from here
      */
-    public void asked(long now, String start, Duration rest) {
-        Rest known = rests.computeIfAbsent(start, key -> new Rest(now));
-        known.until = Math.max(known.until, now + rest.toNanos());
+    public void onBackoffRequested(long now, String start, Duration duration) {
+        Backoff known = backoffs.computeIfAbsent(start, key -> new Backoff(now));
+        known.until = Math.max(known.until, now + duration.toNanos());
     }
 
     /**
@@ -81,10 +81,10 @@
      * @param start  identity of the upstream's start
      * @param sentAt when its request was sent, in nanoseconds
      */
-    public void answered(String start, long sentAt) {
-        Rest known = rests.get(start);
+    public void onAnswer(String start, long sentAt) {
+        Backoff known = backoffs.get(start);
         if (known != null && sentAt >= known.until) {
-            rests.remove(start);
+            backoffs.remove(start);
         }
     }
 
@@ -92,10 +92,10 @@
      * Takes rest that another entry was asked for.
      *
      * @param now  the time in nanoseconds
-     * @param left what is left of it
+     * @param report what is left of it
      */
-    public void told(long now, Left left) {
-        elsewhere.merge(left.start(), now + left.leftNanos(), Math::max);
+    public void onRemoteReport(long now, RemainingBackoff report) {
+        remoteEnds.merge(report.start(), now + report.remainingNanos(), Math::max);
     }
 
     /**
@@ -104,9 +104,9 @@
      * @param start identity of its start
      * @return a time in nanoseconds; {@link Long#MIN_VALUE} where it asked for nothing
      */
-    public long next(String start) {
-        Rest known = rests.get(start);
-        return known == null ? Long.MIN_VALUE : known.next();
+    public long nextSendTime(String start) {
+        Backoff known = backoffs.get(start);
+        return known == null ? Long.MIN_VALUE : known.nextSendTime();
     }
 
     /**
@@ -114,8 +114,8 @@
      *
      * @return false if none did
      */
-    public boolean isAnyAskedElsewhere() {
-        return !elsewhere.isEmpty();
+    public boolean hasRemoteBackoffs() {
+        return !remoteEnds.isEmpty();
     }
 
     /**
@@ -125,8 +125,8 @@
      * @param start identity of its start
      * @return true if it did
      */
-    public boolean isAskedElsewhere(long now, String start) {
-        return elsewhere.getOrDefault(start, Long.MIN_VALUE) > now;
+    public boolean isBackedOffRemotely(long now, String start) {
+        return remoteEnds.getOrDefault(start, Long.MIN_VALUE) > now;
     }
 
     /**
@@ -135,10 +135,10 @@
      * @param now   the time in nanoseconds
      * @param start identity of the upstream's start
      */
-    public void use(long now, String start) {
-        Rest known = rests.get(start);
+    public void onRequestSent(long now, String start) {
+        Backoff known = backoffs.get(start);
         if (known != null) {
-            known.triedAt = now;
+            known.probedAt = now;
         }
     }
 
@@ -148,8 +148,8 @@
      * @param now the time in nanoseconds
      */
     public void tick(long now) {
-        elsewhere.values().removeIf(until -> until <= now);
-        rests.values().removeIf(rest -> now - rest.next() > KEPT);
+        remoteEnds.values().removeIf(until -> until <= now);
+        backoffs.values().removeIf(backoff -> now - backoff.nextSendTime() > IDLE_RETENTION_NANOS);
     }
 
     /**
@@ -158,10 +158,10 @@
      * @param now the time in nanoseconds
      * @return rest that this entry was asked for and that isn't over
      */
-    public List<Left> heardHere(long now) {
-        return rests.entrySet().stream()
+    public List<RemainingBackoff> localReports(long now) {
+        return backoffs.entrySet().stream()
                 .filter(entry -> entry.getValue().until > now)
-                .map(entry -> new Left(entry.getKey(), entry.getValue().until - now))
+                .map(entry -> new RemainingBackoff(entry.getKey(), entry.getValue().until - now))
                 .toList();
     }
 
@@ -171,7 +171,7 @@
      * @param now the time in nanoseconds
      * @return their number
      */
-    public long resting(long now) {
-        return rests.values().stream().filter(rest -> rest.until > now).count();
+    public long activeCount(long now) {
+        return backoffs.values().stream().filter(backoff -> backoff.until > now).count();
     }
 }
--- a/src/main/java/org/cuminshelf/backpressure/RateLimits.java
+++ b/src/main/java/org/cuminshelf/backpressure/UpstreamRateLimits.java
@@ -20,7 +20,7 @@
  * calls for the service, by what entries tell each other. Parts that rest on old news add up to a little more or less
  * than the limit for a moment; the permits of one that is gone come free once it tells nothing any more.
  */
-public final class RateLimits {
+public final class UpstreamRateLimits {
 
     /**
      * What changed for an upstream.
@@ -28,7 +28,7 @@
      * @param before requests a second before, empty where there was no limit
      * @param after  requests a second from now on, empty where there is no limit any more
      */
-    public record Change(OptionalDouble before, OptionalDouble after) {}
+    public record LimitChange(OptionalDouble before, OptionalDouble after) {}
 
     /**
      * What this entry heard from an upstream, for the other entries.
@@ -37,7 +37,7 @@
      * @param perSecond requests a second that it takes, empty once it names no limit any more
      * @param ageNanos  how long ago that was known to hold
      */
-    public record Heard(String start, OptionalDouble perSecond, long ageNanos) {}
+    public record LimitReport(String start, OptionalDouble perSecond, long ageNanos) {}
 
     /**
      * Calls at this entry, for the other entries.
@@ -45,26 +45,26 @@
      * @param service   the service that they are for
      * @param perSecond calls a second
      */
-    public record Demand(String service, double perSecond) {}
+    public record CallRateReport(String service, double perSecond) {}
 
-    private static final long SHARE_EVERY = Durations.nanos(100);
+    private static final long SHARE_UPDATE_INTERVAL_NANOS = Durations.nanos(100);
     /** Time for which the end of a limit is told: each entry hears of it several times. */
-    private static final long END_TOLD = Durations.nanos(2_000);
+    private static final long REMOVAL_REPORT_PERIOD_NANOS = Durations.nanos(2_000);
     /**
      * Time that news of another entry may have taken. It counts as older by it, so that an entry's own word goes first
      * where both are of one moment.
      */
-    private static final long NEWS_DELAY = Durations.nanos(50);
+    private static final long ASSUMED_REPORT_DELAY_NANOS = Durations.nanos(50);
     /** Time without any news after which a start is forgotten; one that lives is spoken of four times a second. */
-    private static final long KEPT = Durations.nanos(60_000);
+    private static final long IDLE_RETENTION_NANOS = Durations.nanos(60_000);
 
     private final Address self;
-    private final Map<String, RateLimit> limits = new HashMap<>();
-    private final Map<String, ServiceDemand> demands = new HashMap<>();
+    private final Map<String, UpstreamRateLimit> limits = new HashMap<>();
+    private final Map<String, ServiceCallRates> callRates = new HashMap<>();
     private List<Address> entries = List.of();
-    private long nextShare;
+    private long nextShareUpdate;
 
-    private RateLimits(Address self) {
+    private UpstreamRateLimits(Address self) {
         this.self = self;
     }
 
@@ -74,8 +74,8 @@
      * @param self the address of this entry, as the others know it
      * @return the table
      */
-    public static RateLimits none(Address self) {
-        return new RateLimits(self);
+    public static UpstreamRateLimits create(Address self) {
+        return new UpstreamRateLimits(self);
     }
 
     /**
@@ -84,8 +84,8 @@
      * @param now     the time in nanoseconds
      * @param service the service that it is for
      */
-    public void called(long now, String service) {
-        demand(now, service).own().onCall(now);
+    public void onCall(long now, String service) {
+        callRatesOf(now, service).local().onCall(now);
     }
 
     /**
@@ -96,20 +96,21 @@
      * @param start   identity of the upstream's start that gave it
      * @param service the service of the upstream
      * @param sentAt  when its request was sent, in nanoseconds
-     * @param stated  what it says
+     * @param advertised  what it says
      * @return what changed, if anything
      */
-    public Optional<Change> heard(long now, String start, String service, long sentAt, StatedLimit stated) {
-        if (stated instanceof StatedLimit.PerSecond) {
-            limits.computeIfAbsent(start, key -> new RateLimit(now, start, service));
+    public Optional<LimitChange> onAnswer(
+            long now, String start, String service, long sentAt, AdvertisedLimit advertised) {
+        if (advertised instanceof AdvertisedLimit.PerSecond) {
+            limits.computeIfAbsent(start, key -> new UpstreamRateLimit(now, start, service));
         }
-        RateLimit limit = limits.get(start);
+        UpstreamRateLimit limit = limits.get(start);
         if (limit == null) {
             return Optional.empty();
         }
         OptionalDouble before = limit.perSecond();
-        limit.heard(now, sentAt, stated);
-        return change(now, limit, before);
+        limit.onAnswer(now, sentAt, advertised);
+        return changeSince(now, limit, before);
     }
 
     /**
@@ -117,20 +118,23 @@
      *
      * @param now     the time in nanoseconds
      * @param service the service of the upstream
-     * @param heard   what it heard
+     * @param report   what it heard
      * @return what changed, if anything
      */
-    public Optional<Change> told(long now, String service, Heard heard) {
-        if (heard.perSecond().isPresent()) {
-            limits.computeIfAbsent(heard.start(), key -> new RateLimit(now, heard.start(), service));
+    public Optional<LimitChange> onRemoteReport(long now, String service, LimitReport report) {
+        if (report.perSecond().isPresent()) {
+            limits.computeIfAbsent(report.start(), key -> new UpstreamRateLimit(now, report.start(), service));
         }
-        RateLimit limit = limits.get(heard.start());
+        UpstreamRateLimit limit = limits.get(report.start());
         if (limit == null) {
             return Optional.empty();
         }
         OptionalDouble before = limit.perSecond();
-        limit.told(now, new RateLimit.Statement(heard.perSecond(), now - heard.ageNanos() - NEWS_DELAY));
-        return change(now, limit, before);
+        limit.onRemoteState(
+                now,
+                new UpstreamRateLimit.LimitState(
+                        report.perSecond(), now - report.ageNanos() - ASSUMED_REPORT_DELAY_NANOS));
+        return changeSince(now, limit, before);
     }
 
     /**
@@ -138,28 +142,28 @@
      *
      * @param now    the time in nanoseconds
      * @param entry  the entry
-     * @param demand what it told
+     * @param report what it told
      */
-    public void told(long now, Address entry, Demand demand) {
-        demand(now, demand.service()).told(now, entry, demand.perSecond());
+    public void onRemoteReport(long now, Address entry, CallRateReport report) {
+        callRatesOf(now, report.service()).onRemoteRate(now, entry, report.perSecond());
     }
 
-    private Optional<Change> change(long now, RateLimit limit, OptionalDouble before) {
+    private Optional<LimitChange> changeSince(long now, UpstreamRateLimit limit, OptionalDouble before) {
         OptionalDouble after = limit.perSecond();
         if (before.equals(after)) {
             return Optional.empty();
         }
-        share(now, limit);
-        return Optional.of(new Change(before, after));
+        updateShare(now, limit);
+        return Optional.of(new LimitChange(before, after));
     }
 
-    private ServiceDemand demand(long now, String service) {
-        return demands.computeIfAbsent(service, key -> new ServiceDemand(now));
+    private ServiceCallRates callRatesOf(long now, String service) {
+        return callRates.computeIfAbsent(service, key -> new ServiceCallRates(now));
     }
 
-    private void share(long now, RateLimit limit) {
-        double part = demand(now, limit.service()).ownPart(now, self, entries);
-        limit.share(now, part, self, entries);
+    private void updateShare(long now, UpstreamRateLimit limit) {
+        double localShare = callRatesOf(now, limit.service()).localShare(now, self, entries);
+        limit.applyShare(now, localShare, self, entries);
     }
 
     /**
@@ -169,7 +173,7 @@
      * @return true if it does
      */
     public boolean isLimited(String start) {
-        RateLimit limit = limits.get(start);
+        UpstreamRateLimit limit = limits.get(start);
         return limit != null && limit.perSecond().isPresent();
     }
 
@@ -180,9 +184,9 @@
      * @param start identity of its start
      * @return a time in nanoseconds, not after {@code now} if one may be sent now
      */
-    public long nextPermit(long now, String start) {
-        RateLimit limit = limits.get(start);
-        return limit == null ? Long.MIN_VALUE : limit.nextPermit(now);
+    public long nextPermitTime(long now, String start) {
+        UpstreamRateLimit limit = limits.get(start);
+        return limit == null ? Long.MIN_VALUE : limit.nextPermitTime(now);
     }
 
     /**
@@ -192,8 +196,8 @@
      * @param start identity of its start
      * @return true if it may
      */
-    public boolean admits(long now, String start) {
-        return nextPermit(now, start) <= now;
+    public boolean hasPermit(long now, String start) {
+        return nextPermitTime(now, start) <= now;
     }
 
     /**
@@ -202,8 +206,8 @@
      * @param now   the time in nanoseconds
      * @param start identity of the upstream's start
      */
-    public void use(long now, String start) {
-        Optional.ofNullable(limits.get(start)).ifPresent(limit -> limit.use(now));
+    public void takePermit(long now, String start) {
+        Optional.ofNullable(limits.get(start)).ifPresent(limit -> limit.takePermit(now));
     }
 
     /**
@@ -211,24 +215,24 @@
      *
      * @param start identity of the upstream's start
      */
-    public void giveBack(String start) {
-        Optional.ofNullable(limits.get(start)).ifPresent(RateLimit::giveBack);
+    public void returnPermit(String start) {
+        Optional.ofNullable(limits.get(start)).ifPresent(UpstreamRateLimit::returnPermit);
     }
 
     /**
      * Reckons parts anew and forgets starts that are gone.
      *
      * @param now   the time in nanoseconds
-     * @param known all entries that are known, this one among them
+     * @param knownEntries all entries that are known, this one among them
      */
-    public void tick(long now, List<Address> known) {
-        entries = known;
-        if (limits.isEmpty() || now < nextShare) {
+    public void tick(long now, List<Address> knownEntries) {
+        entries = knownEntries;
+        if (limits.isEmpty() || now < nextShareUpdate) {
             return;
         }
-        nextShare = now + SHARE_EVERY;
-        limits.values().removeIf(limit -> now - limit.usedAt() > KEPT);
-        limits.values().forEach(limit -> share(now, limit));
+        nextShareUpdate = now + SHARE_UPDATE_INTERVAL_NANOS;
+        limits.values().removeIf(limit -> now - limit.lastActiveAt() > IDLE_RETENTION_NANOS);
+        limits.values().forEach(limit -> updateShare(now, limit));
     }
 
     /**
@@ -238,13 +242,13 @@
      * @param now the time in nanoseconds
      * @return the newest statement of each upstream
      */
-    public List<Heard> heardHere(long now) {
+    public List<LimitReport> localLimitReports(long now) {
         return limits.values().stream()
-                .filter(RateLimit::isHeardDirectly)
+                .filter(UpstreamRateLimit::isReceivedLocally)
                 .filter(limit ->
-                        limit.perSecond().isPresent() || now - limit.newest().at() < END_TOLD)
-                .map(limit -> new Heard(
-                        limit.start(), limit.perSecond(), now - limit.newest().at()))
+                        limit.perSecond().isPresent() || now - limit.latest().validAt() < REMOVAL_REPORT_PERIOD_NANOS)
+                .map(limit -> new LimitReport(
+                        limit.start(), limit.perSecond(), now - limit.latest().validAt()))
                 .toList();
     }
 
@@ -254,13 +258,14 @@
      * @param now the time in nanoseconds
      * @return calls a second of each such service
      */
-    public Collection<Demand> demandsHere(long now) {
+    public Collection<CallRateReport> localCallRateReports(long now) {
         Set<String> services = new HashSet<>();
         limits.values().stream()
                 .filter(limit -> limit.perSecond().isPresent())
                 .forEach(limit -> services.add(limit.service()));
         return services.stream()
-                .map(service -> new Demand(service, demand(now, service).own().perSecond(now)))
+                .map(service -> new CallRateReport(
+                        service, callRatesOf(now, service).local().perSecond(now)))
                 .toList();
     }
 
@@ -269,7 +274,7 @@
      *
      * @return their number
      */
-    public long inForce() {
+    public long activeCount() {
         return limits.values().stream()
                 .filter(limit -> limit.perSecond().isPresent())
                 .count();
--- a/src/main/java/org/cuminshelf/bench/FingerprintBench.java
+++ b/src/main/java/org/cuminshelf/bench/FingerprintBench.java
@@ -6,7 +6,7 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
 import org.cuminshelf.poison.Fingerprint;
-import org.cuminshelf.poison.PoisonRegister;
+import org.cuminshelf.poison.PoisonRegistry;
 
 /** What it costs a request to be looked up among the poison requests. */
 public final class FingerprintBench {
@@ -44,7 +44,7 @@
     }
 
     private static long nothingKnown(List<String> lines) {
-        PoisonRegister register = new PoisonRegister();
+        PoisonRegistry register = new PoisonRegistry();
         long empty = 0;
         long began = System.nanoTime();
         for (int lookup = 0; lookup < LOOKUPS; lookup++) {
--- a/src/main/java/org/cuminshelf/control/ConfigMachine.java
+++ b/src/main/java/org/cuminshelf/control/ConfigMachine.java
@@ -14,7 +14,7 @@
 import org.cuminshelf.message.ConfigApply;
 import org.cuminshelf.message.ConfigMachineState;
 import org.cuminshelf.message.LogEntry;
-import org.cuminshelf.poison.ChangeNumbers;
+import org.cuminshelf.poison.ChangeSequence;
 import org.cuminshelf.poison.Quarantine;
 import org.cuminshelf.replica.GroupMachine;
 import org.cuminshelf.usage.SettledUsage;
@@ -91,7 +91,7 @@
             orders.apply(entry);
         }
         if (entry.hasQuarantined()) {
-            quarantine.merge(entry.getQuarantined(), ChangeNumbers.always(entry.getIndex()));
+            quarantine.merge(entry.getQuarantined(), ChangeSequence.constant(entry.getIndex()));
             answer(entry.getIndex(), answer(AdminResult.ADMIN_DONE, version));
         }
         if (entry.hasUsageSettled()) {
@@ -190,7 +190,7 @@
             orders.load(state.getOrdersList());
             usage.load(state.getUsageSettled(), state.getUsageDueList());
             quarantine.clear();
-            state.getQuarantinedList().forEach(row -> quarantine.merge(row, ChangeNumbers.always(0)));
+            state.getQuarantinedList().forEach(row -> quarantine.merge(row, ChangeSequence.constant(0)));
         } catch (InvalidProtocolBufferException e) {
             throw new IllegalStateException("A snapshot of the global group can't be read", e);
         }
--- a/src/main/java/org/cuminshelf/control/ControlCore.java
+++ b/src/main/java/org/cuminshelf/control/ControlCore.java
@@ -31,7 +31,7 @@
 import org.cuminshelf.message.Stopped;
 import org.cuminshelf.message.Subscribe;
 import org.cuminshelf.message.WallClock;
-import org.cuminshelf.poison.PoisonRegister;
+import org.cuminshelf.poison.PoisonRegistry;
 import org.cuminshelf.poison.Quarantine;
 import org.cuminshelf.replica.DurableState;
 import org.cuminshelf.replica.Replica;
@@ -62,7 +62,7 @@
     private StageSystem stages;
     private Optional<UsageSystem> usage = Optional.empty();
     private QuarantineSystem quarantine;
-    private final PoisonRegister poison = new PoisonRegister();
+    private final PoisonRegistry poison = new PoisonRegistry();
     private final Subscribers subscribers = new Subscribers();
     private final UpdateSystem updates;
     private final Map<Long, Waiter> configWaiters = new HashMap<>();
--- a/src/main/java/org/cuminshelf/control/PlanningSystem.java
+++ b/src/main/java/org/cuminshelf/control/PlanningSystem.java
@@ -12,8 +12,8 @@
 import org.cuminshelf.message.OrderBody;
 import org.cuminshelf.message.OrderPlaced;
 import org.cuminshelf.message.UpstreamKind;
-import org.cuminshelf.planning.EngineView;
-import org.cuminshelf.planning.PayingPlanner;
+import org.cuminshelf.planning.CostAwarePlanner;
+import org.cuminshelf.planning.EngineSnapshot;
 import org.cuminshelf.planning.PlannerSettings;
 import org.cuminshelf.planning.RoleChange;
 import org.cuminshelf.planning.RolePlanner;
@@ -60,9 +60,9 @@
     }
 
     private void plan(long now, FleetConfig config, String name, ModelConfig model) {
-        RolePlanner planner =
-                planners.computeIfAbsent(name, key -> PayingPlanner.of(PlannerSettings.of(config.planning(), model)));
-        List<EngineView> engines = new ArrayList<>();
+        RolePlanner planner = planners.computeIfAbsent(
+                name, key -> CostAwarePlanner.of(PlannerSettings.of(config.planning(), model)));
+        List<EngineSnapshot> engines = new ArrayList<>();
         for (Directory.Row row : directory.rows()) {
             if (serves(row.member, name)) {
                 engines.add(view(row));
@@ -82,11 +82,11 @@
                 && member.getModelsList().contains(model);
     }
 
-    private EngineView view(Directory.Row row) {
+    private EngineSnapshot view(Directory.Row row) {
         String engine = row.member.getAddress();
         boolean changing =
                 row.load.getChanging() || machine.pendingOrder(engine).isPresent();
-        return new EngineView(engine, row.load.getRole(), changing, row.load.getRunning());
+        return new EngineSnapshot(engine, row.load.getRole(), changing, row.load.getRunning());
     }
 
     private void place(long now, RoleChange change) {
--- a/src/main/java/org/cuminshelf/control/QuarantineSystem.java
+++ b/src/main/java/org/cuminshelf/control/QuarantineSystem.java
@@ -10,7 +10,7 @@
 import org.cuminshelf.message.QuarantinedRequest;
 import org.cuminshelf.message.Subscribe;
 import org.cuminshelf.poison.Fingerprint;
-import org.cuminshelf.poison.PoisonRegister;
+import org.cuminshelf.poison.PoisonRegistry;
 import org.cuminshelf.poison.Quarantine;
 import org.cuminshelf.replica.Replica;
 import org.tinylog.Logger;
@@ -32,7 +32,7 @@
 
     private final Replica replica;
     private final Quarantine durable;
-    private final PoisonRegister register;
+    private final PoisonRegistry register;
     private final Directory versions;
     private final Map<Fingerprint, Long> proposed = new HashMap<>();
     private long learnt;
@@ -41,7 +41,7 @@
 
     private volatile long quarantined;
 
-    QuarantineSystem(Replica replica, Quarantine durable, PoisonRegister register, Directory versions) {
+    QuarantineSystem(Replica replica, Quarantine durable, PoisonRegistry register, Directory versions) {
         this.replica = replica;
         this.durable = durable;
         this.register = register;
@@ -54,27 +54,27 @@
 
     /** Learns what the log holds, and, on the leader, writes down what it doesn't. */
     void tick(long now, long wallMillis) {
-        if (learnt != durable.changes()) {
-            learnt = durable.changes();
+        if (learnt != durable.changeCount()) {
+            learnt = durable.changeCount();
             durable.all().forEach(row -> register.merge(now, row, versions::nextVersion));
         }
-        register.takeChanged().forEach(QuarantineSystem::log);
-        quarantined = register.quarantine().size();
+        register.takeChangedRows().forEach(QuarantineSystem::log);
+        quarantined = register.quarantine().quarantinedCount();
         if (!replica.isLeader()) {
             proposed.clear();
             written = NOTHING_WRITTEN;
-        } else if (written != register.quarantine().changes()) {
+        } else if (written != register.quarantine().changeCount()) {
             writeDown(now, wallMillis);
         }
     }
 
     private void writeDown(long now, long wallMillis) {
         List<QuarantinedRequest> missing = register.quarantine().all().stream()
-                .filter(row -> !durable.isAsLate(row))
+                .filter(row -> !durable.hasSameOrNewer(row))
                 .toList();
         missing.forEach(row -> propose(now, wallMillis, row));
         if (missing.isEmpty()) {
-            written = register.quarantine().changes();
+            written = register.quarantine().changeCount();
         }
     }
 
@@ -110,6 +110,6 @@
     /** What releases a request, or nothing where it is not quarantined. */
     Optional<QuarantinedRequest> release(long wallMillis, QuarantineRelease release) {
         Fingerprint request = new Fingerprint(release.getHigh(), release.getLow());
-        return register.quarantine().released(request, release.getAuthor(), release.getReason(), wallMillis);
+        return register.quarantine().releaseRow(request, release.getAuthor(), release.getReason(), wallMillis);
     }
 }
--- a/src/main/java/org/cuminshelf/control/StageSystem.java
+++ b/src/main/java/org/cuminshelf/control/StageSystem.java
@@ -18,9 +18,9 @@
 import org.cuminshelf.message.Role;
 import org.cuminshelf.message.UpstreamBeat;
 import org.cuminshelf.planning.BalancedPlanner;
-import org.cuminshelf.planning.EngineView;
+import org.cuminshelf.planning.DebouncingPlanner;
+import org.cuminshelf.planning.EngineSnapshot;
 import org.cuminshelf.planning.RoleChange;
-import org.cuminshelf.planning.SteadyPlanner;
 import org.cuminshelf.replica.Replica;
 import org.tinylog.Logger;
 
@@ -57,12 +57,12 @@
 
     /** A planner, and what was last logged of it. */
     private static final class Plan {
-        private final SteadyPlanner planner;
+        private final DebouncingPlanner planner;
         private Set<String> engines = Set.of();
         private Optional<Role> told = Optional.empty();
         private long toldAt = Long.MIN_VALUE / 2;
 
-        private Plan(SteadyPlanner planner) {
+        private Plan(DebouncingPlanner planner) {
             this.planner = planner;
         }
     }
@@ -122,7 +122,7 @@
             last.put(order.getUpstream(), new Sent(order, now, own));
             registry.row(order.getUpstream())
                     .map(beat -> plans.get(beat.getService()))
-                    .ifPresent(plan -> plan.planner.ordered(now));
+                    .ifPresent(plan -> plan.planner.onChangeOrdered(now));
             registry.changing(order.getUpstream(), order.getRole(), now + CHANGE_TAKES);
         }
     }
@@ -158,7 +158,7 @@
      * to look when it began to lead knew the mix 8 s later, and waited 8 s more before it moved an engine.
      */
     private void plan(long now, boolean decides) {
-        Map<String, List<EngineView>> byService = new TreeMap<>();
+        Map<String, List<EngineSnapshot>> byService = new TreeMap<>();
         for (UpstreamBeat beat : registry.serving()) {
             if (beat.getRole() != Role.ROLE_MIXED) {
                 byService
@@ -168,7 +168,7 @@
         }
         byService.forEach((service, engines) -> {
             Plan plan = plans.computeIfAbsent(
-                    service, key -> new Plan(SteadyPlanner.of(BalancedPlanner.of(slots(engines)), PATIENCE)));
+                    service, key -> new Plan(DebouncingPlanner.of(BalancedPlanner.of(slots(engines)), PATIENCE)));
             noteLeft(now, plan, engines);
             if (!decides) {
                 plan.planner.observe(now, engines, subscribers.demand(service));
@@ -181,8 +181,8 @@
     }
 
     /** Tells a planner of engines that said that they leave or are gone; one that fell silent may be back soon. */
-    private void noteLeft(long now, Plan plan, List<EngineView> engines) {
-        Set<String> names = engines.stream().map(EngineView::name).collect(Collectors.toSet());
+    private void noteLeft(long now, Plan plan, List<EngineSnapshot> engines) {
+        Set<String> names = engines.stream().map(EngineSnapshot::name).collect(Collectors.toSet());
         boolean left = plan.engines.stream()
                 .filter(name -> !names.contains(name))
                 .anyMatch(name -> registry.row(name)
@@ -190,13 +190,13 @@
                         .isPresent());
         plan.engines = names;
         if (left) {
-            plan.planner.engineLeft(now);
+            plan.planner.onEngineLost(now);
         }
     }
 
     /** Logs what engines are wanted for and why: without it, why no order came can't be told afterwards. */
     private static void tell(long now, String service, Plan plan) {
-        Optional<Role> wanted = plan.planner.wanted();
+        Optional<Role> wanted = plan.planner.pendingRole();
         if (wanted.equals(plan.told) && now - plan.toldAt < TELL_EVERY) {
             return;
         }
@@ -206,22 +206,22 @@
                 LOG + "event=plan id={} wants={} {}",
                 service,
                 wanted.map(Role::name).orElse("none"),
-                plan.planner.basis());
+                plan.planner.lastInputs());
     }
 
     /**
      * An engine as the planner is to see it: one that is changing has its new role already, or each change would wait
      * for the last; one that had an order lately comes last, as it can't have another.
      */
-    private EngineView view(long now, UpstreamBeat beat) {
+    private EngineSnapshot view(long now, UpstreamBeat beat) {
         Sent before = last.get(beat.getName());
         boolean ordered = before != null && now - before.knownAt <= QUIET;
         Role role = beat.getChanging() && before != null ? before.order.getRole() : beat.getRole();
-        return new EngineView(beat.getName(), role, false, ordered ? Integer.MAX_VALUE : 0);
+        return new EngineSnapshot(beat.getName(), role, false, ordered ? Integer.MAX_VALUE : 0);
     }
 
     /** Requests that one engine of a service runs at once. */
-    private int slots(List<EngineView> engines) {
+    private int slots(List<EngineSnapshot> engines) {
         return engines.stream()
                 .findFirst()
                 .flatMap(engine -> registry.row(engine.name()))
--- a/src/main/java/org/cuminshelf/control/Subscribers.java
+++ b/src/main/java/org/cuminshelf/control/Subscribers.java
@@ -8,7 +8,7 @@
 import org.cuminshelf.core.Durations;
 import org.cuminshelf.message.OfferedWork;
 import org.cuminshelf.message.Subscribe;
-import org.cuminshelf.planning.Demand;
+import org.cuminshelf.planning.CumulativeDemand;
 
 /** The processes that hear of changes from this control process. */
 final class Subscribers {
@@ -46,7 +46,7 @@
     }
 
     private final Map<Address, Row> rows = new TreeMap<>();
-    private final Map<String, Demand> demands = new TreeMap<>();
+    private final Map<String, CumulativeDemand> demands = new TreeMap<>();
 
     Row onSubscribe(long now, Address from, long incarnation, Subscribe subscribe) {
         boolean known = rows.containsKey(from);
@@ -89,18 +89,18 @@
                     .filter(known -> known.getPrefill() <= work.getPrefill())
                     .findFirst()
                     .orElse(OfferedWork.getDefaultInstance());
-            Demand sum = demands.getOrDefault(work.getModel(), new Demand(0, 0));
+            CumulativeDemand sum = demands.getOrDefault(work.getModel(), new CumulativeDemand(0, 0));
             demands.put(
                     work.getModel(),
-                    new Demand(
+                    new CumulativeDemand(
                             sum.prefill() + work.getPrefill() - before.getPrefill(),
                             sum.decode() + Math.max(0, work.getDecode() - before.getDecode())));
         }
     }
 
     /** Work that all entries were offered for a model, as far as this process was told. */
-    Demand demand(String model) {
-        return demands.getOrDefault(model, new Demand(0, 0));
+    CumulativeDemand demand(String model) {
+        return demands.getOrDefault(model, new CumulativeDemand(0, 0));
     }
 
     Collection<Row> rows() {
--- a/src/main/java/org/cuminshelf/control/UpdateSystem.java
+++ b/src/main/java/org/cuminshelf/control/UpdateSystem.java
@@ -12,7 +12,7 @@
 import org.cuminshelf.message.Envelope;
 import org.cuminshelf.message.GroupLeader;
 import org.cuminshelf.message.Update;
-import org.cuminshelf.poison.PoisonRegister;
+import org.cuminshelf.poison.PoisonRegistry;
 import org.cuminshelf.replica.Replica;
 
 /**
@@ -42,7 +42,7 @@
     private final Directory directory;
     private final Registry registry;
     private final Subscribers subscribers;
-    private final PoisonRegister poison;
+    private final PoisonRegistry poison;
     private long nextSpread;
     private long spreadConfigVersion;
     private long spreadDirectoryVersion;
@@ -54,7 +54,7 @@
             Directory directory,
             Registry registry,
             Subscribers subscribers,
-            PoisonRegister poison,
+            PoisonRegistry poison,
             long now) {
         this.region = region;
         this.replicas = replicas;
@@ -119,8 +119,8 @@
     }
 
     private void describePoison(long since, Update.Builder update) {
-        update.addAllCrashes(poison.crashesSince(since))
-                .addAllQuarantined(poison.quarantine().since(since));
+        update.addAllCrashes(poison.crashesChangedSince(since))
+                .addAllQuarantined(poison.quarantine().changedSince(since));
     }
 
     private boolean isSettledVoter() {
--- a/src/main/java/org/cuminshelf/direct/AnswerFacts.java
+++ b/src/main/java/org/cuminshelf/direct/AnswerFacts.java
@@ -1,7 +1,7 @@
 package org.cuminshelf.direct;
 
 import java.util.Optional;
-import org.cuminshelf.backpressure.Demands;
+import org.cuminshelf.backpressure.BackpressureSignals;
 
 /**
  * What the head of an upstream's answer says about the request.
@@ -13,7 +13,11 @@
  * @param demands     what it asks of those that send requests
  */
 public record AnswerFacts(
-        Optional<String> requestId, boolean notExecuted, Optional<String> start, boolean authentic, Demands demands) {
+        Optional<String> requestId,
+        boolean notExecuted,
+        Optional<String> start,
+        boolean authentic,
+        BackpressureSignals demands) {
 
     /** Whether another start of an upstream has the address by now. */
     boolean isOtherThan(String expected) {
--- a/src/main/java/org/cuminshelf/direct/AttemptSystem.java
+++ b/src/main/java/org/cuminshelf/direct/AttemptSystem.java
@@ -9,7 +9,7 @@
 import org.cuminshelf.core.Core;
 import org.cuminshelf.core.Deadlines;
 import org.cuminshelf.core.Durations;
-import org.cuminshelf.engines.EngineModel;
+import org.cuminshelf.engines.EngineLatencyModel;
 import org.cuminshelf.engines.PromptQueue;
 import org.cuminshelf.engines.PromptSample;
 import org.cuminshelf.exchange.UpstreamHandler;
@@ -125,7 +125,7 @@
         upstream.running++;
         upstream.tokens += attempt.tokens();
         if (attempt.estimate.workMillis() > 0) {
-            upstream.prompts.add(attempt.number, new PromptQueue.Waiting(now, attempt.estimate.workMillis()));
+            upstream.prompts.add(attempt.number, new PromptQueue.PendingPrompt(now, attempt.estimate.workMillis()));
             attempt.promptWaits = true;
         }
         call.intent.generation().ifPresent(shape -> {
@@ -271,7 +271,7 @@
 
     private void onPromptTaken(long now, AttemptRow attempt) {
         forgetPrompt(attempt);
-        attempt.upstream.prompts.taken(now);
+        attempt.upstream.prompts.onPrefilled(now);
         gossip.onTaken(
                 attempt.upstream,
                 new PromptSample(
@@ -303,10 +303,10 @@
         if (attempt.prefillOnly || call.eventsGiven < EVENTS_FOR_GAP || call.attempts != 1) {
             return;
         }
-        EngineModel model = models.of(attempt.upstream.service);
-        model.observeGap(
+        EngineLatencyModel model = models.of(attempt.upstream.service);
+        model.observeEventInterval(
                 attempt.upstream.occupancy(), millis(call.lastEventAt - call.firstAnswerAt) / (call.eventsGiven - 1));
-        model.reading().observe(millis(call.longestPause), call.route.pauseMillis());
+        model.prefillAllowance().observe(millis(call.longestPause), call.route.pauseMillis());
     }
 
     private void onBroken(long now, AttemptRow attempt, boolean sent, String reason) {
--- a/src/main/java/org/cuminshelf/direct/CallSystem.java
+++ b/src/main/java/org/cuminshelf/direct/CallSystem.java
@@ -112,7 +112,7 @@
         open.put(call.number, call);
         callDeadlines.set(call.number, call.deadline);
         budget.onRequest(now, call.service);
-        backpressure.limits().called(now, call.service);
+        backpressure.limits().onCall(now, call.service);
         call.intent.generation().ifPresent(shape -> {
             call.claim = Optional.of(fairness.arrived(call.route.name(), CallValues.size(shape)));
             call.offered = Optional.of(new OfferedGeneration(
@@ -171,11 +171,11 @@
      */
     private void keepPermit(long now, CallRow call) {
         call.keptPermit = placement.limitedForHandover(now, call).map(row -> row.id);
-        call.keptPermit.ifPresent(start -> backpressure.limits().use(now, start));
+        call.keptPermit.ifPresent(start -> backpressure.limits().takePermit(now, start));
     }
 
     private void returnPermit(CallRow call) {
-        call.keptPermit.ifPresent(backpressure.limits()::giveBack);
+        call.keptPermit.ifPresent(backpressure.limits()::returnPermit);
         call.keptPermit = Optional.empty();
     }
 
--- a/src/main/java/org/cuminshelf/direct/DemandWatch.java
+++ b/src/main/java/org/cuminshelf/direct/DemandWatch.java
@@ -2,10 +2,10 @@
 
 import java.time.Duration;
 import java.util.OptionalDouble;
+import org.cuminshelf.backpressure.AdvertisedLimit;
 import org.cuminshelf.backpressure.Backpressure;
-import org.cuminshelf.backpressure.Demands;
-import org.cuminshelf.backpressure.RateLimits;
-import org.cuminshelf.backpressure.StatedLimit;
+import org.cuminshelf.backpressure.BackpressureSignals;
+import org.cuminshelf.backpressure.UpstreamRateLimits;
 import org.cuminshelf.core.Address;
 
 /** Hears what answers, and other entries, say of what upstreams ask for, and notes what changed. */
@@ -37,46 +37,46 @@
         if (facts.isOtherThan(upstream.name)) {
             return;
         }
-        Demands demands = facts.demands();
+        BackpressureSignals demands = facts.demands();
         if (demands.leaving()) {
             upstreams.leaves(now, upstream.id, true, request);
         }
-        demands.rest().ifPresent(rest -> hearRest(now, upstream, request, rest));
+        demands.backoff().ifPresent(rest -> hearRest(now, upstream, request, rest));
         // Neither a failure nor the answer to an earlier request shows the end of a need by what it leaves out.
         boolean conclusive = status < FIRST_FAILURE
                 && facts.requestId().filter(id -> !id.equals(request)).isEmpty();
         if (conclusive) {
-            backpressure.rests().answered(upstream.id, sentAt);
+            backpressure.backoffs().onAnswer(upstream.id, sentAt);
         }
-        if (conclusive || !(demands.limit() instanceof StatedLimit.Unlimited)) {
+        if (conclusive || !(demands.limit() instanceof AdvertisedLimit.Unlimited)) {
             hearLimit(now, upstream, sentAt, request, demands.limit());
         }
     }
 
-    private void hearLimit(long now, UpstreamRow upstream, long sentAt, String request, StatedLimit limit) {
-        if (limit instanceof StatedLimit.Unreadable(String text)) {
+    private void hearLimit(long now, UpstreamRow upstream, long sentAt, String request, AdvertisedLimit limit) {
+        if (limit instanceof AdvertisedLimit.Malformed(String text)) {
             log.note("upstream", upstream.id, "outcome", "limit-unreadable", "stated", text, "request", request);
         }
         backpressure
                 .limits()
-                .heard(now, upstream.id, upstream.service, sentAt, limit)
+                .onAnswer(now, upstream.id, upstream.service, sentAt, limit)
                 .ifPresent(change -> note(upstream, change, "request", request));
     }
 
     private void hearRest(long now, UpstreamRow upstream, String request, Duration rest) {
-        backpressure.rests().asked(now, upstream.id, rest);
+        backpressure.backoffs().onBackoffRequested(now, upstream.id, rest);
         log.note("upstream", upstream.id, "outcome", "rest-asked", "ms", rest.toMillis(), "request", request);
     }
 
     /** Takes what another entry heard from an upstream. */
-    void told(long now, UpstreamRow upstream, Address entry, RateLimits.Heard heard) {
+    void told(long now, UpstreamRow upstream, Address entry, UpstreamRateLimits.LimitReport heard) {
         backpressure
                 .limits()
-                .told(now, upstream.service, heard)
+                .onRemoteReport(now, upstream.service, heard)
                 .ifPresent(change -> note(upstream, change, "told-by", entry));
     }
 
-    private void note(UpstreamRow upstream, RateLimits.Change change, String source, Object from) {
+    private void note(UpstreamRow upstream, UpstreamRateLimits.LimitChange change, String source, Object from) {
         log.note(
                 "upstream",
                 upstream.id,
--- a/src/main/java/org/cuminshelf/direct/DirectCore.java
+++ b/src/main/java/org/cuminshelf/direct/DirectCore.java
@@ -64,8 +64,8 @@
         this.protocol = protocol;
         this.log = log;
         long now = clock.getAsLong();
-        this.backpressure = Backpressure.none(self);
-        this.upstreams = new UpstreamTable(backpressure.leavers(), log);
+        this.backpressure = Backpressure.create(self);
+        this.upstreams = new UpstreamTable(backpressure.leavingUpstreams(), log);
         this.poison = new PoisonSystem(port, upstreams, clock, settings.vm(), log);
         this.usage = new UsageMeter(settings.usageWindowMillis(), log);
         this.control = new ControlFeed(settings, reader, upstreams, poison, usage, now, invariants, log);
@@ -330,7 +330,7 @@
      * @return their number
      */
     public long limitedUpstreams() {
-        return backpressure.limits().inForce();
+        return backpressure.limits().activeCount();
     }
 
     /**
@@ -339,7 +339,7 @@
      * @return their number
      */
     public long restingUpstreams() {
-        return backpressure.rests().resting(clock.getAsLong());
+        return backpressure.backoffs().activeCount(clock.getAsLong());
     }
 
     /**
--- a/src/main/java/org/cuminshelf/direct/EnginePrices.java
+++ b/src/main/java/org/cuminshelf/direct/EnginePrices.java
@@ -4,7 +4,7 @@
 import java.util.HashMap;
 import java.util.Map;
 import org.cuminshelf.core.Durations;
-import org.cuminshelf.engines.EngineModel;
+import org.cuminshelf.engines.EngineLatencyModel;
 
 /**
  * What a millisecond of an engine's time is worth, in requests, for each service and way of reading.
@@ -63,7 +63,7 @@
     private final Map<String, Price> prices = new HashMap<>();
 
     /** Looks at which engines have prompts under way. */
-    void observe(long now, String service, Collection<UpstreamRow> engines, EngineModel model) {
+    void observe(long now, String service, Collection<UpstreamRow> engines, EngineLatencyModel model) {
         Price price = prices.computeIfAbsent(service, key -> new Price());
         double weight = 1 - Math.exp(-(now - price.observedAt) / MEMORY_NANOS);
         price.observedAt = now;
@@ -72,7 +72,8 @@
     }
 
     /** How scarce a role's time is: 0 if an engine is free, 1 if prompts wait for too long at the one freed first. */
-    private static double scarcity(long now, Collection<UpstreamRow> engines, EngineModel model, boolean generates) {
+    private static double scarcity(
+            long now, Collection<UpstreamRow> engines, EngineLatencyModel model, boolean generates) {
         double least = Double.MAX_VALUE;
         for (UpstreamRow row : engines) {
             if (row.generates() == generates) {
--- a/src/main/java/org/cuminshelf/direct/LoadGossip.java
+++ b/src/main/java/org/cuminshelf/direct/LoadGossip.java
@@ -5,8 +5,8 @@
 import java.util.Optional;
 import java.util.OptionalDouble;
 import org.cuminshelf.backpressure.Backpressure;
-import org.cuminshelf.backpressure.RateLimits;
-import org.cuminshelf.backpressure.Rests;
+import org.cuminshelf.backpressure.UpstreamBackoffs;
+import org.cuminshelf.backpressure.UpstreamRateLimits;
 import org.cuminshelf.core.Address;
 import org.cuminshelf.core.Core;
 import org.cuminshelf.core.Durations;
@@ -101,18 +101,18 @@
 
     /** A prompt was taken in. */
     void onTaken(UpstreamRow upstream, PromptSample sample) {
-        models.of(upstream.service).observe(sample);
+        models.of(upstream.service).observePrompt(sample);
         if (taken.size() >= MOST_NEWS) {
             return;
         }
         taken.add(TakenPrompt.newBuilder()
                 .setUpstream(upstream.id)
-                .setBesideStreams(sample.besideStreams())
+                .setBesideStreams(sample.alsoDecodes())
                 .setStreams(sample.streams())
-                .setHeld(sample.held())
-                .setUncached(sample.uncached())
+                .setHeld(sample.cachedTokens())
+                .setUncached(sample.uncachedTokens())
                 .setWaitUs(micros(sample.waitMillis()))
-                .setTookUs(micros(sample.tookMillis()))
+                .setTookUs(micros(sample.elapsedMillis()))
                 .build());
     }
 
@@ -155,32 +155,32 @@
 
     /** Adds what upstreams ask for, and returns whether that is anything. */
     private boolean addDemands(long now, EntryLoad.Builder load) {
-        for (RateLimits.Heard heard : backpressure.limits().heardHere(now)) {
+        for (UpstreamRateLimits.LimitReport heard : backpressure.limits().localLimitReports(now)) {
             HeardLimit.Builder limit = HeardLimit.newBuilder()
                     .setUpstream(heard.start())
                     .setAgeUs((long) (heard.ageNanos() / NANOS_PER_MICRO));
             heard.perSecond().ifPresent(limit::setPerSecond);
             load.addLimits(limit);
         }
-        for (RateLimits.Demand demand : backpressure.limits().demandsHere(now)) {
+        for (UpstreamRateLimits.CallRateReport demand : backpressure.limits().localCallRateReports(now)) {
             load.addDemands(
                     ServiceDemand.newBuilder().setService(demand.service()).setCallsPerSecond(demand.perSecond()));
         }
-        for (Rests.Left rest : backpressure.rests().heardHere(now)) {
+        for (UpstreamBackoffs.RemainingBackoff rest : backpressure.backoffs().localReports(now)) {
             load.addRests(RestingUpstream.newBuilder().setUpstream(rest.start()).setLeftUs((long)
-                    (rest.leftNanos() / NANOS_PER_MICRO)));
+                    (rest.remainingNanos() / NANOS_PER_MICRO)));
         }
-        load.addAllLeaving(backpressure.leavers().heardHere(now));
+        load.addAllLeaving(backpressure.leavingUpstreams().recentLocalReports(now));
         return load.getLimitsCount() + load.getDemandsCount() + load.getRestsCount() + load.getLeavingCount() > 0;
     }
 
     private static UpstreamLoad underWay(long now, UpstreamRow row) {
         UpstreamLoad.Builder load =
                 UpstreamLoad.newBuilder().setId(row.id).setRunning(row.running).setTokens((int) row.tokens);
-        for (PromptQueue.Waiting prompt : row.prompts.own()) {
+        for (PromptQueue.PendingPrompt prompt : row.prompts.localPrompts()) {
             load.addPrompts(WaitingPrompt.newBuilder()
                     .setAgeUs((int) ((now - prompt.sentAt()) / NANOS_PER_MICRO))
-                    .setWorkUs(micros(prompt.workMillis())));
+                    .setWorkUs(micros(prompt.prefillMillis())));
         }
         return load.build();
     }
@@ -201,12 +201,16 @@
         load.getDemandsList()
                 .forEach(demand -> backpressure
                         .limits()
-                        .told(now, entry, new RateLimits.Demand(demand.getService(), demand.getCallsPerSecond())));
+                        .onRemoteReport(
+                                now,
+                                entry,
+                                new UpstreamRateLimits.CallRateReport(
+                                        demand.getService(), demand.getCallsPerSecond())));
     }
 
     private void onRestElsewhere(long now, RestingUpstream rest) {
         long left = (long) (rest.getLeftUs() * NANOS_PER_MICRO);
-        backpressure.rests().told(now, new Rests.Left(rest.getUpstream(), left));
+        backpressure.backoffs().onRemoteReport(now, new UpstreamBackoffs.RemainingBackoff(rest.getUpstream(), left));
     }
 
     private void onLimitHeardElsewhere(long now, Address entry, HeardLimit limit) {
@@ -215,7 +219,8 @@
         long age = (long) (limit.getAgeUs() * NANOS_PER_MICRO);
         upstreams
                 .row(limit.getUpstream())
-                .ifPresent(row -> demandWatch.told(now, row, entry, new RateLimits.Heard(row.id, perSecond, age)));
+                .ifPresent(row ->
+                        demandWatch.told(now, row, entry, new UpstreamRateLimits.LimitReport(row.id, perSecond, age)));
     }
 
     private void onSentElsewhere(long now, SentPrompt prompt) {
@@ -235,9 +240,9 @@
         if (row.isEmpty()) {
             return;
         }
-        row.get().prompts.taken(now);
+        row.get().prompts.onPrefilled(now);
         models.of(row.get().service)
-                .observe(new PromptSample(
+                .observePrompt(new PromptSample(
                         row.get().id,
                         prompt.getBesideStreams(),
                         prompt.getStreams(),
@@ -248,11 +253,11 @@
     }
 
     /** The prompts that an entry says it has at an engine. */
-    static List<PromptQueue.Waiting> waiting(long now, UpstreamLoad load) {
-        List<PromptQueue.Waiting> prompts = new ArrayList<>(load.getPromptsCount());
+    static List<PromptQueue.PendingPrompt> waiting(long now, UpstreamLoad load) {
+        List<PromptQueue.PendingPrompt> prompts = new ArrayList<>(load.getPromptsCount());
         for (WaitingPrompt prompt : load.getPromptsList()) {
             long sentAt = now - (long) (prompt.getAgeUs() * NANOS_PER_MICRO);
-            prompts.add(new PromptQueue.Waiting(sentAt, prompt.getWorkUs() / MICROS_PER_MILLI));
+            prompts.add(new PromptQueue.PendingPrompt(sentAt, prompt.getWorkUs() / MICROS_PER_MILLI));
         }
         return prompts;
     }
--- a/src/main/java/org/cuminshelf/direct/PacedPort.java
+++ b/src/main/java/org/cuminshelf/direct/PacedPort.java
@@ -32,11 +32,11 @@
     @Override
     public UpstreamExchange send(Address address, String upstream, UpstreamRequest request, UpstreamHandler handler) {
         long now = clock.getAsLong();
-        if (!backpressure.admits(now, upstream)) {
+        if (!backpressure.maySend(now, upstream)) {
             handler.onFailed(false, "the upstream asked to wait");
             return NOT_SENT;
         }
-        backpressure.use(now, upstream);
+        backpressure.onRequestSent(now, upstream);
         return port.send(address, upstream, request, handler);
     }
 
--- a/src/main/java/org/cuminshelf/direct/Placement.java
+++ b/src/main/java/org/cuminshelf/direct/Placement.java
@@ -13,7 +13,7 @@
 import org.cuminshelf.backpressure.Backpressure;
 import org.cuminshelf.core.Core;
 import org.cuminshelf.core.Durations;
-import org.cuminshelf.engines.EngineModel;
+import org.cuminshelf.engines.EngineLatencyModel;
 import org.cuminshelf.message.Role;
 import org.cuminshelf.routes.EngineLimits;
 import org.cuminshelf.routes.RoutedService;
@@ -145,7 +145,7 @@
         SharedParts shared = SharedParts.of(shape, open(now, call), now);
         int held = shared.mostHeld();
         double millis =
-                models.of(call.service).workMillis("", false, 0, held, Math.max(0, shape.promptTokens() - held));
+                models.of(call.service).prefillMillis("", false, 0, held, Math.max(0, shape.promptTokens() - held));
         return (long) (MICROS_PER_MILLI * millis);
     }
 
@@ -155,7 +155,7 @@
         int perEvent = tokensPerEvent(service);
         int usualStreams = limits.map(EngineLimits::slots).orElse(1) / 2;
         double events = Math.ceil((double) shape.outputTokens() / perEvent);
-        double millis = events * models.of(service).gapMillis(usualStreams);
+        double millis = events * models.of(service).eventIntervalMillis(usualStreams);
         prices.running(service, millis);
         return (long) (MICROS_PER_MILLI * millis);
     }
@@ -183,7 +183,7 @@
     private Optional<Choice> forHandover(long now, CallRow call) {
         UpstreamRow best = null;
         double least = Double.MAX_VALUE;
-        EngineModel model = models.of(call.service);
+        EngineLatencyModel model = models.of(call.service);
         List<UpstreamRow> open = open(now, call);
         Optional<SharedParts> shared = call.intent.generation().map(shape -> SharedParts.of(shape, open, now));
         for (UpstreamRow row : open) {
@@ -272,7 +272,7 @@
         boolean splits = call.lastEvent.isEmpty() && !call.wholeOnly;
         boolean prefillThere = splits && open.stream().anyMatch(row -> !row.generates());
         boolean placeThere = open.stream().anyMatch(row -> row.generates() && hasPlace(row, call));
-        EngineModel model = models.of(call.service);
+        EngineLatencyModel model = models.of(call.service);
         long room = cacheRoom(call);
         open.forEach(row -> row.cache.bound(room));
         Choice best = null;
@@ -296,21 +296,21 @@
         return Optional.ofNullable(best).map(choice -> withGain(now, choice, call, model, shape));
     }
 
-    private Choice withGain(long now, Choice choice, CallRow call, EngineModel model, GenerationShape shape) {
+    private Choice withGain(long now, Choice choice, CallRow call, EngineLatencyModel model, GenerationShape shape) {
         double answer = values.of(call, shape) * (1 - LATE_COST * lateChance(now, choice, call, model));
         double time = choice.estimate.workMillis() * prices.ofMillisecond(call.service, choice.upstream);
         return new Choice(choice.upstream, choice.prefillOnly, choice.estimate, choice.source, answer - time);
     }
 
     /** Whether a prompt may be taken in by an engine that also generates; more may wait there if no other can do it. */
-    private boolean fitsBesideStreams(Choice choice, CallRow call, EngineModel model, boolean prefillThere) {
+    private boolean fitsBesideStreams(Choice choice, CallRow call, EngineLatencyModel model, boolean prefillThere) {
         UpstreamRow row = choice.upstream;
         // A stream that its caller has half of goes on beside what is there: cutting it would lose what it took so far.
         boolean idle = row.occupancy() == 0 || call.begun;
         double backlog = choice.waitMillis() + choice.estimate.workMillis();
         return idle
                 || hasPlace(row, call)
-                        && (!prefillThere || backlog <= model.reading().millis());
+                        && (!prefillThere || backlog <= model.prefillAllowance().millis());
     }
 
     /**
@@ -330,14 +330,19 @@
     }
 
     private Choice estimate(
-            long now, UpstreamRow row, EngineModel model, GenerationShape shape, SharedParts shared, double onItsWay) {
+            long now,
+            UpstreamRow row,
+            EngineLatencyModel model,
+            GenerationShape shape,
+            SharedParts shared,
+            double onItsWay) {
         int own = shared.heldBy(row);
         int held = shared.withinReachOf(row);
         int uncached = Math.max(0, shape.promptTokens() - held);
         boolean generates = row.generates();
         double latency = model.latencyMillis(row.id, generates);
-        double work = model.workMillis(row.id, generates, row.occupancy(), held, uncached)
-                + model.moveMillis(Math.max(0, held - own));
+        double work = model.prefillMillis(row.id, generates, row.occupancy(), held, uncached)
+                + model.transferMillis(Math.max(0, held - own));
         double wait = row.prompts.waitMillis(now, latency) + onItsWay;
         double handover = generates ? 0 : model.handoverMillis(shape.promptTokens());
         double first = wait + work + latency + (row.zone.equals(zone) ? 0 : OTHER_ZONE_MILLIS) + handover;
@@ -346,7 +351,12 @@
     }
 
     private double cost(
-            long now, Choice choice, CallRow call, EngineModel model, GenerationShape shape, SharedParts shared) {
+            long now,
+            Choice choice,
+            CallRow call,
+            EngineLatencyModel model,
+            GenerationShape shape,
+            SharedParts shared) {
         UpstreamRow row = choice.upstream;
         int own = shared.heldBy(row);
         int movedTokens = Math.max(0, choice.estimate.held() - own) + (choice.prefillOnly ? shape.promptTokens() : 0);
@@ -357,13 +367,13 @@
     }
 
     /** What is lost on average by an answer's coming late: its chance to, and by how much. */
-    private static double lateCost(long now, Choice choice, CallRow call, EngineModel model) {
+    private static double lateCost(long now, Choice choice, CallRow call, EngineLatencyModel model) {
         double late = lateMillis(now, choice, call) / call.route.targetMillis();
         return lateChance(now, choice, call, model) * LATE_COST + Math.clamp(late, 0, MOST_TARGETS_LATE) * LATER_COST;
     }
 
-    private static double lateChance(long now, Choice choice, CallRow call, EngineModel model) {
-        double error = Math.max(LEAST_ERROR_MILLIS, model.error() * choice.firstMillis());
+    private static double lateChance(long now, Choice choice, CallRow call, EngineLatencyModel model) {
+        double error = Math.max(LEAST_ERROR_MILLIS, model.relativeError() * choice.firstMillis());
         return 1 / (1 + Math.exp(-LOGISTIC * lateMillis(now, choice, call) / error));
     }
 
@@ -377,7 +387,7 @@
         List<UpstreamRow> open = upstreams.ofService(call.service).stream()
                 .filter(row -> isOpen(now, row, call))
                 .toList();
-        if (!backpressure.rests().isAnyAskedElsewhere()) {
+        if (!backpressure.backoffs().hasRemoteBackoffs()) {
             return open;
         }
         Set<Role> willing = EnumSet.noneOf(Role.class);
@@ -388,7 +398,7 @@
     }
 
     private boolean isAskedElsewhere(long now, UpstreamRow row) {
-        return backpressure.rests().isAskedElsewhere(now, row.id);
+        return backpressure.backoffs().isBackedOffRemotely(now, row.id);
     }
 
     private boolean isOpen(long now, UpstreamRow row, CallRow call) {
@@ -398,7 +408,7 @@
 
     private boolean hasPermit(long now, UpstreamRow row, CallRow call) {
         boolean kept = call.keptPermit.filter(row.id::equals).isPresent();
-        return kept ? backpressure.admitsKept(now, row.id) : backpressure.admits(now, row.id);
+        return kept ? backpressure.maySendWithReservedPermit(now, row.id) : backpressure.maySend(now, row.id);
     }
 
     /** Whether an upstream can answer a call, and not just read its prompt. */
@@ -432,7 +442,7 @@
                 return OptionalLong.empty();
             }
             askedToWait |= held;
-            long open = Math.max(row.avoidedUntil(), held ? backpressure.nextSend(now, row.id) : now);
+            long open = Math.max(row.avoidedUntil(), held ? backpressure.nextSendTime(now, row.id) : now);
             next = Math.min(next, open);
         }
         return askedToWait ? OptionalLong.of(next) : OptionalLong.empty();
@@ -442,7 +452,7 @@
      * The engine of which a permit should be kept for the handover of a call: none if one without a limit can do it.
      */
     Optional<UpstreamRow> limitedForHandover(long now, CallRow call) {
-        if (backpressure.limits().inForce() == 0) {
+        if (backpressure.limits().activeCount() == 0) {
             return Optional.empty();
         }
         UpstreamRow best = null;
--- a/src/main/java/org/cuminshelf/direct/PoisonSystem.java
+++ b/src/main/java/org/cuminshelf/direct/PoisonSystem.java
@@ -14,9 +14,9 @@
 import org.cuminshelf.message.Subscribe;
 import org.cuminshelf.message.Update;
 import org.cuminshelf.message.UpstreamCrash;
-import org.cuminshelf.poison.ChangeNumbers;
+import org.cuminshelf.poison.ChangeSequence;
 import org.cuminshelf.poison.Fingerprint;
-import org.cuminshelf.poison.PoisonRegister;
+import org.cuminshelf.poison.PoisonRegistry;
 import org.cuminshelf.poison.Quarantine;
 
 /**
@@ -58,7 +58,7 @@
     /** How the log names a refusal, and when the caller may come back. */
     record Refusal(String outcome, long retryAfterMillis) {}
 
-    private final PoisonRegister register = new PoisonRegister();
+    private final PoisonRegistry register = new PoisonRegistry();
     private final UpstreamTable upstreams;
     private final CrashWatch watch;
     private final String vm;
@@ -66,7 +66,7 @@
     /** Up to which of this entry's changes each control process has heard. */
     private final Map<Address, Long> heard = new HashMap<>();
 
-    private final ChangeNumbers own = this::nextNumber;
+    private final ChangeSequence own = this::nextNumber;
     private long version = LEARNT;
     private boolean urgent;
     private long urgentAt = Long.MIN_VALUE;
@@ -96,7 +96,7 @@
         if (register.isQuarantined(call.fingerprint())) {
             return Optional.of(new Refusal("quarantined", QUARANTINED_RETRY_AFTER_MILLIS));
         }
-        if (register.isUnsettled(now, call.fingerprint())) {
+        if (register.isSettling(now, call.fingerprint())) {
             return Optional.of(new Refusal("upstreams-crashed", UNSETTLED_RETRY_AFTER_MILLIS));
         }
         return Optional.empty();
@@ -112,7 +112,8 @@
      * call, faster than anybody can tell: from the second on its caller has to come back.
      */
     boolean mayGoOn(CallRow call) {
-        return register.isEmpty() || register.crashesUnder(call.fingerprint()).size() < MOST_CRASHES_IN_CALL;
+        return register.isEmpty()
+                || register.crashedUpstreams(call.fingerprint()).size() < MOST_CRASHES_IN_CALL;
     }
 
     /** A call ended well, so it is no poison. */
@@ -120,18 +121,18 @@
         if (register.isEmpty()) {
             return;
         }
-        int crashes = register.crashesUnder(call.fingerprint()).size();
-        if (register.endedWell(now, call.fingerprint(), vm, own) && crashes >= MOST_CRASHES_IN_CALL) {
+        int crashes = register.crashedUpstreams(call.fingerprint()).size();
+        if (register.onSuccess(now, call.fingerprint(), vm, own) && crashes >= MOST_CRASHES_IN_CALL) {
             log.note("poison", call.fingerprint().toString(), "outcome", "cleared", "crashes", crashes);
         }
     }
 
     private void onCrash(long now, String upstream, Fingerprint request, Involvement involvement) {
         avoid(now, upstream);
-        if (!register.crashed(now, upstream, request, involvement, own)) {
+        if (!register.onCrash(now, upstream, request, involvement, own)) {
             return;
         }
-        int crashes = register.crashesUnder(request).size();
+        int crashes = register.crashedUpstreams(request).size();
         if (crashes >= MOST_CRASHES_IN_CALL) {
             log.note(
                     "poison",
@@ -159,7 +160,7 @@
                 .map(UpstreamCrash::getUpstream)
                 .filter(upstream -> !register.hasCrashed(upstream))
                 .forEach(upstream -> avoid(now, upstream));
-        register.merge(now, update.getCrashesList(), update.getQuarantinedList(), ChangeNumbers.always(LEARNT));
+        register.merge(now, update.getCrashesList(), update.getQuarantinedList(), ChangeSequence.constant(LEARNT));
         watch.onUpstreams(now);
     }
 
@@ -169,8 +170,8 @@
         subscribe
                 .setPoisonVersion(version)
                 .setPoisonSince(since)
-                .addAllCrashes(register.crashesSince(since))
-                .addAllQuarantined(register.quarantine().since(since));
+                .addAllCrashes(register.crashesChangedSince(since))
+                .addAllQuarantined(register.quarantine().changedSince(since));
     }
 
     /** When control has to be told of news. */
@@ -189,12 +190,12 @@
     void tick(long now) {
         watch.tick(now);
         if (now >= register.nextDue()) {
-            register.findPoison(now, vm, own);
+            register.quarantinePoison(now, vm, own);
         }
         if (now >= nextCount) {
             nextCount = now + COUNT_EVERY;
-            suspects = register.suspects();
-            quarantined = register.quarantine().size();
+            suspects = register.suspectCount();
+            quarantined = register.quarantine().quarantinedCount();
         }
     }
 
@@ -205,7 +206,7 @@
     /** Takes the requests that came to be quarantined since the last question; their calls are to be stopped. */
     List<Fingerprint> takeQuarantined() {
         List<Fingerprint> quarantined = new ArrayList<>();
-        for (QuarantinedRequest row : register.takeChanged()) {
+        for (QuarantinedRequest row : register.takeChangedRows()) {
             Fingerprint request = Quarantine.fingerprint(row);
             log.note(
                     "poison",
--- a/src/main/java/org/cuminshelf/direct/UpstreamRow.java
+++ b/src/main/java/org/cuminshelf/direct/UpstreamRow.java
@@ -110,15 +110,15 @@
     }
 
     /** Takes what another entry has under way there. */
-    void onLoad(Address entry, UpstreamLoad load, List<PromptQueue.Waiting> waiting) {
+    void onLoad(Address entry, UpstreamLoad load, List<PromptQueue.PendingPrompt> waiting) {
         add(load, 1);
         Optional.ofNullable(others.put(entry, load)).ifPresent(before -> add(before, -1));
-        prompts.told(entry, waiting);
+        prompts.setRemotePrompts(entry, waiting);
     }
 
     void forgetLoad(Address entry) {
         Optional.ofNullable(others.remove(entry)).ifPresent(before -> add(before, -1));
-        prompts.told(entry, List.of());
+        prompts.setRemotePrompts(entry, List.of());
     }
 
     private void add(UpstreamLoad load, int sign) {
--- a/src/main/java/org/cuminshelf/direct/UpstreamTable.java
+++ b/src/main/java/org/cuminshelf/direct/UpstreamTable.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
-import org.cuminshelf.backpressure.Leavers;
+import org.cuminshelf.backpressure.LeavingUpstreams;
 import org.cuminshelf.core.Address;
 import org.cuminshelf.core.Core;
 import org.cuminshelf.core.Durations;
@@ -67,10 +67,10 @@
     private final LinkedHashMap<String, Ended> ended = new LinkedHashMap<>();
     private final HeldDirectories directories = HeldDirectories.none();
     private final Map<Address, TakenLoad> loads = new HashMap<>();
-    private final Leavers leavers;
+    private final LeavingUpstreams leavers;
     private final DecisionLog log;
 
-    UpstreamTable(Leavers leavers, DecisionLog log) {
+    UpstreamTable(LeavingUpstreams leavers, DecisionLog log) {
         this.leavers = leavers;
         this.log = log;
     }
--- a/src/main/java/org/cuminshelf/engines/EngineSpeed.java
+++ b/src/main/java/org/cuminshelf/engines/EngineSlowdown.java
@@ -10,30 +10,30 @@
  * any more, so nothing is ever seen that says otherwise, and the others carry its load. What was learnt of it fades
  * with what is seen of the others, until it is tried again.
  */
-final class EngineSpeed {
+final class EngineSlowdown {
 
     /** Part of an observation's deviation by which the mean moves: a memory of some ten prompts. */
-    private static final double WEIGHT = 0.1;
-    /** The same after {@link #RUN} observations in a row on one side: half of the way with each. */
-    private static final double RUN_WEIGHT = 0.5;
+    private static final double SMOOTHING_WEIGHT = 0.1;
+    /** The same after {@link #RUN_LENGTH} observations in a row on one side: half of the way with each. */
+    private static final double RUN_SMOOTHING_WEIGHT = 0.5;
     /** By chance, five in a row lie on one side in one of sixteen. */
-    private static final int RUN = 5;
+    private static final int RUN_LENGTH = 5;
     /** Deviation, as a logarithm, beyond which an observation counts as this much: a third more or less. */
-    private static final double MOST_DEVIATION = 0.3;
-    /** The same after {@link #RUN} observations on one side: an engine may turn ten times slower at once. */
-    private static final double MOST_RUN_DEVIATION = 1.2;
+    private static final double MAX_LOG_DEVIATION = 0.3;
+    /** The same after {@link #RUN_LENGTH} observations on one side: an engine may turn ten times slower at once. */
+    private static final double MAX_RUN_LOG_DEVIATION = 1.2;
     /**
      * Bounds of the logarithm: three quarters of the usual time, and ten times it. An engine thought still faster by
      * mistake would draw all prompts.
      */
-    private static final double LEAST = Math.log(0.75);
+    private static final double MIN_LOG_FACTOR = Math.log(0.75);
 
-    private static final double MOST = Math.log(10);
+    private static final double MAX_LOG_FACTOR = Math.log(10);
     /** Observations of the service after which a third of what was learnt is left: ten seconds at 30 a second. */
-    private static final double FORGETTING = 300;
+    private static final double DECAY_OBSERVATIONS = 300;
 
-    private double logarithm;
-    private long observedAt;
+    private double logFactor;
+    private long lastObservation;
     /** Observations in a row above the expectation, or below it if negative. */
     private int run;
 
@@ -46,20 +46,20 @@
      */
     void observe(long count, double ratio, double ownShare) {
         run = ratio > 1 ? Math.max(1, run + 1) : Math.min(-1, run - 1);
-        boolean changed = Math.abs(run) >= RUN;
-        double most = changed ? MOST_RUN_DEVIATION : MOST_DEVIATION;
-        double deviation = Math.clamp(Math.log(ratio), -most, most);
-        double weight = ownShare * (changed ? RUN_WEIGHT : WEIGHT);
-        logarithm = Math.clamp(faded(count) + weight * deviation, LEAST, MOST);
-        observedAt = count;
+        boolean isRun = Math.abs(run) >= RUN_LENGTH;
+        double maxDeviation = isRun ? MAX_RUN_LOG_DEVIATION : MAX_LOG_DEVIATION;
+        double deviation = Math.clamp(Math.log(ratio), -maxDeviation, maxDeviation);
+        double weight = ownShare * (isRun ? RUN_SMOOTHING_WEIGHT : SMOOTHING_WEIGHT);
+        logFactor = Math.clamp(decayedLogFactor(count) + weight * deviation, MIN_LOG_FACTOR, MAX_LOG_FACTOR);
+        lastObservation = count;
     }
 
     /** Times as long that the engine takes, after so many observations of the service. */
     double factor(long count) {
-        return Math.exp(faded(count));
+        return Math.exp(decayedLogFactor(count));
     }
 
-    private double faded(long count) {
-        return logarithm * Math.exp((observedAt - count) / FORGETTING);
+    private double decayedLogFactor(long count) {
+        return logFactor * Math.exp((lastObservation - count) / DECAY_OBSERVATIONS);
     }
 }
--- a/src/main/java/org/cuminshelf/engines/PromptQueue.java
+++ b/src/main/java/org/cuminshelf/engines/PromptQueue.java
@@ -25,22 +25,22 @@
      * overdue misjudged something large, such as parts that it was thought to hold; short prompts sent there at once
      * came 0.5 s late.
      */
-    private static final double OVERDUE_SHARE = 0.5;
+    private static final double REMAINING_SHARE_OF_OVERDUE = 0.5;
 
     /**
      * One prompt under way.
      *
      * @param sentAt     when it was sent, in nanoseconds
-     * @param workMillis milliseconds for which it takes up the engine
+     * @param prefillMillis milliseconds for which it takes up the engine
      */
-    public record Waiting(long sentAt, double workMillis) {}
+    public record PendingPrompt(long sentAt, double prefillMillis) {}
 
-    private final Map<Long, Waiting> own = new HashMap<>();
-    private final Map<Address, List<Waiting>> others = new HashMap<>();
+    private final Map<Long, PendingPrompt> localPrompts = new HashMap<>();
+    private final Map<Address, List<PendingPrompt>> remotePrompts = new HashMap<>();
     /** All prompts in the order in which they were sent, made anew when it is next asked for after a change. */
-    private Optional<List<Waiting>> ordered = Optional.empty();
+    private Optional<List<PendingPrompt>> sortedPrompts = Optional.empty();
 
-    private long lastTakenAt = Long.MIN_VALUE / 2;
+    private long lastPrefilledAt = Long.MIN_VALUE / 2;
 
     private PromptQueue() {}
 
@@ -59,9 +59,9 @@
      * @param attempt names it
      * @param prompt  when it was sent and what it takes
      */
-    public void add(long attempt, Waiting prompt) {
-        own.put(attempt, prompt);
-        ordered = Optional.empty();
+    public void add(long attempt, PendingPrompt prompt) {
+        localPrompts.put(attempt, prompt);
+        sortedPrompts = Optional.empty();
     }
 
     /**
@@ -70,8 +70,8 @@
      * @param attempt names it
      */
     public void remove(long attempt) {
-        if (own.remove(attempt) != null) {
-            ordered = Optional.empty();
+        if (localPrompts.remove(attempt) != null) {
+            sortedPrompts = Optional.empty();
         }
     }
 
@@ -80,8 +80,8 @@
      *
      * @param now the time in nanoseconds
      */
-    public void taken(long now) {
-        lastTakenAt = now;
+    public void onPrefilled(long now) {
+        lastPrefilledAt = now;
     }
 
     /**
@@ -90,10 +90,11 @@
      * @param entry   names the entry
      * @param prompts its prompts
      */
-    public void told(Address entry, List<Waiting> prompts) {
-        List<Waiting> before = prompts.isEmpty() ? others.remove(entry) : others.put(entry, prompts);
+    public void setRemotePrompts(Address entry, List<PendingPrompt> prompts) {
+        List<PendingPrompt> before =
+                prompts.isEmpty() ? remotePrompts.remove(entry) : remotePrompts.put(entry, prompts);
         if (before != null || !prompts.isEmpty()) {
-            ordered = Optional.empty();
+            sortedPrompts = Optional.empty();
         }
     }
 
@@ -102,8 +103,8 @@
      *
      * @return them, in no order
      */
-    public List<Waiting> own() {
-        return List.copyOf(own.values());
+    public List<PendingPrompt> localPrompts() {
+        return List.copyOf(localPrompts.values());
     }
 
     /**
@@ -112,7 +113,7 @@
      * @return true if no entry is known to have a prompt there
      */
     public boolean isEmpty() {
-        return own.isEmpty() && others.isEmpty();
+        return localPrompts.isEmpty() && remotePrompts.isEmpty();
     }
 
     /**
@@ -126,28 +127,28 @@
         if (isEmpty()) {
             return 0;
         }
-        double free = (lastTakenAt - now) / NANOS_PER_MILLI - latencyMillis;
-        for (Waiting prompt : inOrder()) {
+        double freeMillis = (lastPrefilledAt - now) / NANOS_PER_MILLI - latencyMillis;
+        for (PendingPrompt prompt : inSendOrder()) {
             double sentMillis = (prompt.sentAt - now) / NANOS_PER_MILLI;
-            double end = Math.max(free, sentMillis) + prompt.workMillis;
+            double endMillis = Math.max(freeMillis, sentMillis) + prompt.prefillMillis;
             // No sign of it has come, so it ended no sooner than the latency ago; what is overdue lasts on.
-            double overdue = Math.max(0, -latencyMillis - end);
-            free = Math.max(end, -latencyMillis + OVERDUE_SHARE * overdue);
+            double overdueMillis = Math.max(0, -latencyMillis - endMillis);
+            freeMillis = Math.max(endMillis, -latencyMillis + REMAINING_SHARE_OF_OVERDUE * overdueMillis);
         }
-        return Math.max(0, free);
+        return Math.max(0, freeMillis);
     }
 
-    private List<Waiting> inOrder() {
-        if (ordered.isEmpty()) {
-            ordered = Optional.of(sorted());
+    private List<PendingPrompt> inSendOrder() {
+        if (sortedPrompts.isEmpty()) {
+            sortedPrompts = Optional.of(sortBySendTime());
         }
-        return ordered.get();
+        return sortedPrompts.get();
     }
 
-    private List<Waiting> sorted() {
-        List<Waiting> all = new ArrayList<>(own.values());
-        others.values().forEach(all::addAll);
-        all.sort(Comparator.comparingLong(Waiting::sentAt));
+    private List<PendingPrompt> sortBySendTime() {
+        List<PendingPrompt> all = new ArrayList<>(localPrompts.values());
+        remotePrompts.values().forEach(all::addAll);
+        all.sort(Comparator.comparingLong(PendingPrompt::sentAt));
         return all;
     }
 }
--- a/src/main/java/org/cuminshelf/planning/BalancedPlanner.java
+++ b/src/main/java/org/cuminshelf/planning/BalancedPlanner.java
@@ -21,17 +21,17 @@
     private static final double NANOS_PER_SECOND = 1e9;
     private static final double MICROS_PER_SECOND = 1e6;
     /** Seconds after which a change of the mix is mostly believed: some swings of three seconds. */
-    private static final double MEMORY_SECONDS = 8;
+    private static final double SMOOTHING_SECONDS = 8;
     /**
      * Part of the busier role's use that a change must take off while that role is not overloaded. With a seventh
      * instead of three tenths, heavy days in which engines crashed were worth 0.09 less than without any change: the
      * engine moved was missed a few seconds later.
      */
-    private static final double LEAST_GAIN = 0.3;
+    private static final double MIN_GAIN = 0.3;
     /** The same where the busier role can't do what it is asked for. */
-    private static final double LEAST_GAIN_OVERLOADED = 0.15;
+    private static final double MIN_GAIN_OVERLOADED = 0.15;
     /** Use below which nothing waits: there a change wins nothing, whatever part it takes off. */
-    private static final double LEAST_USE = 0.5;
+    private static final double MIN_UTILIZATION = 0.5;
 
     /**
      * Seconds in which a peak of the places asked for is mostly forgotten: longer than blocks of a mix last. Prompts
@@ -39,10 +39,10 @@
      * are refused. Without it one of four engines was left to generate 2 s before a burst of long answers, and a third
      * of all requests were refused in the 14 s after it; with it a ninth (one play each).
      */
-    private static final double PEAK_SECONDS = 16;
+    private static final double PEAK_DECAY_SECONDS = 16;
 
     /** Part of an engine's places that may be taken. */
-    private static final double USABLE_PLACES = 0.85;
+    private static final double USABLE_SLOT_SHARE = 0.85;
 
     /**
      * Seconds after the first work offered until which caches are cold and what engines take is not learnt yet, so that
@@ -53,91 +53,91 @@
      * Seconds of it that forecasts leave out: in the first ones after a restart of everything, reading looked three
      * times what it was, and forecasts showed it for 15 s.
      */
-    private static final int COLD_SECONDS = 4;
+    private static final int COLD_START_SECONDS = 4;
 
-    private final double placesOfEngine;
-    private DemandForecast reading = DemandForecast.of(MEMORY_SECONDS);
-    private DemandForecast places = DemandForecast.of(MEMORY_SECONDS);
-    private RecentPeak generating = RecentPeak.of(PEAK_SECONDS);
-    private double startedAt = -1;
-    private String basis = "";
+    private final double usableSlotsPerEngine;
+    private DemandForecast prefillForecast = DemandForecast.of(SMOOTHING_SECONDS);
+    private DemandForecast slotForecast = DemandForecast.of(SMOOTHING_SECONDS);
+    private DecayingPeak decodeLoad = DecayingPeak.of(PEAK_DECAY_SECONDS);
+    private double firstDemandAt = -1;
+    private String lastInputs = "";
 
-    private BalancedPlanner(double placesOfEngine) {
-        this.placesOfEngine = placesOfEngine;
+    private BalancedPlanner(double usableSlotsPerEngine) {
+        this.usableSlotsPerEngine = usableSlotsPerEngine;
     }
 
     /**
      * Makes a planner that has seen nothing. It takes demands in microseconds: of an engine that only reads prompts,
      * and of a place of one that generates.
      *
-     * @param places requests that one engine runs at once
+     * @param slotsPerEngine requests that one engine runs at once
      * @return the planner
      */
-    public static BalancedPlanner of(int places) {
-        return new BalancedPlanner(USABLE_PLACES * Math.max(1, places));
+    public static BalancedPlanner of(int slotsPerEngine) {
+        return new BalancedPlanner(USABLE_SLOT_SHARE * Math.max(1, slotsPerEngine));
     }
 
     @Override
-    public List<RoleChange> plan(long now, List<EngineView> engines, Demand demand) {
-        double seconds = now / NANOS_PER_SECOND;
-        observe(seconds, demand);
-        basis = basisOf(engines);
-        if (startedAt < 0 || seconds - startedAt < WARM_UP_SECONDS || engines.size() < 2) {
+    public List<RoleChange> plan(long now, List<EngineSnapshot> engines, CumulativeDemand demand) {
+        double nowSeconds = now / NANOS_PER_SECOND;
+        observe(nowSeconds, demand);
+        lastInputs = describeInputs(engines);
+        if (firstDemandAt < 0 || nowSeconds - firstDemandAt < WARM_UP_SECONDS || engines.size() < 2) {
             return List.of();
         }
-        int present = readers(engines);
-        int wanted = best(present, engines.size());
+        int present = prefillEngines(engines);
+        int wanted = bestPrefillEngines(present, engines.size());
         if (wanted == present) {
             return List.of();
         }
         Role from = wanted > present ? Role.ROLE_DECODE : Role.ROLE_PREFILL;
         Role to = wanted > present ? Role.ROLE_PREFILL : Role.ROLE_DECODE;
-        return change(engines, from, to).stream().toList();
+        return changeIdlest(engines, from, to).stream().toList();
     }
 
     @Override
-    public String basis() {
-        return basis;
+    public String lastInputs() {
+        return lastInputs;
     }
 
-    private String basisOf(List<EngineView> engines) {
-        int readers = readers(engines);
+    private String describeInputs(List<EngineSnapshot> engines) {
+        int prefillEngines = prefillEngines(engines);
         return String.format(
                 Locale.ROOT,
                 "reading=%.2f generating=%.2f peak=%.2f readers=%d generators=%d",
-                reading(),
-                generating.last(),
-                generating.peak(),
-                readers,
-                engines.size() - readers);
+                prefillLoad(),
+                decodeLoad.last(),
+                decodeLoad.peak(),
+                prefillEngines,
+                engines.size() - prefillEngines);
     }
 
-    private static int readers(List<EngineView> engines) {
+    private static int prefillEngines(List<EngineSnapshot> engines) {
         return (int) engines.stream()
                 .filter(engine -> engine.role() == Role.ROLE_PREFILL)
                 .count();
     }
 
-    private void observe(double seconds, Demand demand) {
-        startedAt = startedAt < 0 && demand.prefill() + demand.decode() > 0 ? seconds : startedAt;
-        if (seconds - startedAt < COLD_SECONDS) {
-            reading = DemandForecast.of(MEMORY_SECONDS);
-            places = DemandForecast.of(MEMORY_SECONDS);
-            generating = RecentPeak.of(PEAK_SECONDS);
+    private void observe(double nowSeconds, CumulativeDemand demand) {
+        firstDemandAt = firstDemandAt < 0 && demand.prefill() + demand.decode() > 0 ? nowSeconds : firstDemandAt;
+        if (nowSeconds - firstDemandAt < COLD_START_SECONDS) {
+            prefillForecast = DemandForecast.of(SMOOTHING_SECONDS);
+            slotForecast = DemandForecast.of(SMOOTHING_SECONDS);
+            decodeLoad = DecayingPeak.of(PEAK_DECAY_SECONDS);
         }
-        reading.observe(seconds, demand.prefill());
-        places.observe(seconds, demand.decode());
-        generating.observe(seconds, places.ahead(0) / MICROS_PER_SECOND / placesOfEngine);
+        prefillForecast.observe(nowSeconds, demand.prefill());
+        slotForecast.observe(nowSeconds, demand.decode());
+        decodeLoad.observe(nowSeconds, slotForecast.rateAhead(0) / MICROS_PER_SECOND / usableSlotsPerEngine);
     }
 
     /** The number of engines that read, one more or less than there are if that gains enough. */
-    private int best(int present, int engines) {
-        double now = use(present, engines);
-        double more = use(present + 1, engines);
-        double less = use(present - 1, engines);
-        double least = Math.min(more, less);
-        double gain = now > 1 ? LEAST_GAIN_OVERLOADED : LEAST_GAIN;
-        boolean pays = now > LEAST_USE && least < (1 - gain) * now;
+    private int bestPrefillEngines(int present, int engines) {
+        double current = utilization(present, engines);
+        double more = utilization(present + 1, engines);
+        double less = utilization(present - 1, engines);
+        double lowest = Math.min(more, less);
+        double minGain = current > 1 ? MIN_GAIN_OVERLOADED : MIN_GAIN;
+        boolean pays = current > MIN_UTILIZATION && lowest < (1 - minGain) * current;
         if (!pays) {
             return present;
         }
@@ -145,23 +145,23 @@
     }
 
     /** The use of the busier role, as a part of what it can do. */
-    private double use(int reads, int engines) {
-        if (reads < 1 || reads >= engines) {
+    private double utilization(int prefillEngines, int engines) {
+        if (prefillEngines < 1 || prefillEngines >= engines) {
             return Double.MAX_VALUE;
         }
-        return Math.max(reading() / reads, generating.peak() / (engines - reads));
+        return Math.max(prefillLoad() / prefillEngines, decodeLoad.peak() / (engines - prefillEngines));
     }
 
     /** Reading that is asked for, in engines. */
-    private double reading() {
-        return reading.ahead(0) / MICROS_PER_SECOND;
+    private double prefillLoad() {
+        return prefillForecast.rateAhead(0) / MICROS_PER_SECOND;
     }
 
     /** The engine with the fewest streams: it is free soonest. */
-    private static Optional<RoleChange> change(List<EngineView> engines, Role from, Role to) {
+    private static Optional<RoleChange> changeIdlest(List<EngineSnapshot> engines, Role from, Role to) {
         return engines.stream()
-                .filter(engine -> engine.role() == from && engine.running() != Integer.MAX_VALUE)
-                .min((left, right) -> Integer.compare(left.running(), right.running()))
+                .filter(engine -> engine.role() == from && engine.runningStreams() != Integer.MAX_VALUE)
+                .min((left, right) -> Integer.compare(left.runningStreams(), right.runningStreams()))
                 .map(engine -> new RoleChange(engine.name(), to));
     }
 }
--- a/src/main/java/org/cuminshelf/planning/Demand.java
+++ b/src/main/java/org/cuminshelf/planning/CumulativeDemand.java
@@ -7,4 +7,4 @@
  * @param prefill reading of prompts, as far as they are not cached
  * @param decode  generation
  */
-public record Demand(long prefill, long decode) {}
+public record CumulativeDemand(long prefill, long decode) {}
--- a/src/main/java/org/cuminshelf/planning/SteadyPlanner.java
+++ b/src/main/java/org/cuminshelf/planning/DebouncingPlanner.java
@@ -16,32 +16,32 @@
  * soon as it is wanted twice in a row. With two of three engines that generate gone, waiting as for a swing took 11 s,
  * and 990 calls were refused for want of a place.
  */
-public final class SteadyPlanner implements RolePlanner {
+public final class DebouncingPlanner implements RolePlanner {
 
     /** Times sooner that a change is let through where a role has no engine at all: nothing is served until then. */
-    private static final int SOONER = 4;
+    private static final int EMPTY_ROLE_HOLD_DIVISOR = 4;
 
-    private final RolePlanner planner;
-    private final long patience;
-    private Optional<Role> wanted = Optional.empty();
-    private long since;
+    private final RolePlanner delegate;
+    private final long holdNanos;
+    private Optional<Role> pendingRole = Optional.empty();
+    private long pendingSince;
     /** Until when what is wanted is taken to be wanted for engines that left. */
-    private long hurriedUntil = Long.MIN_VALUE;
+    private long noHoldUntil = Long.MIN_VALUE;
 
-    private SteadyPlanner(RolePlanner planner, long patience) {
-        this.planner = planner;
-        this.patience = patience;
+    private DebouncingPlanner(RolePlanner delegate, long holdNanos) {
+        this.delegate = delegate;
+        this.holdNanos = holdNanos;
     }
 
     /**
      * Steadies a planner.
      *
-     * @param planner  decides
-     * @param patience nanoseconds for which it must want the same
+     * @param delegate  decides
+     * @param holdNanos nanoseconds for which it must want the same
      * @return the steady planner
      */
-    public static SteadyPlanner of(RolePlanner planner, long patience) {
-        return new SteadyPlanner(planner, patience);
+    public static DebouncingPlanner of(RolePlanner delegate, long holdNanos) {
+        return new DebouncingPlanner(delegate, holdNanos);
     }
 
     /**
@@ -49,13 +49,13 @@
      *
      * @return the role, or nothing where all engines are to stay as they are
      */
-    public Optional<Role> wanted() {
-        return wanted;
+    public Optional<Role> pendingRole() {
+        return pendingRole;
     }
 
     @Override
-    public String basis() {
-        return planner.basis();
+    public String lastInputs() {
+        return delegate.lastInputs();
     }
 
     /**
@@ -66,8 +66,8 @@
      * @param engines the engines that serve one model
      * @param demand  work offered since the start
      */
-    public void observe(long now, List<EngineView> engines, Demand demand) {
-        look(now, engines, demand);
+    public void observe(long now, List<EngineSnapshot> engines, CumulativeDemand demand) {
+        evaluate(now, engines, demand);
     }
 
     /**
@@ -75,8 +75,8 @@
      *
      * @param now the time in nanoseconds
      */
-    public void engineLeft(long now) {
-        hurriedUntil = now + patience;
+    public void onEngineLost(long now) {
+        noHoldUntil = now + holdNanos;
     }
 
     /**
@@ -84,39 +84,40 @@
      *
      * @param now the time in nanoseconds
      */
-    public void ordered(long now) {
-        since = now;
-        hurriedUntil = Long.MIN_VALUE;
+    public void onChangeOrdered(long now) {
+        pendingSince = now;
+        noHoldUntil = Long.MIN_VALUE;
     }
 
     @Override
-    public List<RoleChange> plan(long now, List<EngineView> engines, Demand demand) {
-        Optional<RoleChange> change = look(now, engines, demand);
+    public List<RoleChange> plan(long now, List<EngineSnapshot> engines, CumulativeDemand demand) {
+        Optional<RoleChange> change = evaluate(now, engines, demand);
         // What is wanted since this look only may not be wanted at the next.
-        if (change.isEmpty() || now == since || now - since < needed(now, engines)) {
+        if (change.isEmpty() || now == pendingSince || now - pendingSince < requiredHoldNanos(now, engines)) {
             return List.of();
         }
-        ordered(now);
+        onChangeOrdered(now);
         return List.of(change.get());
     }
 
-    private Optional<RoleChange> look(long now, List<EngineView> engines, Demand demand) {
+    private Optional<RoleChange> evaluate(long now, List<EngineSnapshot> engines, CumulativeDemand demand) {
         Optional<RoleChange> change =
-                planner.plan(now, engines, demand).stream().findFirst();
+                delegate.plan(now, engines, demand).stream().findFirst();
         Optional<Role> role = change.map(RoleChange::role);
-        if (!role.equals(wanted)) {
-            wanted = role;
-            since = now;
+        if (!role.equals(pendingRole)) {
+            pendingRole = role;
+            pendingSince = now;
         }
         return change;
     }
 
     /** For how long the same must have been wanted, in nanoseconds. */
-    private long needed(long now, List<EngineView> engines) {
-        if (now < hurriedUntil) {
+    private long requiredHoldNanos(long now, List<EngineSnapshot> engines) {
+        if (now < noHoldUntil) {
             return 0;
         }
-        boolean bothRoles = engines.stream().map(EngineView::role).distinct().count() > 1;
-        return bothRoles ? patience : patience / SOONER;
+        boolean bothRoles =
+                engines.stream().map(EngineSnapshot::role).distinct().count() > 1;
+        return bothRoles ? holdNanos : holdNanos / EMPTY_ROLE_HOLD_DIVISOR;
     }
 }
--- a/src/main/java/org/cuminshelf/planning/DemandForecast.java
+++ b/src/main/java/org/cuminshelf/planning/DemandForecast.java
@@ -9,59 +9,59 @@
     /** Times the memory of the fast mean that the slow one has. */
     private static final double SLOW_FACTOR = 3;
 
-    private static final double MOST_AHEAD_SECONDS = 15;
+    private static final double MAX_AHEAD_SECONDS = 15;
 
     private final double fastSeconds;
     private final double slowSeconds;
     private boolean started;
     private long lastCount;
-    private double lastAt;
-    private double observed;
-    private double fast;
-    private double slow;
+    private double lastSeconds;
+    private double observedSeconds;
+    private double fastMean;
+    private double slowMean;
 
-    private DemandForecast(double memorySeconds) {
-        this.fastSeconds = memorySeconds;
-        this.slowSeconds = SLOW_FACTOR * memorySeconds;
+    private DemandForecast(double smoothingSeconds) {
+        this.fastSeconds = smoothingSeconds;
+        this.slowSeconds = SLOW_FACTOR * smoothingSeconds;
     }
 
     /**
      * Begins a forecast.
      *
-     * @param memorySeconds seconds after which a change of the rate is mostly believed
+     * @param smoothingSeconds seconds after which a change of the rate is mostly believed
      * @return a forecast that has seen nothing yet
      */
-    static DemandForecast of(double memorySeconds) {
-        return new DemandForecast(memorySeconds);
+    static DemandForecast of(double smoothingSeconds) {
+        return new DemandForecast(smoothingSeconds);
     }
 
-    void observe(double seconds, long count) {
+    void observe(double nowSeconds, long count) {
         if (!started) {
             started = true;
-            lastAt = seconds;
+            lastSeconds = nowSeconds;
             lastCount = count;
             return;
         }
-        double elapsed = seconds - lastAt;
-        if (elapsed <= 0) {
+        double elapsedSeconds = nowSeconds - lastSeconds;
+        if (elapsedSeconds <= 0) {
             return;
         }
-        double rate = Math.max(0, count - lastCount) / elapsed;
-        observed += elapsed;
-        fast += (rate - fast) * weight(elapsed, fastSeconds);
-        slow += (rate - slow) * weight(elapsed, slowSeconds);
-        lastAt = seconds;
+        double rate = Math.max(0, count - lastCount) / elapsedSeconds;
+        observedSeconds += elapsedSeconds;
+        fastMean += (rate - fastMean) * smoothingWeight(elapsedSeconds, fastSeconds);
+        slowMean += (rate - slowMean) * smoothingWeight(elapsedSeconds, slowSeconds);
+        lastSeconds = nowSeconds;
         lastCount = count;
     }
 
     /** At first each observation weighs the same: a swing at the start is not to stand for the mix. */
-    private double weight(double elapsed, double memory) {
-        return Math.max(elapsed / observed, 1 - Math.exp(-elapsed / memory));
+    private double smoothingWeight(double elapsedSeconds, double smoothingSeconds) {
+        return Math.max(elapsedSeconds / observedSeconds, 1 - Math.exp(-elapsedSeconds / smoothingSeconds));
     }
 
     /** The rate expected so many seconds ahead. */
-    double ahead(double seconds) {
-        double slope = (fast - slow) / (slowSeconds - fastSeconds);
-        return Math.max(0, fast + slope * Math.min(seconds, MOST_AHEAD_SECONDS));
+    double rateAhead(double seconds) {
+        double slope = (fastMean - slowMean) / (slowSeconds - fastSeconds);
+        return Math.max(0, fastMean + slope * Math.min(seconds, MAX_AHEAD_SECONDS));
     }
 }
--- a/src/main/java/org/cuminshelf/planning/PlannerSettings.java
+++ b/src/main/java/org/cuminshelf/planning/PlannerSettings.java
@@ -6,29 +6,29 @@
 /**
  * What a planner goes by.
  *
- * @param prefillSpeed  prompt tokens a prefill engine takes in a second
- * @param decodeSpeed   output tokens a decode engine gives in a second
- * @param changeSeconds how long a change takes an engine away, without its draining
- * @param horizon       seconds ahead over which a change must pay
- * @param memorySeconds seconds after which a change of the mix is mostly believed
- * @param weight        how heavily a change weighs; 1 counts its lost capacity once
- * @param prefillFloor  fewest prefill engines
- * @param decodeFloor   fewest decode engines
+ * @param prefillTokensPerSecond  prompt tokens a prefill engine takes in a second
+ * @param decodeTokensPerSecond   output tokens a decode engine gives in a second
+ * @param roleChangeSeconds how long a change takes an engine away, without its draining
+ * @param horizonSeconds       seconds ahead over which a change must pay
+ * @param smoothingSeconds seconds after which a change of the mix is mostly believed
+ * @param roleChangeWeight        how heavily a change weighs; 1 counts its lost capacity once
+ * @param minPrefillEngines  fewest prefill engines
+ * @param minDecodeEngines   fewest decode engines
  */
 public record PlannerSettings(
-        double prefillSpeed,
-        double decodeSpeed,
-        double changeSeconds,
-        double horizon,
-        double memorySeconds,
-        double weight,
-        int prefillFloor,
-        int decodeFloor) {
+        double prefillTokensPerSecond,
+        double decodeTokensPerSecond,
+        double roleChangeSeconds,
+        double horizonSeconds,
+        double smoothingSeconds,
+        double roleChangeWeight,
+        int minPrefillEngines,
+        int minDecodeEngines) {
 
-    private static final double DEFAULT_CHANGE_SECONDS = 5;
-    private static final double DEFAULT_HORIZON = 60;
+    private static final double DEFAULT_ROLE_CHANGE_SECONDS = 5;
+    private static final double DEFAULT_HORIZON_SECONDS = 60;
     /** A mix that moves within minutes is followed within seconds. */
-    private static final double DEFAULT_MEMORY = 8;
+    private static final double DEFAULT_SMOOTHING_SECONDS = 8;
 
     /**
      * Settings from the operators' folder.
@@ -41,9 +41,9 @@
         return new PlannerSettings(
                 model.prefillSpeed(),
                 model.decodeSpeed(),
-                planning.changeTime().map(time -> time.toMillis() / 1e3).orElse(DEFAULT_CHANGE_SECONDS),
-                planning.horizon().map(time -> time.toMillis() / 1e3).orElse(DEFAULT_HORIZON),
-                DEFAULT_MEMORY,
+                planning.changeTime().map(duration -> duration.toMillis() / 1e3).orElse(DEFAULT_ROLE_CHANGE_SECONDS),
+                planning.horizon().map(duration -> duration.toMillis() / 1e3).orElse(DEFAULT_HORIZON_SECONDS),
+                DEFAULT_SMOOTHING_SECONDS,
                 planning.roleChangeWeight().orElse(1.0),
                 planning.prefillFloor().orElse(1),
                 planning.decodeFloor().orElse(1));
--- a/src/main/java/org/cuminshelf/planning/RolePlanner.java
+++ b/src/main/java/org/cuminshelf/planning/RolePlanner.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** Decides which engines change their role. All but {@link PayingPlanner} are baselines to measure against. */
+/** Decides which engines change their role. All but {@link CostAwarePlanner} are baselines to measure against. */
 public interface RolePlanner {
 
     /**
@@ -13,14 +13,14 @@
      * @param demand  work offered since the start
      * @return the changes wanted now, often none
      */
-    List<RoleChange> plan(long now, List<EngineView> engines, Demand demand);
+    List<RoleChange> plan(long now, List<EngineSnapshot> engines, CumulativeDemand demand);
 
     /**
      * Tells on what the last decision rested.
      *
      * @return names and values for a log line, such as {@code reading=1.2}; empty where nothing is told
      */
-    default String basis() {
+    default String lastInputs() {
         return "";
     }
 
--- a/src/main/java/org/cuminshelf/planning/ThresholdPlanner.java
+++ b/src/main/java/org/cuminshelf/planning/ThresholdPlanner.java
@@ -11,10 +11,10 @@
 public final class ThresholdPlanner implements RolePlanner {
 
     private static final double NANOS_PER_SECOND = 1e9;
-    private static final double BUSY = 0.8;
+    private static final double BUSY_UTILIZATION = 0.8;
 
     private final PlannerSettings settings;
-    private Demand last = new Demand(0, 0);
+    private CumulativeDemand lastDemand = new CumulativeDemand(0, 0);
     private long lastAt;
 
     private ThresholdPlanner(PlannerSettings settings) {
@@ -32,39 +32,43 @@
     }
 
     @Override
-    public List<RoleChange> plan(long now, List<EngineView> engines, Demand demand) {
-        double elapsed = (now - lastAt) / NANOS_PER_SECOND;
-        double promptRate = (demand.prefill() - last.prefill()) / elapsed;
-        double outputRate = (demand.decode() - last.decode()) / elapsed;
+    public List<RoleChange> plan(long now, List<EngineSnapshot> engines, CumulativeDemand demand) {
+        double elapsedSeconds = (now - lastAt) / NANOS_PER_SECOND;
+        double promptRate = (demand.prefill() - lastDemand.prefill()) / elapsedSeconds;
+        double outputRate = (demand.decode() - lastDemand.decode()) / elapsedSeconds;
         boolean first = lastAt == 0;
-        last = demand;
+        lastDemand = demand;
         lastAt = now;
         long prefill = count(engines, Role.ROLE_PREFILL);
         long decode = count(engines, Role.ROLE_DECODE);
         if (first || prefill == 0 || decode == 0) {
             return List.of();
         }
-        double prefillUse = promptRate / settings.prefillSpeed() / prefill;
-        double decodeUse = outputRate / settings.decodeSpeed() / decode;
-        if (prefillUse > BUSY && prefillUse > decodeUse && decode > settings.decodeFloor()) {
-            return one(engines, Role.ROLE_DECODE, Role.ROLE_PREFILL);
+        double prefillUtilization = promptRate / settings.prefillTokensPerSecond() / prefill;
+        double decodeUtilization = outputRate / settings.decodeTokensPerSecond() / decode;
+        if (prefillUtilization > BUSY_UTILIZATION
+                && prefillUtilization > decodeUtilization
+                && decode > settings.minDecodeEngines()) {
+            return changeIdlest(engines, Role.ROLE_DECODE, Role.ROLE_PREFILL);
         }
-        if (decodeUse > BUSY && decodeUse > prefillUse && prefill > settings.prefillFloor()) {
-            return one(engines, Role.ROLE_PREFILL, Role.ROLE_DECODE);
+        if (decodeUtilization > BUSY_UTILIZATION
+                && decodeUtilization > prefillUtilization
+                && prefill > settings.minPrefillEngines()) {
+            return changeIdlest(engines, Role.ROLE_PREFILL, Role.ROLE_DECODE);
         }
         return List.of();
     }
 
-    private static long count(List<EngineView> engines, Role role) {
+    private static long count(List<EngineSnapshot> engines, Role role) {
         return engines.stream()
-                .filter(engine -> engine.role() == role && !engine.changing())
+                .filter(engine -> engine.role() == role && !engine.changingRole())
                 .count();
     }
 
-    private static List<RoleChange> one(List<EngineView> engines, Role from, Role to) {
+    private static List<RoleChange> changeIdlest(List<EngineSnapshot> engines, Role from, Role to) {
         return engines.stream()
-                .filter(engine -> engine.role() == from && !engine.changing())
-                .min(Comparator.comparingInt(EngineView::running))
+                .filter(engine -> engine.role() == from && !engine.changingRole())
+                .min(Comparator.comparingInt(EngineSnapshot::runningStreams))
                 .map(engine -> List.of(new RoleChange(engine.name(), to)))
                 .orElse(List.of());
     }
--- a/src/main/java/org/cuminshelf/platform/PlatformProtocol.java
+++ b/src/main/java/org/cuminshelf/platform/PlatformProtocol.java
@@ -12,8 +12,8 @@
 import java.util.OptionalLong;
 import java.util.Set;
 import java.util.regex.Pattern;
-import org.cuminshelf.backpressure.Demands;
-import org.cuminshelf.backpressure.StatedLimit;
+import org.cuminshelf.backpressure.AdvertisedLimit;
+import org.cuminshelf.backpressure.BackpressureSignals;
 import org.cuminshelf.direct.AnswerFacts;
 import org.cuminshelf.direct.AttemptPlan;
 import org.cuminshelf.direct.CacheHandle;
@@ -164,7 +164,8 @@
                 status == MISDIRECTED || headers.contains(Headers.NOT_EXECUTED),
                 Optional.ofNullable(headers.get(Headers.ANSWERING_START)),
                 headers.contains(Headers.SEAL),
-                new Demands(limit(headers), rest(status, headers), "1".equals(headers.get(Headers.LEAVING))));
+                new BackpressureSignals(
+                        limit(headers), rest(status, headers), "1".equals(headers.get(Headers.LEAVING))));
     }
 
     /** Only a refusal asks for rest; elsewhere the header means something else, or nothing. */
@@ -181,16 +182,16 @@
         return Optional.of(Duration.ofMillis((long) Math.ceil(seconds * MILLIS_PER_SECOND)));
     }
 
-    private static StatedLimit limit(HttpFields headers) {
+    private static AdvertisedLimit limit(HttpFields headers) {
         List<String> stated = headers.getValuesList(Headers.RATE_LIMIT);
         if (stated.isEmpty()) {
-            return new StatedLimit.Unlimited();
+            return new AdvertisedLimit.Unlimited();
         }
         if (stated.size() == 1 && DECIMAL.matcher(stated.getFirst()).matches()) {
-            return new StatedLimit.PerSecond(Double.parseDouble(stated.getFirst()));
+            return new AdvertisedLimit.PerSecond(Double.parseDouble(stated.getFirst()));
         }
         String text = stated.toString();
-        return new StatedLimit.Unreadable(text.substring(0, Math.min(text.length(), MOST_SHOWN)));
+        return new AdvertisedLimit.Malformed(text.substring(0, Math.min(text.length(), MOST_SHOWN)));
     }
 
     @Override
--- a/src/main/java/org/cuminshelf/poison/ChangeNumbers.java
+++ b/src/main/java/org/cuminshelf/poison/ChangeSequence.java
@@ -1,7 +1,7 @@
 package org.cuminshelf.poison;
 
 /** Numbers changes, so that a listener can be told what changed since it last heard. */
-public interface ChangeNumbers {
+public interface ChangeSequence {
 
     /**
      * Takes the next number.
@@ -17,7 +17,7 @@
      * @param number the number
      * @return the numbers
      */
-    static ChangeNumbers always(long number) {
+    static ChangeSequence constant(long number) {
         return urgent -> number;
     }
 }
--- a/src/main/java/org/cuminshelf/poison/Crash.java
+++ b/src/main/java/org/cuminshelf/poison/CrashRecord.java
@@ -6,15 +6,15 @@
 import org.cuminshelf.message.Involvement;
 
 /** One start of an upstream that crashed, and the requests that were there. */
-final class Crash {
+final class CrashRecord {
 
     /**
      * A request that was there.
      *
      * @param involvement how far it had come
-     * @param changedAt   number of the last change
+     * @param changeNumber   number of the last change
      */
-    record Run(Involvement involvement, long changedAt) {
+    record Run(Involvement involvement, long changeNumber) {
 
         boolean isCleared() {
             return involvement == Involvement.CLEARED;
@@ -24,19 +24,19 @@
     final String upstream;
     final Map<Fingerprint, Run> runs = new LinkedHashMap<>();
     /** When it was first heard of, in nanoseconds. */
-    final long knownSince;
+    final long firstReportedAt;
     /** When a request was last added, in nanoseconds. */
-    long lastAddedAt;
+    long lastRequestAddedAt;
     /** Whether a request that is known to be poison was there. */
     boolean explained;
 
-    Crash(String upstream, long now) {
+    CrashRecord(String upstream, long now) {
         this.upstream = upstream;
-        this.knownSince = now;
-        this.lastAddedAt = now;
+        this.firstReportedAt = now;
+        this.lastRequestAddedAt = now;
     }
 
-    boolean holdsUncleared(Predicate<Fingerprint> wanted) {
-        return runs.entrySet().stream().anyMatch(run -> !run.getValue().isCleared() && wanted.test(run.getKey()));
+    boolean hasUncleared(Predicate<Fingerprint> predicate) {
+        return runs.entrySet().stream().anyMatch(run -> !run.getValue().isCleared() && predicate.test(run.getKey()));
     }
 }
--- a/src/main/java/org/cuminshelf/poison/CrashTable.java
+++ b/src/main/java/org/cuminshelf/poison/CrashTable.java
@@ -40,32 +40,33 @@
     /** Points from which a request is poison whatever else is known: five crashes just after it began. */
     private static final int CERTAIN_POINTS = 5 * JUST_BEGUN_POINTS;
     /**
-     * Other crashes without an explanation, within {@link #STORM}, for each of which one more crash is asked for. In a
-     * storm of crashes by chance, one each two seconds at four engines, one harmless request in some 2,200 that were at
-     * a crash was at three just after it began; with this, see the test, fewer than one in 10,000 are refused.
+     * Other crashes without an explanation, within {@link #STORM_WINDOW_NANOS}, for each of which one more crash is
+     * asked for. In a storm of crashes by chance, one each two seconds at four engines, one harmless request in some
+     * 2,200 that were at a crash was at three just after it began; with this, see the test, fewer than one in 10,000
+     * are refused.
      */
-    private static final int OTHERS_FOR_ONE_MORE = 3;
+    private static final int UNRELATED_CRASHES_PER_EXTRA_CRASH = 3;
 
-    private static final long STORM = Durations.nanos(30_000);
+    private static final long STORM_WINDOW_NANOS = Durations.nanos(30_000);
     /**
      * Quiet after which all that were at a crash have been told of: connections break within 20 ms, a process tells of
      * it at once, and whoever hears passes it on within 20 ms. It is a tenth of the shortest time in which all entries
      * must know a poison request.
      */
-    private static final long SETTLED = Durations.nanos(300);
+    private static final long SETTLE_NANOS = Durations.nanos(300);
     /** Crashes kept at the most: five days of 24 failed VMs. One takes up to 10 KB, with 128 requests. */
-    private static final int MOST_CRASHES = 128;
+    private static final int MAX_CRASHES = 128;
     /** Requests kept of one crash at the most: twice the places of the engines of today. */
-    private static final int MOST_RUNS = 128;
+    private static final int MAX_REQUESTS_PER_CRASH = 128;
 
-    private final Map<String, Crash> crashes = new LinkedHashMap<>();
-    private final Map<Fingerprint, Set<Crash>> byRequest = new HashMap<>();
+    private final Map<String, CrashRecord> crashes = new LinkedHashMap<>();
+    private final Map<Fingerprint, Set<CrashRecord>> byRequest = new HashMap<>();
     /** Requests with enough points to be poison, perhaps fewer by now. */
     private final Set<Fingerprint> candidates = new LinkedHashSet<>();
 
     private long nextCheck = Core.NEVER;
     /** Number of the newest change. */
-    private long newest;
+    private long lastChangeNumber;
 
     boolean isEmpty() {
         return crashes.isEmpty();
@@ -76,68 +77,68 @@
     }
 
     /** Notes that a request was at a start that crashed. Returns whether that is news. */
-    boolean note(long now, String upstream, Fingerprint request, Involvement involvement, ChangeNumbers numbers) {
-        Crash crash = crashes.computeIfAbsent(upstream, key -> new Crash(key, now));
-        Crash.Run before = crash.runs.get(request);
+    boolean record(long now, String upstream, Fingerprint request, Involvement involvement, ChangeSequence sequence) {
+        CrashRecord crash = crashes.computeIfAbsent(upstream, key -> new CrashRecord(key, now));
+        CrashRecord.Run before = crash.runs.get(request);
         if (before != null && before.involvement().getNumber() >= involvement.getNumber()) {
             return false;
         }
-        boolean full = before == null && crash.runs.size() >= MOST_RUNS;
-        if (full && (involvement != Involvement.JUST_BEGUN || !makeRoom(crash))) {
+        boolean full = before == null && crash.runs.size() >= MAX_REQUESTS_PER_CRASH;
+        if (full && (involvement != Involvement.JUST_BEGUN || !evictUnderWay(crash))) {
             return false;
         }
         boolean suspect = involvement != Involvement.CLEARED;
-        long number = numbers.next(suspect);
-        crash.runs.put(request, new Crash.Run(involvement, number));
-        newest = Math.max(newest, number);
+        long changeNumber = sequence.next(suspect);
+        crash.runs.put(request, new CrashRecord.Run(involvement, changeNumber));
+        lastChangeNumber = Math.max(lastChangeNumber, changeNumber);
         byRequest.computeIfAbsent(request, key -> new LinkedHashSet<>()).add(crash);
         if (suspect) {
-            crash.lastAddedAt = now;
+            crash.lastRequestAddedAt = now;
         } else if (!candidates.isEmpty()) {
             nextCheck = now;
         }
         if (points(request) >= POISON_POINTS) {
             candidates.add(request);
-            nextCheck = Math.min(nextCheck, now + SETTLED);
+            nextCheck = Math.min(nextCheck, now + SETTLE_NANOS);
         }
-        dropLeast();
+        evictLeastInformative();
         return true;
     }
 
     /** Makes room for one more request that had just begun, by forgetting one that had run for a while. */
-    private boolean makeRoom(Crash crash) {
-        Optional<Fingerprint> forgotten = crash.runs.entrySet().stream()
+    private boolean evictUnderWay(CrashRecord crash) {
+        Optional<Fingerprint> evicted = crash.runs.entrySet().stream()
                 .filter(run -> run.getValue().involvement() == Involvement.UNDER_WAY)
                 .map(Map.Entry::getKey)
                 .findFirst();
-        forgotten.ifPresent(request -> {
+        evicted.ifPresent(request -> {
             crash.runs.remove(request);
-            forget(request, crash);
+            unlink(request, crash);
         });
-        return forgotten.isPresent();
+        return evicted.isPresent();
     }
 
     /** A request ended well: it caused none of the crashes that are known. Returns whether that is news. */
-    boolean clear(long now, Fingerprint request, ChangeNumbers numbers) {
+    boolean clear(long now, Fingerprint request, ChangeSequence sequence) {
         boolean urgent = points(request) >= POISON_POINTS;
-        boolean news = false;
-        for (Crash crash : List.copyOf(byRequest.getOrDefault(request, Set.of()))) {
-            news |= note(now, crash.upstream, request, Involvement.CLEARED, suspect -> numbers.next(urgent));
+        boolean changed = false;
+        for (CrashRecord crash : List.copyOf(byRequest.getOrDefault(request, Set.of()))) {
+            changed |= record(now, crash.upstream, request, Involvement.CLEARED, suspect -> sequence.next(urgent));
         }
-        return news;
+        return changed;
     }
 
     /** Points of a request, from crashes that no request known to be poison explains. */
     int points(Fingerprint request) {
         int points = 0;
-        for (Crash crash : byRequest.getOrDefault(request, Set.of())) {
+        for (CrashRecord crash : byRequest.getOrDefault(request, Set.of())) {
             points += crash.explained ? 0 : points(crash, request);
         }
         return points;
     }
 
-    private static int points(Crash crash, Fingerprint request) {
-        Crash.Run run = crash.runs.get(request);
+    private static int points(CrashRecord crash, Fingerprint request) {
+        CrashRecord.Run run = crash.runs.get(request);
         if (run == null) {
             return 0;
         }
@@ -149,7 +150,7 @@
     }
 
     /** The starts that crashed under a request, unless it was cleared since. */
-    List<String> crashesUnder(Fingerprint request) {
+    List<String> crashedUpstreams(Fingerprint request) {
         return byRequest.getOrDefault(request, Set.of()).stream()
                 .filter(crash -> points(crash, request) > 0)
                 .map(crash -> crash.upstream)
@@ -157,26 +158,26 @@
     }
 
     /** Requests that were at any crash, cleared ones among them. */
-    int requests() {
+    int requestCount() {
         return byRequest.size();
     }
 
     /** Requests that may have caused a crash and weren't cleared. */
-    long suspects() {
+    long suspectCount() {
         return byRequest.keySet().stream()
                 .filter(request -> points(request) > 0)
                 .count();
     }
 
     /** Looks anew which crashes a request explains, after it was found to be poison or was released. */
-    void explain(Fingerprint request, Predicate<Fingerprint> isPoison) {
-        for (Crash crash : byRequest.getOrDefault(request, Set.of())) {
-            crash.explained = crash.holdsUncleared(isPoison);
+    void updateExplained(Fingerprint request, Predicate<Fingerprint> isPoison) {
+        for (CrashRecord crash : byRequest.getOrDefault(request, Set.of())) {
+            crash.explained = crash.hasUncleared(isPoison);
         }
     }
 
     /** Whether a request has the points of poison and who else was there may not be known yet. */
-    boolean isUnsettled(long now, Fingerprint request) {
+    boolean isSettling(long now, Fingerprint request) {
         return candidates.contains(request) && points(request) >= POISON_POINTS && now < settledAt(request);
     }
 
@@ -204,9 +205,9 @@
     }
 
     private long settledAt(Fingerprint request) {
-        return SETTLED
+        return SETTLE_NANOS
                 + byRequest.get(request).stream()
-                        .mapToLong(crash -> crash.lastAddedAt)
+                        .mapToLong(crash -> crash.lastRequestAddedAt)
                         .max()
                         .orElse(0);
     }
@@ -216,29 +217,31 @@
         if (points >= CERTAIN_POINTS) {
             return true;
         }
-        long needed = POISON_POINTS + othersLately(request) / OTHERS_FOR_ONE_MORE * JUST_BEGUN_POINTS;
-        return points >= needed && !hasCompanion(request);
+        long needed =
+                POISON_POINTS + recentUnrelatedCrashes(request) / UNRELATED_CRASHES_PER_EXTRA_CRASH * JUST_BEGUN_POINTS;
+        return points >= needed && !hasEquallySuspectRequest(request);
     }
 
     /** Crashes of late where this request was not, and that no known poison request explains. */
-    private long othersLately(Fingerprint request) {
-        Set<Crash> own = unexplained(request);
-        long since = own.stream().mapToLong(crash -> crash.knownSince).max().orElse(0) - STORM;
+    private long recentUnrelatedCrashes(Fingerprint request) {
+        Set<CrashRecord> own = unexplainedCrashes(request);
+        long since =
+                own.stream().mapToLong(crash -> crash.firstReportedAt).max().orElse(0) - STORM_WINDOW_NANOS;
         return crashes.values().stream()
-                .filter(crash -> !crash.explained && crash.knownSince >= since && !crash.runs.containsKey(request))
+                .filter(crash -> !crash.explained && crash.firstReportedAt >= since && !crash.runs.containsKey(request))
                 .count();
     }
 
     /** Whether another request was at all crashes of this one, and is as likely the cause. */
-    private boolean hasCompanion(Fingerprint request) {
-        Set<Crash> own = unexplained(request);
+    private boolean hasEquallySuspectRequest(Fingerprint request) {
+        Set<CrashRecord> own = unexplainedCrashes(request);
         int points = points(request);
         return own.iterator().next().runs.keySet().stream()
                 .filter(other -> !other.equals(request) && points(other) >= points)
-                .anyMatch(other -> unexplained(other).containsAll(own));
+                .anyMatch(other -> unexplainedCrashes(other).containsAll(own));
     }
 
-    private Set<Crash> unexplained(Fingerprint request) {
+    private Set<CrashRecord> unexplainedCrashes(Fingerprint request) {
         return byRequest.get(request).stream()
                 .filter(crash -> !crash.explained && points(crash, request) > 0)
                 .collect(Collectors.toCollection(LinkedHashSet::new));
@@ -249,28 +252,28 @@
      * crashes too; of equals the oldest. Guards against a flood of other crashes that pushes out what is known of a
      * poison request.
      */
-    private void dropLeast() {
-        if (crashes.size() <= MOST_CRASHES) {
+    private void evictLeastInformative() {
+        if (crashes.size() <= MAX_CRASHES) {
             return;
         }
         // Iteration is from the oldest, and the first of equals is taken. The newest is not weighed: it has just begun.
-        List<Crash> known = List.copyOf(crashes.values());
-        known.subList(0, known.size() - 1).stream()
-                .min(Comparator.comparingInt(this::weight))
-                .ifPresent(this::drop);
+        List<CrashRecord> oldestFirst = List.copyOf(crashes.values());
+        oldestFirst.subList(0, oldestFirst.size() - 1).stream()
+                .min(Comparator.comparingInt(this::maxPoints))
+                .ifPresent(this::evict);
     }
 
-    private int weight(Crash crash) {
+    private int maxPoints(CrashRecord crash) {
         return crash.runs.keySet().stream().mapToInt(this::points).max().orElse(0);
     }
 
-    private void drop(Crash crash) {
+    private void evict(CrashRecord crash) {
         crashes.remove(crash.upstream);
-        crash.runs.keySet().forEach(request -> forget(request, crash));
+        crash.runs.keySet().forEach(request -> unlink(request, crash));
     }
 
-    private void forget(Fingerprint request, Crash crash) {
-        Set<Crash> others = byRequest.get(request);
+    private void unlink(Fingerprint request, CrashRecord crash) {
+        Set<CrashRecord> others = byRequest.get(request);
         others.remove(crash);
         if (others.isEmpty()) {
             byRequest.remove(request);
@@ -279,25 +282,25 @@
     }
 
     /** What changed since a number. Each subscriber asks twice a second, mostly when nothing did: that costs little. */
-    List<UpstreamCrash> since(long changeNumber) {
-        if (changeNumber >= newest) {
+    List<UpstreamCrash> changedSince(long changeNumber) {
+        if (changeNumber >= lastChangeNumber) {
             return List.of();
         }
-        List<UpstreamCrash> news = new ArrayList<>();
-        for (Crash crash : crashes.values()) {
-            UpstreamCrash.Builder told = UpstreamCrash.newBuilder().setUpstream(crash.upstream);
+        List<UpstreamCrash> changed = new ArrayList<>();
+        for (CrashRecord crash : crashes.values()) {
+            UpstreamCrash.Builder builder = UpstreamCrash.newBuilder().setUpstream(crash.upstream);
             crash.runs.forEach((request, run) -> {
-                if (run.changedAt() > changeNumber) {
-                    told.addRuns(CrashedRun.newBuilder()
+                if (run.changeNumber() > changeNumber) {
+                    builder.addRuns(CrashedRun.newBuilder()
                             .setHigh(request.high())
                             .setLow(request.low())
                             .setInvolvement(run.involvement()));
                 }
             });
-            if (told.getRunsCount() > 0) {
-                news.add(told.build());
+            if (builder.getRunsCount() > 0) {
+                changed.add(builder.build());
             }
         }
-        return news;
+        return changed;
     }
 }
--- a/src/main/java/org/cuminshelf/poison/Fingerprint.java
+++ b/src/main/java/org/cuminshelf/poison/Fingerprint.java
@@ -17,7 +17,7 @@
 
     private static final LongTupleHashFunction HASH = LongTupleHashFunction.xx128();
     private static final int HEX_DIGITS = 16;
-    private static final int TEXT_DIGITS = 2 * HEX_DIGITS;
+    private static final int TEXT_LENGTH = 2 * HEX_DIGITS;
     /** Between parts that are hashed together; HTTP allows it in none of them. */
     private static final char SEPARATOR = '\n';
 
@@ -46,13 +46,13 @@
      * @return the fingerprint, or nothing if the text is none
      */
     public static Optional<Fingerprint> parse(String text) {
-        if (text.length() != TEXT_DIGITS) {
+        if (text.length() != TEXT_LENGTH) {
             return Optional.empty();
         }
         try {
             return Optional.of(new Fingerprint(
                     HexFormat.fromHexDigitsToLong(text, 0, HEX_DIGITS),
-                    HexFormat.fromHexDigitsToLong(text, HEX_DIGITS, TEXT_DIGITS)));
+                    HexFormat.fromHexDigitsToLong(text, HEX_DIGITS, TEXT_LENGTH)));
         } catch (NumberFormatException notHexadecimal) {
             return Optional.empty();
         }
--- a/src/main/java/org/cuminshelf/poison/PoisonRegister.java
+++ b/src/main/java/org/cuminshelf/poison/PoisonRegistry.java
@@ -11,14 +11,14 @@
  * What one process knows of poison requests: the crashes and the quarantine. Entries and control processes have one
  * each, and tell each other what changed.
  */
-public final class PoisonRegister {
+public final class PoisonRegistry {
 
     private final CrashTable crashes = new CrashTable();
     private final Quarantine quarantine = new Quarantine();
-    private final List<QuarantinedRequest> changed = new ArrayList<>();
+    private final List<QuarantinedRequest> changedRows = new ArrayList<>();
 
     /** Makes an empty register. */
-    public PoisonRegister() {}
+    public PoisonRegistry() {}
 
     /**
      * Tells whether no crash is known, so that nobody needs a request's fingerprint.
@@ -46,17 +46,17 @@
      * @param upstream    identity of the start
      * @param request     the request
      * @param involvement how far it had come
-     * @param numbers     number the change
+     * @param sequence     number the change
      * @return whether that is news
      */
-    public boolean crashed(
-            long now, String upstream, Fingerprint request, Involvement involvement, ChangeNumbers numbers) {
-        Involvement counted = quarantine.isReleasedFrom(request, upstream) ? Involvement.CLEARED : involvement;
-        boolean news = crashes.note(now, upstream, request, counted, numbers);
-        if (news && quarantine.holds(request)) {
-            crashes.explain(request, quarantine::holds);
+    public boolean onCrash(
+            long now, String upstream, Fingerprint request, Involvement involvement, ChangeSequence sequence) {
+        Involvement counted = quarantine.isReleasedAfterCrash(request, upstream) ? Involvement.CLEARED : involvement;
+        boolean changed = crashes.record(now, upstream, request, counted, sequence);
+        if (changed && quarantine.isQuarantined(request)) {
+            crashes.updateExplained(request, quarantine::isQuarantined);
         }
-        return news;
+        return changed;
     }
 
     /**
@@ -64,19 +64,19 @@
      *
      * @param now     the time in nanoseconds
      * @param request the request
-     * @param by      names who saw it
-     * @param numbers number the change
+     * @param author      names who saw it
+     * @param sequence number the change
      * @return whether that is news
      */
-    public boolean endedWell(long now, Fingerprint request, String by, ChangeNumbers numbers) {
+    public boolean onSuccess(long now, Fingerprint request, String author, ChangeSequence sequence) {
         boolean released = quarantine
-                .released(request, by, "it ended well", 0)
-                .filter(row -> merge(now, row, numbers))
+                .releaseRow(request, author, "it ended well", 0)
+                .filter(row -> merge(now, row, sequence))
                 .isPresent();
         if (crashes.points(request) == 0) {
             return released;
         }
-        return crashes.clear(now, request, numbers) || released;
+        return crashes.clear(now, request, sequence) || released;
     }
 
     /**
@@ -84,11 +84,11 @@
      *
      * @param now     the time in nanoseconds
      * @param foundBy names this process
-     * @param numbers number the changes
+     * @param sequence number the changes
      */
-    public void findPoison(long now, String foundBy, ChangeNumbers numbers) {
-        for (Fingerprint request : crashes.findPoison(now, quarantine::holds)) {
-            merge(now, quarantine.quarantined(request, crashes.crashesUnder(request), foundBy), numbers);
+    public void quarantinePoison(long now, String foundBy, ChangeSequence sequence) {
+        for (Fingerprint request : crashes.findPoison(now, quarantine::isQuarantined)) {
+            merge(now, quarantine.quarantineRow(request, crashes.crashedUpstreams(request), foundBy), sequence);
         }
     }
 
@@ -96,16 +96,17 @@
      * Takes what another process knows.
      *
      * @param now      the time in nanoseconds
-     * @param told     crashes
-     * @param requests quarantined and released requests
-     * @param numbers  number the changes
+     * @param remoteCrashes     crashes
+     * @param rows quarantined and released requests
+     * @param sequence  number the changes
      */
-    public void merge(long now, List<UpstreamCrash> told, List<QuarantinedRequest> requests, ChangeNumbers numbers) {
-        requests.forEach(row -> merge(now, row, numbers));
-        for (UpstreamCrash crash : told) {
+    public void merge(
+            long now, List<UpstreamCrash> remoteCrashes, List<QuarantinedRequest> rows, ChangeSequence sequence) {
+        rows.forEach(row -> merge(now, row, sequence));
+        for (UpstreamCrash crash : remoteCrashes) {
             for (CrashedRun run : crash.getRunsList()) {
                 Fingerprint request = new Fingerprint(run.getHigh(), run.getLow());
-                crashed(now, crash.getUpstream(), request, run.getInvolvement(), numbers);
+                onCrash(now, crash.getUpstream(), request, run.getInvolvement(), sequence);
             }
         }
     }
@@ -115,21 +116,21 @@
      *
      * @param now     the time in nanoseconds
      * @param row     what is known
-     * @param numbers number the change
+     * @param sequence number the change
      * @return whether it is news
      */
-    public boolean merge(long now, QuarantinedRequest row, ChangeNumbers numbers) {
+    public boolean merge(long now, QuarantinedRequest row, ChangeSequence sequence) {
         Fingerprint request = Quarantine.fingerprint(row);
-        boolean wasHeld = quarantine.holds(request);
-        if (!quarantine.merge(row, numbers)) {
+        boolean wasQuarantined = quarantine.isQuarantined(request);
+        if (!quarantine.merge(row, sequence)) {
             return false;
         }
         if (row.getReleased()) {
-            crashes.clear(now, request, numbers);
+            crashes.clear(now, request, sequence);
         }
-        crashes.explain(request, quarantine::holds);
-        if (wasHeld != quarantine.holds(request)) {
-            changed.add(row);
+        crashes.updateExplained(request, quarantine::isQuarantined);
+        if (wasQuarantined != quarantine.isQuarantined(request)) {
+            changedRows.add(row);
         }
         return true;
     }
@@ -139,10 +140,10 @@
      *
      * @return the rows as they became, in order
      */
-    public List<QuarantinedRequest> takeChanged() {
-        List<QuarantinedRequest> taken = List.copyOf(changed);
-        changed.clear();
-        return taken;
+    public List<QuarantinedRequest> takeChangedRows() {
+        List<QuarantinedRequest> rows = List.copyOf(changedRows);
+        changedRows.clear();
+        return rows;
     }
 
     /**
@@ -152,7 +153,7 @@
      * @return whether it is
      */
     public boolean isQuarantined(Fingerprint request) {
-        return quarantine.holds(request);
+        return quarantine.isQuarantined(request);
     }
 
     /**
@@ -162,8 +163,8 @@
      * @param request its fingerprint
      * @return whether it should wait
      */
-    public boolean isUnsettled(long now, Fingerprint request) {
-        return crashes.isUnsettled(now, request);
+    public boolean isSettling(long now, Fingerprint request) {
+        return crashes.isSettling(now, request);
     }
 
     /**
@@ -172,8 +173,8 @@
      * @param request its fingerprint
      * @return their identities
      */
-    public List<String> crashesUnder(Fingerprint request) {
-        return crashes.crashesUnder(request);
+    public List<String> crashedUpstreams(Fingerprint request) {
+        return crashes.crashedUpstreams(request);
     }
 
     /**
@@ -190,8 +191,8 @@
      *
      * @return their number
      */
-    public long suspects() {
-        return crashes.suspects();
+    public long suspectCount() {
+        return crashes.suspectCount();
     }
 
     /**
@@ -200,12 +201,12 @@
      * @param changeNumber the number
      * @return the crashes with what changed
      */
-    public List<UpstreamCrash> crashesSince(long changeNumber) {
-        return crashes.since(changeNumber);
+    public List<UpstreamCrash> crashesChangedSince(long changeNumber) {
+        return crashes.changedSince(changeNumber);
     }
 
     /**
-     * When {@link #findPoison} is due.
+     * When {@link #quarantinePoison} is due.
      *
      * @return the time in nanoseconds
      */
--- a/src/main/java/org/cuminshelf/poison/Quarantine.java
+++ b/src/main/java/org/cuminshelf/poison/Quarantine.java
@@ -20,19 +20,19 @@
      * Requests kept at the most, released ones among them: each was found at the price of three upstreams' ends, and
      * takes some 400 bytes. Of more the released go first, then the oldest.
      */
-    private static final int MOST = 1_024;
+    private static final int MAX_ROWS = 1_024;
 
-    private static final Comparator<QuarantinedRequest> LATER = Comparator.comparingInt(
+    private static final Comparator<QuarantinedRequest> BY_RECENCY = Comparator.comparingInt(
                     QuarantinedRequest::getGeneration)
             .thenComparing(QuarantinedRequest::getReleased)
             .thenComparingLong(QuarantinedRequest::getFoundMs);
 
-    private record Row(QuarantinedRequest request, long changedAt) {}
+    private record Row(QuarantinedRequest request, long changeNumber) {}
 
     private final Map<Fingerprint, Row> rows = new LinkedHashMap<>();
-    private long changes;
+    private long changeCount;
     /** Number of the newest change. */
-    private long newest = Long.MIN_VALUE;
+    private long lastChangeNumber = Long.MIN_VALUE;
 
     /** Makes an empty quarantine. */
     public Quarantine() {}
@@ -50,26 +50,26 @@
     /**
      * Takes what is known of a request.
      *
-     * @param told    what is told of it
-     * @param numbers number the change
+     * @param row    what is told of it
+     * @param sequence number the change
      * @return whether it is news
      */
-    public boolean merge(QuarantinedRequest told, ChangeNumbers numbers) {
-        Fingerprint request = fingerprint(told);
-        if (isAsLate(told)) {
+    public boolean merge(QuarantinedRequest row, ChangeSequence sequence) {
+        Fingerprint request = fingerprint(row);
+        if (hasSameOrNewer(row)) {
             return false;
         }
-        long number = numbers.next(true);
-        rows.put(request, new Row(told, number));
-        newest = Math.max(newest, number);
-        changes++;
-        if (rows.size() > MOST) {
-            drop();
+        long changeNumber = sequence.next(true);
+        rows.put(request, new Row(row, changeNumber));
+        lastChangeNumber = Math.max(lastChangeNumber, changeNumber);
+        changeCount++;
+        if (rows.size() > MAX_ROWS) {
+            evict();
         }
         return true;
     }
 
-    private void drop() {
+    private void evict() {
         Fingerprint released = null;
         for (Map.Entry<Fingerprint, Row> row : rows.entrySet()) {
             if (row.getValue().request.getReleased()) {
@@ -86,7 +86,7 @@
      * @param request its fingerprint
      * @return whether it is quarantined and not released
      */
-    public boolean holds(Fingerprint request) {
+    public boolean isQuarantined(Fingerprint request) {
         Row row = rows.get(request);
         return row != null && !row.request.getReleased();
     }
@@ -98,7 +98,7 @@
      * @param upstream identity of the start that crashed
      * @return whether the request was released from it
      */
-    public boolean isReleasedFrom(Fingerprint request, String upstream) {
+    public boolean isReleasedAfterCrash(Fingerprint request, String upstream) {
         Row row = rows.get(request);
         return row != null
                 && row.request.getReleased()
@@ -113,14 +113,14 @@
      * @param foundBy   names who found it
      * @return the row
      */
-    public QuarantinedRequest quarantined(Fingerprint request, List<String> upstreams, String foundBy) {
-        int before = Optional.ofNullable(rows.get(request))
+    public QuarantinedRequest quarantineRow(Fingerprint request, List<String> upstreams, String foundBy) {
+        int generation = Optional.ofNullable(rows.get(request))
                 .map(row -> row.request.getGeneration())
                 .orElse(0);
         return QuarantinedRequest.newBuilder()
                 .setHigh(request.high())
                 .setLow(request.low())
-                .setGeneration(before + 1)
+                .setGeneration(generation + 1)
                 .addAllUpstreams(upstreams)
                 .setFoundBy(foundBy)
                 .build();
@@ -135,8 +135,8 @@
      * @param atMillis when, in Unix milliseconds; 0 if unknown
      * @return the row, or nothing if the request is not quarantined
      */
-    public Optional<QuarantinedRequest> released(Fingerprint request, String author, String reason, long atMillis) {
-        if (!holds(request)) {
+    public Optional<QuarantinedRequest> releaseRow(Fingerprint request, String author, String reason, long atMillis) {
+        if (!isQuarantined(request)) {
             return Optional.empty();
         }
         return Optional.of(rows.get(request).request.toBuilder()
@@ -162,7 +162,7 @@
      * @return the rows
      */
     public Collection<QuarantinedRequest> all() {
-        return since(Long.MIN_VALUE);
+        return changedSince(Long.MIN_VALUE);
     }
 
     /**
@@ -171,12 +171,12 @@
      * @param changeNumber the number
      * @return the rows
      */
-    public List<QuarantinedRequest> since(long changeNumber) {
-        if (changeNumber >= newest) {
+    public List<QuarantinedRequest> changedSince(long changeNumber) {
+        if (changeNumber >= lastChangeNumber) {
             return List.of();
         }
         return rows.values().stream()
-                .filter(row -> row.changedAt > changeNumber)
+                .filter(row -> row.changeNumber > changeNumber)
                 .map(Row::request)
                 .toList();
     }
@@ -186,7 +186,7 @@
      *
      * @return their number
      */
-    public long size() {
+    public long quarantinedCount() {
         return rows.values().stream().filter(row -> !row.request.getReleased()).count();
     }
 
@@ -196,9 +196,9 @@
      * @param row the row
      * @return whether merging it would change nothing
      */
-    public boolean isAsLate(QuarantinedRequest row) {
+    public boolean hasSameOrNewer(QuarantinedRequest row) {
         Row known = rows.get(fingerprint(row));
-        return known != null && LATER.compare(row, known.request) <= 0;
+        return known != null && BY_RECENCY.compare(row, known.request) <= 0;
     }
 
     /**
@@ -206,13 +206,13 @@
      *
      * @return a number that rises with each change
      */
-    public long changes() {
-        return changes;
+    public long changeCount() {
+        return changeCount;
     }
 
     /** Forgets all, before a saved state is read. */
     public void clear() {
         rows.clear();
-        changes++;
+        changeCount++;
     }
 }
--- a/src/main/java/org/cuminshelf/trial/Contender.java
+++ b/src/main/java/org/cuminshelf/trial/Contender.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.function.Function;
 import org.cuminshelf.entry.RoutingPolicy;
-import org.cuminshelf.planning.PayingPlanner;
+import org.cuminshelf.planning.CostAwarePlanner;
 import org.cuminshelf.planning.PlannerSettings;
 import org.cuminshelf.planning.RolePlanner;
 import org.cuminshelf.planning.ThresholdPlanner;
@@ -35,13 +35,14 @@
     public static List<Contender> all() {
         RoutingPolicy earliest = new RoutingPolicy.EarliestAnswer();
         return List.of(
-                new Contender("cuminshelf, weight 1", earliest, PayingPlanner::of, KATALOGIKA_WEIGHT, false),
-                new Contender("cuminshelf, weight 6", earliest, PayingPlanner::of, ASSOCIATION_WEIGHT, false),
+                new Contender("cuminshelf, weight 1", earliest, CostAwarePlanner::of, KATALOGIKA_WEIGHT, false),
+                new Contender("cuminshelf, weight 6", earliest, CostAwarePlanner::of, ASSOCIATION_WEIGHT, false),
                 new Contender("naive threshold", earliest, ThresholdPlanner::of, 1, false),
                 new Contender("static split", earliest, settings -> RolePlanner.fixed(), 1, false),
                 new Contender("all mixed", earliest, settings -> RolePlanner.fixed(), 1, true),
                 new Contender(
-                        "least loaded, our planner", new RoutingPolicy.LeastLoaded(), PayingPlanner::of, 1, false),
-                new Contender("round robin, our planner", new RoutingPolicy.RoundRobin(), PayingPlanner::of, 1, false));
+                        "least loaded, our planner", new RoutingPolicy.LeastLoaded(), CostAwarePlanner::of, 1, false),
+                new Contender(
+                        "round robin, our planner", new RoutingPolicy.RoundRobin(), CostAwarePlanner::of, 1, false));
     }
 }
--- a/src/main/java/org/cuminshelf/trial/Experiment.java
+++ b/src/main/java/org/cuminshelf/trial/Experiment.java
@@ -27,8 +27,8 @@
 import org.cuminshelf.message.Subscribe;
 import org.cuminshelf.message.Update;
 import org.cuminshelf.message.UpstreamKind;
-import org.cuminshelf.planning.Demand;
-import org.cuminshelf.planning.EngineView;
+import org.cuminshelf.planning.CumulativeDemand;
+import org.cuminshelf.planning.EngineSnapshot;
 import org.cuminshelf.planning.PlannerSettings;
 import org.cuminshelf.planning.RoleChange;
 import org.cuminshelf.planning.RolePlanner;
@@ -78,7 +78,7 @@
     private final List<VirtualNode> sidecars = new ArrayList<>();
     private final List<ExperimentEngine> engines = new ArrayList<>();
     private final Map<Long, Call> calls = new HashMap<>();
-    private final Map<Address, Demand> offeredByEntry = new HashMap<>();
+    private final Map<Address, CumulativeDemand> offeredByEntry = new HashMap<>();
     private final RolePlanner planner;
     private final Histogram firstTokens = new Histogram(3);
     private final Histogram gaps = new Histogram(3);
@@ -233,7 +233,8 @@
             Address entry = Address.of(input.getFrom());
             subscribe
                     .getOfferedList()
-                    .forEach(work -> offeredByEntry.put(entry, new Demand(work.getPrefill(), work.getDecode())));
+                    .forEach(work ->
+                            offeredByEntry.put(entry, new CumulativeDemand(work.getPrefill(), work.getDecode())));
             Update.Builder update = Update.newBuilder()
                     .setConfigVersion(1)
                     .setConfirmed(true)
@@ -358,17 +359,17 @@
     private void plan() {
         long prompt = 0;
         long output = 0;
-        for (Demand demand : offeredByEntry.values()) {
+        for (CumulativeDemand demand : offeredByEntry.values()) {
             prompt += demand.prefill();
             output += demand.decode();
         }
-        List<EngineView> views = new ArrayList<>();
+        List<EngineSnapshot> views = new ArrayList<>();
         for (int i = 0; i < engines.size(); i++) {
             SidecarCore core = sidecars.get(i).core(SidecarCore.class).orElseThrow();
-            views.add(new EngineView(
+            views.add(new EngineSnapshot(
                     Integer.toString(i), engines.get(i).model().role(), core.isChanging(), core.runningAttempts()));
         }
-        for (RoleChange change : planner.plan(time.now(), views, new Demand(prompt, output))) {
+        for (RoleChange change : planner.plan(time.now(), views, new CumulativeDemand(prompt, output))) {
             order(Integer.parseInt(change.engine()), change.role());
         }
         time.after(PLAN_EVERY, this::plan);
--- a/src/test/java/org/cuminshelf/backpressure/SharingTrial.java
+++ b/src/test/java/org/cuminshelf/backpressure/LimitSharingSimulation.java
@@ -12,10 +12,10 @@
  * Plays ways to share one limit among entries, in virtual time, with calls that come at random and news of each other
  * that is late. Run by hand for the table of the design note; a request that finds no permit goes to another upstream.
  */
-final class SharingTrial {
+final class LimitSharingSimulation {
 
     /** How an entry comes to its share of a limit. */
-    enum Way {
+    enum SharingStrategy {
         EQUAL,
         OWNERS,
         DEMAND
@@ -40,7 +40,7 @@
 
     private final int entries;
     private final double limit;
-    private final Way way;
+    private final SharingStrategy way;
     private final Traffic traffic;
     private final UniformRandomProvider random;
     private final PermitSchedule[] permits;
@@ -49,7 +49,7 @@
     private final Deque<Double> window = new ArrayDeque<>();
     private final List<Double> sent = new ArrayList<>();
 
-    SharingTrial(int entries, double limit, Way way, Traffic traffic, long seed) {
+    LimitSharingSimulation(int entries, double limit, SharingStrategy way, Traffic traffic, long seed) {
         this.entries = entries;
         this.limit = limit;
         this.way = way;
@@ -77,10 +77,10 @@
                 yield entry < owners ? limit / owners : 0;
             }
             case DEMAND -> {
-                double own = Math.max(RateShare.LEAST_DEMAND, demand[entry]);
+                double own = Math.max(LimitSharing.MIN_CALLS_PER_SECOND, demand[entry]);
                 double others = 0;
                 for (int other = 0; other < entries; other++) {
-                    others += other == entry ? 0 : Math.max(RateShare.LEAST_DEMAND, told[other]);
+                    others += other == entry ? 0 : Math.max(LimitSharing.MIN_CALLS_PER_SECOND, told[other]);
                 }
                 yield limit * own / (own + others);
             }
@@ -127,17 +127,17 @@
             return;
         }
         double interval = SECOND / share;
-        double lapse = RateShare.lapseNanos(limit);
+        double lapse = LimitSharing.permitLifetimeNanos(limit);
         if (permits[entry] == null) {
             permits[entry] = new PermitSchedule((long) now, interval, lapse, (entry + 1.0) / entries);
         } else {
-            permits[entry].change((long) now, interval, lapse);
+            permits[entry].changeInterval((long) now, interval, lapse);
         }
     }
 
     private void call(int entry, double now) {
-        if (permits[entry] != null && permits[entry].next((long) now) <= now) {
-            permits[entry].use((long) now);
+        if (permits[entry] != null && permits[entry].nextPermitTime((long) now) <= now) {
+            permits[entry].takePermit((long) now);
             sent.add(now);
         }
     }
@@ -153,9 +153,9 @@
                 for (double limit : new double[] {0.5, 5, 50, 200}) {
                     StringBuilder line =
                             new StringBuilder(String.format(Locale.ROOT, "| %s | %d | %.1f ", traffic, entries, limit));
-                    for (Way way : Way.values()) {
+                    for (SharingStrategy way : SharingStrategy.values()) {
                         line.append("| ")
-                                .append(new SharingTrial(entries, limit, way, traffic, 1).play())
+                                .append(new LimitSharingSimulation(entries, limit, way, traffic, 1).play())
                                 .append(' ');
                     }
                     System.out.println(line.append('|'));
--- a/src/test/java/org/cuminshelf/backpressure/PermitScheduleTest.java
+++ b/src/test/java/org/cuminshelf/backpressure/PermitScheduleTest.java
@@ -18,9 +18,9 @@
     private final PermitSchedule permits = new PermitSchedule(0, INTERVAL, LAPSE, 1);
 
     private boolean take(long now) {
-        boolean open = permits.next(now) <= now;
+        boolean open = permits.nextPermitTime(now) <= now;
         if (open) {
-            permits.use(now);
+            permits.takePermit(now);
         }
         return open;
     }
@@ -46,15 +46,15 @@
     @Example
     void oneThatIsGivenBackMayBeUsed() {
         take(100);
-        permits.giveBack();
+        permits.returnPermit();
         assertThat(take(100)).isTrue();
         assertThat(take(100)).isFalse();
     }
 
     @Example
     void aNewIntervalCountsWhatWasWaitedFor() {
-        permits.change(50, 2 * INTERVAL, LAPSE);
-        assertThat(permits.next(50)).isEqualTo(150);
+        permits.changeInterval(50, 2 * INTERVAL, LAPSE);
+        assertThat(permits.nextPermitTime(50)).isEqualTo(150);
     }
 
     @Property(tries = 300, seed = "7")
--- a/src/test/java/org/cuminshelf/backpressure/DemandHeaders.java
+++ b/src/test/java/org/cuminshelf/backpressure/TestBackpressureHeaders.java
@@ -5,9 +5,9 @@
 import org.eclipse.jetty.http.HttpFields;
 
 /** What a stand-in for an upstream asks for, in headers with the shortest names. */
-public final class DemandHeaders {
+public final class TestBackpressureHeaders {
 
-    private DemandHeaders() {}
+    private TestBackpressureHeaders() {}
 
     /**
      * Reads what the head of an answer asks for.
@@ -15,12 +15,13 @@
      * @param headers all headers
      * @return what they ask for
      */
-    public static Demands read(HttpFields headers) {
+    public static BackpressureSignals read(HttpFields headers) {
         String limit = headers.get("Limit");
-        StatedLimit stated =
-                limit == null ? new StatedLimit.Unlimited() : new StatedLimit.PerSecond(Double.parseDouble(limit));
+        AdvertisedLimit stated = limit == null
+                ? new AdvertisedLimit.Unlimited()
+                : new AdvertisedLimit.PerSecond(Double.parseDouble(limit));
         Optional<Duration> rest =
                 Optional.ofNullable(headers.get("Rest")).map(millis -> Duration.ofMillis(Long.parseLong(millis)));
-        return new Demands(stated, rest, headers.contains("Leaving"));
+        return new BackpressureSignals(stated, rest, headers.contains("Leaving"));
     }
 }
--- a/src/test/java/org/cuminshelf/backpressure/RateLimitsTest.java
+++ b/src/test/java/org/cuminshelf/backpressure/UpstreamRateLimitsTest.java
@@ -9,28 +9,28 @@
 import org.cuminshelf.core.Durations;
 
 /** What is known of limits that upstreams state. */
-class RateLimitsTest {
+class UpstreamRateLimitsTest {
 
-    private static final StatedLimit NONE = new StatedLimit.Unlimited();
+    private static final AdvertisedLimit NONE = new AdvertisedLimit.Unlimited();
 
     private static final Address SELF = Address.of("10.0.0.1:7000");
 
-    private final RateLimits limits = RateLimits.none(SELF);
+    private final UpstreamRateLimits limits = UpstreamRateLimits.create(SELF);
 
-    private Optional<RateLimits.Change> heard(long now, long sentAt, StatedLimit stated) {
-        return limits.heard(now, "u", "s", sentAt, stated);
+    private Optional<UpstreamRateLimits.LimitChange> heard(long now, long sentAt, AdvertisedLimit stated) {
+        return limits.onAnswer(now, "u", "s", sentAt, stated);
     }
 
-    private static StatedLimit perSecond(double requests) {
-        return new StatedLimit.PerSecond(requests);
+    private static AdvertisedLimit perSecond(double requests) {
+        return new AdvertisedLimit.PerSecond(requests);
     }
 
     @Example
     void aLimitHoldsFromTheAnswerThatNamesIt() {
         assertThat(heard(10, 5, NONE)).isEmpty();
         assertThat(heard(20, 6, perSecond(5)))
-                .contains(new RateLimits.Change(OptionalDouble.empty(), OptionalDouble.of(5)));
-        assertThat(limits.inForce()).isEqualTo(1);
+                .contains(new UpstreamRateLimits.LimitChange(OptionalDouble.empty(), OptionalDouble.of(5)));
+        assertThat(limits.activeCount()).isEqualTo(1);
     }
 
     @Example
@@ -45,20 +45,22 @@
     void onlyARequestSentAfterwardsLiftsIt() {
         heard(20, 6, perSecond(5));
         assertThat(heard(30, 19, NONE)).isEmpty();
-        assertThat(heard(40, 21, NONE)).contains(new RateLimits.Change(OptionalDouble.of(5), OptionalDouble.empty()));
-        assertThat(limits.inForce()).isZero();
+        assertThat(heard(40, 21, NONE))
+                .contains(new UpstreamRateLimits.LimitChange(OptionalDouble.of(5), OptionalDouble.empty()));
+        assertThat(limits.activeCount()).isZero();
     }
 
     @Example
     void whatCanNotBeReadChangesNothing() {
         heard(20, 6, perSecond(5));
-        assertThat(heard(40, 21, new StatedLimit.Unreadable("x"))).isEmpty();
-        assertThat(limits.inForce()).isEqualTo(1);
+        assertThat(heard(40, 21, new AdvertisedLimit.Malformed("x"))).isEmpty();
+        assertThat(limits.activeCount()).isEqualTo(1);
     }
 
-    private Optional<RateLimits.Change> told(long now, long ageMillis, double perSecond) {
+    private Optional<UpstreamRateLimits.LimitChange> told(long now, long ageMillis, double perSecond) {
         long age = Durations.nanos(ageMillis);
-        return limits.told(now, "s", new RateLimits.Heard("u", OptionalDouble.of(perSecond), age));
+        return limits.onRemoteReport(
+                now, "s", new UpstreamRateLimits.LimitReport("u", OptionalDouble.of(perSecond), age));
     }
 
     /** Guards against news that were under way while this entry heard the contrary, and count as newer. */
@@ -74,8 +76,8 @@
 
     @Example
     void whatIsToldOfTheEndOfALimitThatIsNotKnownIsNoLimit() {
-        assertThat(limits.told(10, "s", new RateLimits.Heard("u", OptionalDouble.empty(), 0)))
+        assertThat(limits.onRemoteReport(10, "s", new UpstreamRateLimits.LimitReport("u", OptionalDouble.empty(), 0)))
                 .isEmpty();
-        assertThat(limits.admits(10, "u")).isTrue();
+        assertThat(limits.hasPermit(10, "u")).isTrue();
     }
 }
--- a/src/test/java/org/cuminshelf/direct/ControlFeedTest.java
+++ b/src/test/java/org/cuminshelf/direct/ControlFeedTest.java
@@ -10,7 +10,7 @@
 import java.util.OptionalLong;
 import java.util.function.Consumer;
 import net.jqwik.api.Example;
-import org.cuminshelf.backpressure.Leavers;
+import org.cuminshelf.backpressure.LeavingUpstreams;
 import org.cuminshelf.core.Address;
 import org.cuminshelf.core.Durations;
 import org.cuminshelf.core.Invariants;
@@ -30,7 +30,7 @@
     private final List<Consumer<Optional<RouteTable>>> reading = new ArrayList<>();
     private final RecordingOutbox out = new RecordingOutbox();
     private long now = Durations.nanos(10_000);
-    private final UpstreamTable upstreams = new UpstreamTable(Leavers.none(), DecisionLog.none());
+    private final UpstreamTable upstreams = new UpstreamTable(LeavingUpstreams.create(), DecisionLog.none());
     private final ControlFeed feed = new ControlFeed(
             new DirectSettings("r", "z", "vm", List.of(FIRST), new RepeatLimits(0.2, 100, 10_000)),
             (deflated, whenRead) -> reading.add(whenRead),
--- a/src/test/java/org/cuminshelf/direct/DirectFixture.java
+++ b/src/test/java/org/cuminshelf/direct/DirectFixture.java
@@ -9,7 +9,7 @@
 import java.util.Optional;
 import java.util.OptionalLong;
 import java.util.function.Consumer;
-import org.cuminshelf.backpressure.DemandHeaders;
+import org.cuminshelf.backpressure.TestBackpressureHeaders;
 import org.cuminshelf.core.Address;
 import org.cuminshelf.core.Deflated;
 import org.cuminshelf.core.Durations;
@@ -387,7 +387,7 @@
                     headers.contains("Not-Run"),
                     Optional.ofNullable(headers.get("Start")),
                     headers.contains("Seal"),
-                    DemandHeaders.read(headers));
+                    TestBackpressureHeaders.read(headers));
         }
 
         @Override
--- a/src/test/java/org/cuminshelf/direct/UpstreamTableTest.java
+++ b/src/test/java/org/cuminshelf/direct/UpstreamTableTest.java
@@ -4,7 +4,7 @@
 
 import java.util.List;
 import net.jqwik.api.Example;
-import org.cuminshelf.backpressure.Leavers;
+import org.cuminshelf.backpressure.LeavingUpstreams;
 import org.cuminshelf.core.Address;
 import org.cuminshelf.core.Durations;
 import org.cuminshelf.message.EntryLoad;
@@ -17,7 +17,7 @@
 class UpstreamTableTest {
 
     private static final Address CONTROL = Address.of("10.0.0.1:7000");
-    private final UpstreamTable table = new UpstreamTable(Leavers.none(), DecisionLog.none());
+    private final UpstreamTable table = new UpstreamTable(LeavingUpstreams.create(), DecisionLog.none());
     private long now = Durations.nanos(1_000);
 
     /*
--- a/src/test/java/org/cuminshelf/engines/EngineModelTest.java
+++ b/src/test/java/org/cuminshelf/engines/EngineLatencyModelTest.java
@@ -12,7 +12,7 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /** What is learnt of engines that nobody has described. */
-class EngineModelTest {
+class EngineLatencyModelTest {
 
     private static final int OBSERVATIONS = 200;
     private static final int ENGINES = 12;
@@ -23,7 +23,7 @@
         private final double latency;
         private final double perThousand;
         private final double perMillionPairs;
-        private final EngineModel model = EngineModel.fresh();
+        private final EngineLatencyModel model = EngineLatencyModel.create();
         private double slowFactor = 1;
 
         private Drawn(long seed) {
@@ -46,11 +46,12 @@
                 // A part believed held was not, or the observer stood still for a while.
                 took += 400 * random.nextDouble();
             }
-            model.observe(new PromptSample("e" + engine, false, 0, held, uncached, 0, took));
+            model.observePrompt(new PromptSample("e" + engine, false, 0, held, uncached, 0, took));
         }
 
         private double expected(int engine, int held, int uncached) {
-            return model.workMillis("e" + engine, false, 0, held, uncached) + model.latencyMillis("e" + engine, false);
+            return model.prefillMillis("e" + engine, false, 0, held, uncached)
+                    + model.latencyMillis("e" + engine, false);
         }
     }
 
@@ -84,8 +85,8 @@
         for (int index = 0; index < 10 * ENGINES; index++) {
             drawn.observe(index % ENGINES, 0.15);
         }
-        assertThat(drawn.model.factor("e0")).isGreaterThan(3);
-        assertThat(drawn.model.factor("e1")).isBetween(0.7, 1.4);
+        assertThat(drawn.model.slowdown("e0")).isGreaterThan(3);
+        assertThat(drawn.model.slowdown("e1")).isBetween(0.7, 1.4);
     }
 
     /*
@@ -102,24 +103,24 @@
         for (int index = 0; index < 10; index++) {
             drawn.observe(0, 0);
         }
-        assertThat(drawn.model.factor("e0")).isGreaterThan(3);
+        assertThat(drawn.model.slowdown("e0")).isGreaterThan(3);
         for (int index = 0; index < 1_200; index++) {
             drawn.observe(1 + index % 11, 0);
         }
-        assertThat(drawn.model.factor("e0")).isLessThan(1.1);
+        assertThat(drawn.model.slowdown("e0")).isLessThan(1.1);
     }
 
     @Example
     void handoversAndEventsAreLearntToo() {
-        EngineModel model = EngineModel.fresh();
+        EngineLatencyModel model = EngineLatencyModel.create();
         for (int index = 0; index < OBSERVATIONS; index++) {
             int tokens = 500 * (index % 40);
             model.observeHandover(tokens, 30 + 2.5 * tokens / 1_000);
-            model.observeGap(index % 50, 12 + 0.8 * (index % 50));
+            model.observeEventInterval(index % 50, 12 + 0.8 * (index % 50));
         }
         assertThat(model.handoverMillis(10_000)).isBetween(52.0, 58.0);
-        assertThat(model.moveMillis(10_000)).isBetween(23.0, 27.0);
-        assertThat(model.gapMillis(30)).isBetween(34.0, 38.0);
+        assertThat(model.transferMillis(10_000)).isBetween(23.0, 27.0);
+        assertThat(model.eventIntervalMillis(30)).isBetween(34.0, 38.0);
     }
 
     /*
@@ -128,7 +129,7 @@
      */
     @Example
     void whatMayBeReadBesideStreamsFollowsTheirPauses() {
-        ReadingAllowance allowance = ReadingAllowance.fresh();
+        PrefillAllowance allowance = PrefillAllowance.create();
         double first = allowance.millis();
         for (int index = 0; index < 6; index++) {
             allowance.observe(190, 200);
--- a/src/test/java/org/cuminshelf/engines/PromptQueueTest.java
+++ b/src/test/java/org/cuminshelf/engines/PromptQueueTest.java
@@ -20,12 +20,12 @@
      */
     @Example
     void whatWasReadSinceCountsNoMore() {
-        queue.add(1, new PromptQueue.Waiting(NOW, 100));
-        queue.add(2, new PromptQueue.Waiting(NOW, 50));
+        queue.add(1, new PromptQueue.PendingPrompt(NOW, 100));
+        queue.add(2, new PromptQueue.PendingPrompt(NOW, 50));
         assertThat(queue.waitMillis(NOW, 0)).isEqualTo(150);
         assertThat(queue.waitMillis(NOW + 30 * MILLI, 0)).isEqualTo(120);
         queue.remove(1);
-        queue.taken(NOW + 100 * MILLI);
+        queue.onPrefilled(NOW + 100 * MILLI);
         assertThat(queue.waitMillis(NOW + 120 * MILLI, 0)).isEqualTo(30);
     }
 
@@ -35,12 +35,12 @@
      */
     @Example
     void whatShowedNoSignIsStillThere() {
-        queue.add(1, new PromptQueue.Waiting(NOW, 100));
-        queue.add(2, new PromptQueue.Waiting(NOW, 50));
+        queue.add(1, new PromptQueue.PendingPrompt(NOW, 100));
+        queue.add(2, new PromptQueue.PendingPrompt(NOW, 50));
         // 800 ms overdue: as much as half of that is expected still, and the next prompt after it.
         assertThat(queue.waitMillis(NOW + 900 * MILLI, 0)).isEqualTo(450);
         queue.remove(1);
-        queue.taken(NOW + 900 * MILLI);
+        queue.onPrefilled(NOW + 900 * MILLI);
         assertThat(queue.waitMillis(NOW + 900 * MILLI, 0)).isEqualTo(50);
     }
 
@@ -50,19 +50,19 @@
      */
     @Example
     void theSignMayFollowTheWork() {
-        queue.add(1, new PromptQueue.Waiting(NOW, 100));
+        queue.add(1, new PromptQueue.PendingPrompt(NOW, 100));
         assertThat(queue.waitMillis(NOW + 150 * MILLI, 120)).isZero();
-        queue.add(2, new PromptQueue.Waiting(NOW + 150 * MILLI, 40));
+        queue.add(2, new PromptQueue.PendingPrompt(NOW + 150 * MILLI, 40));
         assertThat(queue.waitMillis(NOW + 160 * MILLI, 120)).isEqualTo(30);
     }
 
     @Example
     void whatOtherEntriesToldCountsUntilTheyTellAnew() {
-        queue.told(OTHER, List.of(new PromptQueue.Waiting(NOW, 80)));
-        queue.add(1, new PromptQueue.Waiting(NOW, 20));
+        queue.setRemotePrompts(OTHER, List.of(new PromptQueue.PendingPrompt(NOW, 80)));
+        queue.add(1, new PromptQueue.PendingPrompt(NOW, 20));
         assertThat(queue.waitMillis(NOW, 0)).isEqualTo(100);
-        queue.told(OTHER, List.of());
+        queue.setRemotePrompts(OTHER, List.of());
         assertThat(queue.waitMillis(NOW, 0)).isEqualTo(20);
-        assertThat(queue.own()).hasSize(1);
+        assertThat(queue.localPrompts()).hasSize(1);
     }
 }
--- a/src/test/java/org/cuminshelf/planning/BalancedPlannerTest.java
+++ b/src/test/java/org/cuminshelf/planning/BalancedPlannerTest.java
@@ -14,7 +14,7 @@
     private static final int PLACES = 64;
     private static final long SECOND = 1_000_000;
     private final RolePlanner planner = BalancedPlanner.of(PLACES);
-    private final List<EngineView> engines = new ArrayList<>();
+    private final List<EngineSnapshot> engines = new ArrayList<>();
     private long prefill;
     private long decode;
     private int seconds;
@@ -27,10 +27,10 @@
             decode += (long) (places * SECOND);
             seconds++;
             for (RoleChange change :
-                    planner.plan(Durations.nanos(1_000L * seconds), engines, new Demand(prefill, decode))) {
+                    planner.plan(Durations.nanos(1_000L * seconds), engines, new CumulativeDemand(prefill, decode))) {
                 changes++;
                 engines.replaceAll(engine -> engine.name().equals(change.engine())
-                        ? new EngineView(engine.name(), change.role(), false, 0)
+                        ? new EngineSnapshot(engine.name(), change.role(), false, 0)
                         : engine);
             }
         }
@@ -38,7 +38,8 @@
 
     private void fleet(int reading, int generating) {
         for (int index = 0; index < reading + generating; index++) {
-            engines.add(new EngineView("e" + index, index < reading ? Role.ROLE_PREFILL : Role.ROLE_DECODE, false, 0));
+            engines.add(
+                    new EngineSnapshot("e" + index, index < reading ? Role.ROLE_PREFILL : Role.ROLE_DECODE, false, 0));
         }
     }
 
--- a/src/test/java/org/cuminshelf/planning/SteadyPlannerTest.java
+++ b/src/test/java/org/cuminshelf/planning/DebouncingPlannerTest.java
@@ -9,20 +9,20 @@
 import org.cuminshelf.message.Role;
 
 /** When engines change their roles under a mix that swings, and under one that stays. */
-class SteadyPlannerTest {
+class DebouncingPlannerTest {
 
     private static final long PATIENCE = Durations.nanos(8_000);
-    private final List<EngineView> engines = new ArrayList<>();
+    private final List<EngineSnapshot> engines = new ArrayList<>();
     private final List<RoleChange> changes = new ArrayList<>();
     private final PlannerSettings settings = new PlannerSettings(85_000, 7_500, 3, 30, 20, 2, 1, 1);
-    private final RolePlanner planner = SteadyPlanner.of(PayingPlanner.of(settings), PATIENCE);
+    private final RolePlanner planner = DebouncingPlanner.of(CostAwarePlanner.of(settings), PATIENCE);
     private long prompts;
     private long outputs;
     private int seconds;
 
-    SteadyPlannerTest() {
+    DebouncingPlannerTest() {
         for (int number = 0; number < 6; number++) {
-            engines.add(new EngineView("e" + number, number < 3 ? Role.ROLE_PREFILL : Role.ROLE_DECODE, false, 0));
+            engines.add(new EngineSnapshot("e" + number, number < 3 ? Role.ROLE_PREFILL : Role.ROLE_DECODE, false, 0));
         }
     }
 
@@ -69,7 +69,7 @@
             prompts += promptTokens;
             outputs += outputTokens;
             List<RoleChange> wanted =
-                    planner.plan(Durations.nanos(1_000L * ++seconds), engines, new Demand(prompts, outputs));
+                    planner.plan(Durations.nanos(1_000L * ++seconds), engines, new CumulativeDemand(prompts, outputs));
             wanted.forEach(this::apply);
             changes.addAll(wanted);
         }
@@ -77,7 +77,7 @@
 
     private void apply(RoleChange change) {
         engines.replaceAll(engine -> engine.name().equals(change.engine())
-                ? new EngineView(engine.name(), change.role(), false, Integer.MAX_VALUE)
+                ? new EngineSnapshot(engine.name(), change.role(), false, Integer.MAX_VALUE)
                 : engine);
     }
 }
--- a/src/test/java/org/cuminshelf/platform/PlatformProtocolTest.java
+++ b/src/test/java/org/cuminshelf/platform/PlatformProtocolTest.java
@@ -8,7 +8,7 @@
 import java.util.Optional;
 import java.util.OptionalLong;
 import net.jqwik.api.Example;
-import org.cuminshelf.backpressure.StatedLimit;
+import org.cuminshelf.backpressure.AdvertisedLimit;
 import org.cuminshelf.core.Address;
 import org.cuminshelf.direct.AnswerFacts;
 import org.cuminshelf.direct.AttemptPlan;
@@ -179,7 +179,7 @@
         assertThat(other.start()).hasValue("i-2");
     }
 
-    private StatedLimit limit(String... stated) {
+    private AdvertisedLimit limit(String... stated) {
         HttpFields.Mutable headers = HttpFields.build();
         for (String value : stated) {
             headers.add(Headers.RATE_LIMIT, value);
@@ -189,26 +189,26 @@
 
     @Example
     void theLimitOfAnUpstreamIsRead() {
-        assertThat(limit()).isEqualTo(new StatedLimit.Unlimited());
-        assertThat(limit("6")).isEqualTo(new StatedLimit.PerSecond(6));
-        assertThat(limit("5.1")).isEqualTo(new StatedLimit.PerSecond(5.1));
-        assertThat(limit("0")).isEqualTo(new StatedLimit.PerSecond(0));
-        assertThat(limit("1000000000000")).isEqualTo(new StatedLimit.PerSecond(1e12));
+        assertThat(limit()).isEqualTo(new AdvertisedLimit.Unlimited());
+        assertThat(limit("6")).isEqualTo(new AdvertisedLimit.PerSecond(6));
+        assertThat(limit("5.1")).isEqualTo(new AdvertisedLimit.PerSecond(5.1));
+        assertThat(limit("0")).isEqualTo(new AdvertisedLimit.PerSecond(0));
+        assertThat(limit("1000000000000")).isEqualTo(new AdvertisedLimit.PerSecond(1e12));
     }
 
     /** Guards against an upstream in need that is taken for one without a limit, as its limit can't be read. */
     @Example
     void aLimitThatCanNotBeReadIsToldFromNone() {
         for (String value : List.of("", "many", "-1", "NaN", "Infinity", "1e12", "0x10", "5,1", "9".repeat(400))) {
-            assertThat(limit(value)).as(value).isInstanceOf(StatedLimit.Unreadable.class);
+            assertThat(limit(value)).as(value).isInstanceOf(AdvertisedLimit.Malformed.class);
         }
-        assertThat(limit("5", "6")).isEqualTo(new StatedLimit.Unreadable("[5, 6]"));
+        assertThat(limit("5", "6")).isEqualTo(new AdvertisedLimit.Malformed("[5, 6]"));
     }
 
     private Optional<Duration> rest(int status, String stated) {
         return protocol.facts(status, HttpFields.build().put("Retry-After", stated))
                 .demands()
-                .rest();
+                .backoff();
     }
 
     @Example
--- a/src/test/java/org/cuminshelf/poison/CrashStorm.java
+++ b/src/test/java/org/cuminshelf/poison/CrashStormSimulation.java
@@ -13,7 +13,7 @@
  * Two minutes of a fleet of four engines, each of which ends of itself every eight seconds on average, as one register
  * hears of it. Harmless requests are tried up to four times; a poison request comes each second, until it is found.
  */
-final class CrashStorm {
+final class CrashStormSimulation {
 
     private static final Fingerprint POISON = new Fingerprint(0, 1);
     private static final long STEP = Durations.nanos(250);
@@ -28,10 +28,10 @@
     private static final int STEPS_OF_RETURN = 4;
 
     /** A run at an engine: when it began and ends, in steps. */
-    private record Run(Fingerprint request, int began, int ends) {}
+    private record Run(Fingerprint request, int startStep, int endStep) {}
 
     private final Random random;
-    private final PoisonRegister register = new PoisonRegister();
+    private final PoisonRegistry register = new PoisonRegistry();
     private final List<List<Run>> engines = new ArrayList<>();
     private final int[] starts = new int[ENGINES];
     private final TreeMap<Fingerprint, Integer> tries = new TreeMap<>();
@@ -40,14 +40,14 @@
     private long nextHarmless = 10;
     private int poisonCrashes;
 
-    CrashStorm(long seed) {
+    CrashStormSimulation(long seed) {
         random = new Random(seed);
         for (int engine = 0; engine < ENGINES; engine++) {
             engines.add(new ArrayList<>());
         }
     }
 
-    void play() {
+    void run() {
         for (int step = 0; step < STEPS; step++) {
             long now = (step + 10) * STEP;
             for (int arrival = 0; arrival < ARRIVALS; arrival++) {
@@ -61,7 +61,7 @@
                     crash(now, step, engine, engine == poisoned);
                 }
             }
-            register.findPoison(now + 2 * STEP, "vm", this::next);
+            register.quarantinePoison(now + 2 * STEP, "vm", this::next);
         }
     }
 
@@ -77,9 +77,9 @@
 
     private void end(long now, int step, int engine) {
         engines.get(engine).removeIf(run -> {
-            boolean over = run.ends <= step;
+            boolean over = run.endStep <= step;
             if (over) {
-                register.endedWell(now, run.request, "vm", this::next);
+                register.onSuccess(now, run.request, "vm", this::next);
             }
             return over;
         });
@@ -90,13 +90,13 @@
         List<Run> cut = List.copyOf(engines.get(engine));
         engines.get(engine).clear();
         for (Run run : cut) {
-            Involvement how = run.began == step ? Involvement.JUST_BEGUN : Involvement.UNDER_WAY;
-            register.crashed(now, upstream, run.request, how, this::next);
+            Involvement how = run.startStep == step ? Involvement.JUST_BEGUN : Involvement.UNDER_WAY;
+            register.onCrash(now, upstream, run.request, how, this::next);
             atCrashes.add(run.request);
         }
         if (poisoned) {
             poisonCrashes++;
-            register.crashed(now, upstream, POISON, Involvement.JUST_BEGUN, this::next);
+            register.onCrash(now, upstream, POISON, Involvement.JUST_BEGUN, this::next);
         }
         cut.forEach(run -> place(step + 1, run.request));
     }
--- a/src/test/java/org/cuminshelf/poison/CrashTableTest.java
+++ b/src/test/java/org/cuminshelf/poison/CrashTableTest.java
@@ -12,7 +12,7 @@
 
     private static final Fingerprint POISON = new Fingerprint(0, 1);
     private static final Fingerprint OTHER = new Fingerprint(0, 2);
-    private static final ChangeNumbers ANY = ChangeNumbers.always(1);
+    private static final ChangeSequence ANY = ChangeSequence.constant(1);
     private static final long SECOND = Durations.nanos(1_000);
 
     private final CrashTable table = new CrashTable();
@@ -20,12 +20,12 @@
 
     private void justBegun(String upstream, Fingerprint... requests) {
         for (Fingerprint request : requests) {
-            table.note(now, upstream, request, Involvement.JUST_BEGUN, ANY);
+            table.record(now, upstream, request, Involvement.JUST_BEGUN, ANY);
         }
     }
 
     private void underWay(String upstream, Fingerprint request) {
-        table.note(now, upstream, request, Involvement.UNDER_WAY, ANY);
+        table.record(now, upstream, request, Involvement.UNDER_WAY, ANY);
     }
 
     private List<Fingerprint> poison() {
@@ -63,7 +63,7 @@
         justBegun("u3", POISON);
         justBegun("u1", POISON);
         assertThat(poison()).isEmpty();
-        assertThat(table.crashesUnder(POISON)).containsExactly("u3");
+        assertThat(table.crashedUpstreams(POISON)).containsExactly("u3");
     }
 
     /*
@@ -75,7 +75,7 @@
         justBegun("u1", POISON, OTHER);
         justBegun("u2", POISON, OTHER);
         justBegun("u3", OTHER);
-        assertThat(table.isUnsettled(now, OTHER)).isTrue();
+        assertThat(table.isSettling(now, OTHER)).isTrue();
         now += Durations.nanos(20);
         assertThat(table.findPoison(now, request -> false)).isEmpty();
         justBegun("u3", POISON);
@@ -141,7 +141,7 @@
     @Example
     void crashesThatAKnownPoisonRequestExplainsCountAgainstNobodyElse() {
         justBegun("u1", POISON, OTHER);
-        table.explain(POISON, POISON::equals);
+        table.updateExplained(POISON, POISON::equals);
         justBegun("u2", OTHER);
         justBegun("u3", OTHER);
         now += SECOND;
@@ -163,7 +163,7 @@
             justBegun("other-" + crash, new Fingerprint(1, crash));
         }
         justBegun("u3", POISON);
-        assertThat(table.crashesUnder(POISON)).containsExactly("u1", "u2", "u3");
+        assertThat(table.crashedUpstreams(POISON)).containsExactly("u1", "u2", "u3");
         assertThat(poison()).as("in a storm three crashes may be chance").isEmpty();
         justBegun("u4", POISON);
         justBegun("u5", POISON);
@@ -203,10 +203,10 @@
             underWay("u1", new Fingerprint(1, request));
         }
         justBegun("u1", POISON);
-        assertThat(table.crashesUnder(POISON)).containsExactly("u1");
-        assertThat(table.requests())
+        assertThat(table.crashedUpstreams(POISON)).containsExactly("u1");
+        assertThat(table.requestCount())
                 .as("nothing is kept of those that were forgotten")
                 .isEqualTo(128);
-        assertThat(table.since(0).getFirst().getRunsCount()).isLessThanOrEqualTo(128);
+        assertThat(table.changedSince(0).getFirst().getRunsCount()).isLessThanOrEqualTo(128);
     }
 }
