--- a/src/test/java/org/cuminshelf/poison/PoisonRegisterTest.java
+++ b/src/test/java/org/cuminshelf/poison/PoisonRegistryTest.java
@@ -20,7 +20,7 @@
 import org.cuminshelf.message.UpstreamCrash;
 
 /** What processes tell each other of poison requests. */
-class PoisonRegisterTest {
+class PoisonRegistryTest {
 
     private static final Fingerprint POISON = new Fingerprint(0, 1);
     private static final long SECOND = Durations.nanos(1_000);
@@ -28,28 +28,28 @@
     private static final int MOST_REFUSED_ONE_IN = 10_000;
 
     private long number;
-    private final ChangeNumbers numbers = urgent -> ++number;
+    private final ChangeSequence numbers = urgent -> ++number;
 
-    private void crash(PoisonRegister register, String upstream, Fingerprint request, Involvement involvement) {
-        register.crashed(SECOND, upstream, request, involvement, numbers);
+    private void crash(PoisonRegistry register, String upstream, Fingerprint request, Involvement involvement) {
+        register.onCrash(SECOND, upstream, request, involvement, numbers);
     }
 
-    private PoisonRegister quarantined() {
-        PoisonRegister register = new PoisonRegister();
+    private PoisonRegistry quarantined() {
+        PoisonRegistry register = new PoisonRegistry();
         for (String upstream : List.of("u1", "u2", "u3")) {
             crash(register, upstream, POISON, Involvement.JUST_BEGUN);
         }
-        register.findPoison(2 * SECOND, "vm", numbers);
+        register.quarantinePoison(2 * SECOND, "vm", numbers);
         return register;
     }
 
-    private void tell(PoisonRegister from, PoisonRegister to) {
-        to.merge(2 * SECOND, from.crashesSince(0), from.quarantine().since(0), numbers);
+    private void tell(PoisonRegistry from, PoisonRegistry to) {
+        to.merge(2 * SECOND, from.crashesChangedSince(0), from.quarantine().changedSince(0), numbers);
     }
 
-    private static Object state(PoisonRegister register) {
+    private static Object state(PoisonRegistry register) {
         TreeMap<String, Set<CrashedRun>> crashes = new TreeMap<>();
-        for (UpstreamCrash crash : register.crashesSince(0)) {
+        for (UpstreamCrash crash : register.crashesChangedSince(0)) {
             crashes.put(crash.getUpstream(), new HashSet<>(crash.getRunsList()));
         }
         return List.of(crashes, new HashSet<>(register.quarantine().all()));
@@ -59,18 +59,18 @@
     void whateverTheOrderInWhichTheyTellEachOtherAllKnowTheSame(
             @ForAll long seed, @ForAll @IntRange(min = 1, max = 40) int events) {
         Random random = new Random(seed);
-        List<PoisonRegister> entries = List.of(new PoisonRegister(), new PoisonRegister(), new PoisonRegister());
+        List<PoisonRegistry> entries = List.of(new PoisonRegistry(), new PoisonRegistry(), new PoisonRegistry());
         for (int event = 0; event < events; event++) {
-            PoisonRegister entry = entries.get(random.nextInt(entries.size()));
+            PoisonRegistry entry = entries.get(random.nextInt(entries.size()));
             Fingerprint request = new Fingerprint(0, random.nextInt(5));
             if (random.nextInt(6) == 0) {
-                entry.endedWell(SECOND, request, "vm", numbers);
+                entry.onSuccess(SECOND, request, "vm", numbers);
             } else {
                 Involvement how = random.nextBoolean() ? Involvement.JUST_BEGUN : Involvement.UNDER_WAY;
                 crash(entry, "u" + random.nextInt(6), request, how);
             }
         }
-        List<PoisonRegister> order = new ArrayList<>(entries);
+        List<PoisonRegistry> order = new ArrayList<>(entries);
         for (int round = 0; round < 3; round++) {
             Collections.shuffle(order, random);
             order.forEach(from -> order.forEach(to -> tell(from, to)));
@@ -87,8 +87,8 @@
         int harmlessOnes = 0;
         int refused = 0;
         for (int seed = 1; seed <= 200; seed++) {
-            CrashStorm storm = new CrashStorm(seed);
-            storm.play();
+            CrashStormSimulation storm = new CrashStormSimulation(seed);
+            storm.run();
             harmlessOnes += storm.harmlessOnes();
             refused += storm.refused();
             assertThat(storm.poisonCrashes())
@@ -104,36 +104,36 @@
      */
     @Example
     void whatARequestWasReleasedFromIsNotHeldAgainstItAgain() {
-        PoisonRegister register = quarantined();
-        PoisonRegister cutOff = quarantined();
+        PoisonRegistry register = quarantined();
+        PoisonRegistry cutOff = quarantined();
         assertThat(register.isQuarantined(POISON)).isTrue();
         QuarantinedRequest released = register.quarantine()
-                .released(POISON, "ada", "engine mended", 7)
+                .releaseRow(POISON, "ada", "engine mended", 7)
                 .orElseThrow();
         register.merge(SECOND, released, numbers);
         tell(cutOff, register);
-        register.findPoison(4 * SECOND, "vm", numbers);
+        register.quarantinePoison(4 * SECOND, "vm", numbers);
         assertThat(register.isQuarantined(POISON)).isFalse();
-        PoisonRegister restarted = new PoisonRegister();
+        PoisonRegistry restarted = new PoisonRegistry();
         restarted.merge(SECOND, released, numbers);
         tell(cutOff, restarted);
-        restarted.findPoison(4 * SECOND, "vm", numbers);
+        restarted.quarantinePoison(4 * SECOND, "vm", numbers);
         assertThat(restarted.isQuarantined(POISON)).isFalse();
     }
 
     @Example
     void threeNewCrashesAfterItsReleaseQuarantineItAgain() {
-        PoisonRegister register = quarantined();
+        PoisonRegistry register = quarantined();
         register.merge(
                 SECOND,
                 register.quarantine()
-                        .released(POISON, "ada", "engine mended", 7)
+                        .releaseRow(POISON, "ada", "engine mended", 7)
                         .orElseThrow(),
                 numbers);
         for (String upstream : List.of("u4", "u5", "u6")) {
             crash(register, upstream, POISON, Involvement.JUST_BEGUN);
         }
-        register.findPoison(4 * SECOND, "vm", numbers);
+        register.quarantinePoison(4 * SECOND, "vm", numbers);
         assertThat(register.isQuarantined(POISON)).isTrue();
         assertThat(register.quarantine().all().iterator().next().getGeneration())
                 .isEqualTo(2);
@@ -141,8 +141,8 @@
 
     @Example
     void aQuarantinedRequestThatEndsWellAfterAllIsReleased() {
-        PoisonRegister register = quarantined();
-        assertThat(register.endedWell(SECOND, POISON, "vm", numbers)).isTrue();
+        PoisonRegistry register = quarantined();
+        assertThat(register.onSuccess(SECOND, POISON, "vm", numbers)).isTrue();
         assertThat(register.isQuarantined(POISON)).isFalse();
     }
 
@@ -150,15 +150,15 @@
     void ofMoreQuarantinedRequestsThanAreKeptTheReleasedGoFirst() {
         Quarantine quarantine = new Quarantine();
         Fingerprint first = new Fingerprint(9, 0);
-        quarantine.merge(quarantine.quarantined(first, List.of("u"), "vm"), numbers);
+        quarantine.merge(quarantine.quarantineRow(first, List.of("u"), "vm"), numbers);
         for (int request = 1; request <= 1_023; request++) {
             Fingerprint next = new Fingerprint(9, request);
-            quarantine.merge(quarantine.quarantined(next, List.of("u"), "vm"), numbers);
+            quarantine.merge(quarantine.quarantineRow(next, List.of("u"), "vm"), numbers);
         }
         Fingerprint released = new Fingerprint(9, 500);
-        quarantine.merge(quarantine.released(released, "ada", "", 0).orElseThrow(), numbers);
-        quarantine.merge(quarantine.quarantined(POISON, List.of("u"), "vm"), numbers);
-        assertThat(quarantine.holds(first)).isTrue();
+        quarantine.merge(quarantine.releaseRow(released, "ada", "", 0).orElseThrow(), numbers);
+        quarantine.merge(quarantine.quarantineRow(POISON, List.of("u"), "vm"), numbers);
+        assertThat(quarantine.isQuarantined(first)).isTrue();
         assertThat(quarantine.all()).hasSize(1_024);
         assertThat(quarantine.all()).extracting(Quarantine::fingerprint).doesNotContain(released);
     }
--- a/src/test/java/org/cuminshelf/trial/DirectFleet.java
+++ b/src/test/java/org/cuminshelf/trial/DirectFleet.java
@@ -12,7 +12,7 @@
 import java.util.function.Consumer;
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
-import org.cuminshelf.backpressure.DemandHeaders;
+import org.cuminshelf.backpressure.TestBackpressureHeaders;
 import org.cuminshelf.control.ControlCore;
 import org.cuminshelf.control.ControlSettings;
 import org.cuminshelf.core.Address;
@@ -392,7 +392,7 @@
                     headers.contains("Not-Run"),
                     Optional.ofNullable(headers.get("Start")),
                     headers.contains("Seal"),
-                    DemandHeaders.read(headers));
+                    TestBackpressureHeaders.read(headers));
         }
 
         @Override
