--- a/src/main/java/org/cuminshelf/backpressure/Backpressure.java
+++ b/src/main/java/org/cuminshelf/backpressure/Backpressure.java
@@ -54,33 +54,33 @@
      * Tells when a request may be sent to an upstream.
      *
      * @param now   the time in nanoseconds
-     * @param start identity of its start
+     * @param instanceId identity of its start
      * @return a time in nanoseconds, not after {@code now} if one may be sent now
      */
-    public long nextSendTime(long now, String start) {
-        return Math.max(limits.nextPermitTime(now, start), backoffs.nextSendTime(start));
+    public long nextSendTime(long now, String instanceId) {
+        return Math.max(limits.nextPermitTime(now, instanceId), backoffs.nextSendTime(instanceId));
     }
 
     /**
      * Tells whether a request may be sent to an upstream now.
      *
      * @param now   the time in nanoseconds
-     * @param start identity of its start
+     * @param instanceId identity of its start
      * @return true if it may
      */
-    public boolean maySend(long now, String start) {
-        return nextSendTime(now, start) <= now;
+    public boolean maySend(long now, String instanceId) {
+        return nextSendTime(now, instanceId) <= now;
     }
 
     /**
      * Tells whether a request for which a permit was kept may be sent to an upstream now.
      *
      * @param now   the time in nanoseconds
-     * @param start identity of its start
+     * @param instanceId identity of its start
      * @return true if it may
      */
-    public boolean maySendWithReservedPermit(long now, String start) {
-        return backoffs.nextSendTime(start) <= now;
+    public boolean maySendWithReservedPermit(long now, String instanceId) {
+        return backoffs.nextSendTime(instanceId) <= now;
     }
 
     /**
@@ -97,10 +97,10 @@
      * Takes note of a request that is sent.
      *
      * @param now   the time in nanoseconds
-     * @param start identity of the upstream's start
+     * @param instanceId identity of the upstream's start
      */
-    public void onRequestSent(long now, String start) {
-        limits.takePermit(now, start);
-        backoffs.onRequestSent(now, start);
+    public void onRequestSent(long now, String instanceId) {
+        limits.takePermit(now, instanceId);
+        backoffs.onRequestSent(now, instanceId);
     }
 }
--- a/src/main/java/org/cuminshelf/backpressure/LeavingUpstreams.java
+++ b/src/main/java/org/cuminshelf/backpressure/LeavingUpstreams.java
@@ -19,7 +19,7 @@
     /** Time for which the other entries are told: each hears of it several times. */
     private static final long REPORT_PERIOD_NANOS = Durations.nanos(2_000);
 
-    private static final int MAX_STARTS = 10_000;
+    private static final int MAX_INSTANCES = 10_000;
 
     /**
      * A start that leaves.
@@ -27,9 +27,9 @@
      * @param firstReportedAt       when that was first heard, in nanoseconds
      * @param reportedLocally whether this entry heard it from the upstream, and not from another entry
      */
-    private record LeavingStart(long firstReportedAt, boolean reportedLocally) {}
+    private record LeavingInstance(long firstReportedAt, boolean reportedLocally) {}
 
-    private final Map<String, LeavingStart> leavingStarts = new LinkedHashMap<>();
+    private final Map<String, LeavingInstance> leavingInstances = new LinkedHashMap<>();
 
     private LeavingUpstreams() {}
 
@@ -46,14 +46,14 @@
      * Takes an upstream's word that it leaves.
      *
      * @param now      the time in nanoseconds
-     * @param start    identity of its start
+     * @param instanceId    identity of its start
      * @param reportedLocally whether it came in an answer to this entry, and not from another entry
      * @return whether that is news
      */
-    public boolean add(long now, String start, boolean reportedLocally) {
-        boolean added = leavingStarts.putIfAbsent(start, new LeavingStart(now, reportedLocally)) == null;
-        if (leavingStarts.size() > MAX_STARTS) {
-            leavingStarts.remove(leavingStarts.keySet().iterator().next());
+    public boolean add(long now, String instanceId, boolean reportedLocally) {
+        boolean added = leavingInstances.putIfAbsent(instanceId, new LeavingInstance(now, reportedLocally)) == null;
+        if (leavingInstances.size() > MAX_INSTANCES) {
+            leavingInstances.remove(leavingInstances.keySet().iterator().next());
         }
         return added;
     }
@@ -61,11 +61,11 @@
     /**
      * Tells whether an upstream said that it leaves.
      *
-     * @param start identity of its start
+     * @param instanceId identity of its start
      * @return true if it did
      */
-    public boolean contains(String start) {
-        return leavingStarts.containsKey(start);
+    public boolean contains(String instanceId) {
+        return leavingInstances.containsKey(instanceId);
     }
 
     /**
@@ -75,7 +75,7 @@
      * @return starts that said lately to this entry that they leave
      */
     public List<String> recentLocalReports(long now) {
-        return leavingStarts.entrySet().stream()
+        return leavingInstances.entrySet().stream()
                 .filter(entry -> entry.getValue().reportedLocally
                         && now - entry.getValue().firstReportedAt < REPORT_PERIOD_NANOS)
                 .map(Map.Entry::getKey)
@@ -88,7 +88,7 @@
      * @param now the time in nanoseconds
      */
     public void tick(long now) {
-        Iterator<LeavingStart> oldest = leavingStarts.values().iterator();
+        Iterator<LeavingInstance> oldest = leavingInstances.values().iterator();
         while (oldest.hasNext() && now - oldest.next().firstReportedAt > RETENTION_NANOS) {
             oldest.remove();
         }
--- a/src/main/java/org/cuminshelf/backpressure/UpstreamBackoffs.java
+++ b/src/main/java/org/cuminshelf/backpressure/UpstreamBackoffs.java
@@ -22,10 +22,10 @@
     /**
      * Rest that this entry was asked for, for the other entries.
      *
-     * @param start     identity of the upstream's start
+     * @param instanceId     identity of the upstream's start
      * @param remainingNanos how much of it is left
      */
-    public record RemainingBackoff(String start, long remainingNanos) {}
+    public record RemainingBackoff(String instanceId, long remainingNanos) {}
 
     /** Time after which one more request is tried after a rest: refusals come much sooner. */
     private static final long PROBE_INTERVAL_NANOS = Durations.nanos(250);
@@ -67,24 +67,24 @@
      * Takes a refusal that asks for rest. A shorter one that comes later ends no longer one.
      *
      * @param now   when it came, in nanoseconds
-     * @param start identity of the upstream's start
+     * @param instanceId identity of the upstream's start
      * @param duration  how long it wants nothing from here
      */
-    public void onBackoffRequested(long now, String start, Duration duration) {
-        Backoff known = backoffs.computeIfAbsent(start, key -> new Backoff(now));
+    public void onBackoffRequested(long now, String instanceId, Duration duration) {
+        Backoff known = backoffs.computeIfAbsent(instanceId, key -> new Backoff(now));
         known.until = Math.max(known.until, now + duration.toNanos());
     }
 
     /**
      * Takes any other answer. It ends a rest that is over in time, if its request was sent after that.
      *
-     * @param start  identity of the upstream's start
+     * @param instanceId  identity of the upstream's start
      * @param sentAt when its request was sent, in nanoseconds
      */
-    public void onAnswer(String start, long sentAt) {
-        Backoff known = backoffs.get(start);
+    public void onAnswer(String instanceId, long sentAt) {
+        Backoff known = backoffs.get(instanceId);
         if (known != null && sentAt >= known.until) {
-            backoffs.remove(start);
+            backoffs.remove(instanceId);
         }
     }
 
@@ -95,17 +95,17 @@
      * @param report what is left of it
      */
     public void onRemoteReport(long now, RemainingBackoff report) {
-        remoteEnds.merge(report.start(), now + report.remainingNanos(), Math::max);
+        remoteEnds.merge(report.instanceId(), now + report.remainingNanos(), Math::max);
     }
 
     /**
      * Tells when a request may be sent to an upstream.
      *
-     * @param start identity of its start
+     * @param instanceId identity of its start
      * @return a time in nanoseconds; {@link Long#MIN_VALUE} where it asked for nothing
      */
-    public long nextSendTime(String start) {
-        Backoff known = backoffs.get(start);
+    public long nextSendTime(String instanceId) {
+        Backoff known = backoffs.get(instanceId);
         return known == null ? Long.MIN_VALUE : known.nextSendTime();
     }
 
@@ -122,21 +122,21 @@
      * Tells whether an upstream asked another entry for rest that isn't over.
      *
      * @param now   the time in nanoseconds
-     * @param start identity of its start
+     * @param instanceId identity of its start
      * @return true if it did
      */
-    public boolean isBackedOffRemotely(long now, String start) {
-        return remoteEnds.getOrDefault(start, Long.MIN_VALUE) > now;
+    public boolean isBackedOffRemotely(long now, String instanceId) {
+        return remoteEnds.getOrDefault(instanceId, Long.MIN_VALUE) > now;
     }
 
     /**
      * Takes note of a request that is sent.
      *
      * @param now   the time in nanoseconds
-     * @param start identity of the upstream's start
+     * @param instanceId identity of the upstream's start
      */
-    public void onRequestSent(long now, String start) {
-        Backoff known = backoffs.get(start);
+    public void onRequestSent(long now, String instanceId) {
+        Backoff known = backoffs.get(instanceId);
         if (known != null) {
             known.probedAt = now;
         }
--- a/src/main/java/org/cuminshelf/backpressure/UpstreamRateLimit.java
+++ b/src/main/java/org/cuminshelf/backpressure/UpstreamRateLimit.java
@@ -20,7 +20,7 @@
 
     private static final double NANOS_PER_SECOND = Durations.nanos(1_000);
 
-    private final String start;
+    private final String instanceId;
     private final String service;
     private LimitState latest = new LimitState(OptionalDouble.empty(), Long.MIN_VALUE);
     /** Whether this entry itself heard the newest statement, and not from another entry. */
@@ -29,14 +29,14 @@
     private long lastActiveAt;
     private PermitSchedule permits;
 
-    UpstreamRateLimit(long now, String start, String service) {
-        this.start = start;
+    UpstreamRateLimit(long now, String instanceId, String service) {
+        this.instanceId = instanceId;
         this.service = service;
         this.lastActiveAt = now;
     }
 
-    String start() {
-        return start;
+    String instanceId() {
+        return instanceId;
     }
 
     String service() {
@@ -98,7 +98,7 @@
         double intervalNanos = NANOS_PER_SECOND / (totalPerSecond * localShare);
         double lifetimeNanos = LimitSharing.permitLifetimeNanos(totalPerSecond);
         if (permits == null) {
-            permits = new PermitSchedule(now, intervalNanos, lifetimeNanos, phase(self, entries));
+            permits = new PermitSchedule(now, intervalNanos, lifetimeNanos, initialPhase(self, entries));
         } else {
             permits.changeInterval(now, intervalNanos, lifetimeNanos);
         }
@@ -108,7 +108,7 @@
      * Part of an interval after which this entry's first permit comes: each entry has another place in it, the same by
      * the reckoning of all, so that their permits come one after the other.
      */
-    private double phase(Address self, List<Address> entries) {
+    private double initialPhase(Address self, List<Address> entries) {
         long ownHash = hashOf(self);
         long preceding =
                 entries.stream().filter(entry -> hashOf(entry) < ownHash).count();
@@ -116,7 +116,7 @@
     }
 
     private long hashOf(Address entry) {
-        return LongHashFunction.xx3().hashChars(entry.value() + "/" + start);
+        return LongHashFunction.xx3().hashChars(entry.value() + "/" + instanceId);
     }
 
     /** When the next request may be sent there, in nanoseconds; {@link Long#MIN_VALUE} without a limit. */
--- a/src/main/java/org/cuminshelf/backpressure/UpstreamRateLimits.java
+++ b/src/main/java/org/cuminshelf/backpressure/UpstreamRateLimits.java
@@ -33,11 +33,11 @@
     /**
      * What this entry heard from an upstream, for the other entries.
      *
-     * @param start     identity of the upstream's start
+     * @param instanceId     identity of the upstream's start
      * @param perSecond requests a second that it takes, empty once it names no limit any more
      * @param ageNanos  how long ago that was known to hold
      */
-    public record LimitReport(String start, OptionalDouble perSecond, long ageNanos) {}
+    public record LimitReport(String instanceId, OptionalDouble perSecond, long ageNanos) {}
 
     /**
      * Calls at this entry, for the other entries.
@@ -93,18 +93,18 @@
      * last named: answers overtake each other, and the head of a long stream was written before.
      *
      * @param now     when it came, in nanoseconds
-     * @param start   identity of the upstream's start that gave it
+     * @param instanceId   identity of the upstream's start that gave it
      * @param service the service of the upstream
      * @param sentAt  when its request was sent, in nanoseconds
      * @param advertised  what it says
      * @return what changed, if anything
      */
     public Optional<LimitChange> onAnswer(
-            long now, String start, String service, long sentAt, AdvertisedLimit advertised) {
+            long now, String instanceId, String service, long sentAt, AdvertisedLimit advertised) {
         if (advertised instanceof AdvertisedLimit.PerSecond) {
-            limits.computeIfAbsent(start, key -> new UpstreamRateLimit(now, start, service));
+            limits.computeIfAbsent(instanceId, key -> new UpstreamRateLimit(now, instanceId, service));
         }
-        UpstreamRateLimit limit = limits.get(start);
+        UpstreamRateLimit limit = limits.get(instanceId);
         if (limit == null) {
             return Optional.empty();
         }
@@ -123,9 +123,10 @@
      */
     public Optional<LimitChange> onRemoteReport(long now, String service, LimitReport report) {
         if (report.perSecond().isPresent()) {
-            limits.computeIfAbsent(report.start(), key -> new UpstreamRateLimit(now, report.start(), service));
+            limits.computeIfAbsent(
+                    report.instanceId(), key -> new UpstreamRateLimit(now, report.instanceId(), service));
         }
-        UpstreamRateLimit limit = limits.get(report.start());
+        UpstreamRateLimit limit = limits.get(report.instanceId());
         if (limit == null) {
             return Optional.empty();
         }
@@ -169,11 +170,11 @@
     /**
      * Tells whether an upstream states a limit now.
      *
-     * @param start identity of its start
+     * @param instanceId identity of its start
      * @return true if it does
      */
-    public boolean isLimited(String start) {
-        UpstreamRateLimit limit = limits.get(start);
+    public boolean isLimited(String instanceId) {
+        UpstreamRateLimit limit = limits.get(instanceId);
         return limit != null && limit.perSecond().isPresent();
     }
 
@@ -181,11 +182,11 @@
      * Tells when a request may be sent to an upstream.
      *
      * @param now   the time in nanoseconds
-     * @param start identity of its start
+     * @param instanceId identity of its start
      * @return a time in nanoseconds, not after {@code now} if one may be sent now
      */
-    public long nextPermitTime(long now, String start) {
-        UpstreamRateLimit limit = limits.get(start);
+    public long nextPermitTime(long now, String instanceId) {
+        UpstreamRateLimit limit = limits.get(instanceId);
         return limit == null ? Long.MIN_VALUE : limit.nextPermitTime(now);
     }
 
@@ -193,30 +194,30 @@
      * Tells whether a request may be sent to an upstream now.
      *
      * @param now   the time in nanoseconds
-     * @param start identity of its start
+     * @param instanceId identity of its start
      * @return true if it may
      */
-    public boolean hasPermit(long now, String start) {
-        return nextPermitTime(now, start) <= now;
+    public boolean hasPermit(long now, String instanceId) {
+        return nextPermitTime(now, instanceId) <= now;
     }
 
     /**
      * Uses a permit, for a request that is sent, or to keep it for one that will be.
      *
      * @param now   the time in nanoseconds
-     * @param start identity of the upstream's start
+     * @param instanceId identity of the upstream's start
      */
-    public void takePermit(long now, String start) {
-        Optional.ofNullable(limits.get(start)).ifPresent(limit -> limit.takePermit(now));
+    public void takePermit(long now, String instanceId) {
+        Optional.ofNullable(limits.get(instanceId)).ifPresent(limit -> limit.takePermit(now));
     }
 
     /**
      * Takes back a permit that was kept.
      *
-     * @param start identity of the upstream's start
+     * @param instanceId identity of the upstream's start
      */
-    public void returnPermit(String start) {
-        Optional.ofNullable(limits.get(start)).ifPresent(UpstreamRateLimit::returnPermit);
+    public void returnPermit(String instanceId) {
+        Optional.ofNullable(limits.get(instanceId)).ifPresent(UpstreamRateLimit::returnPermit);
     }
 
     /**
@@ -248,7 +249,9 @@
                 .filter(limit ->
                         limit.perSecond().isPresent() || now - limit.latest().validAt() < REMOVAL_REPORT_PERIOD_NANOS)
                 .map(limit -> new LimitReport(
-                        limit.start(), limit.perSecond(), now - limit.latest().validAt()))
+                        limit.instanceId(),
+                        limit.perSecond(),
+                        now - limit.latest().validAt()))
                 .toList();
     }
 
--- a/src/main/java/org/cuminshelf/direct/LoadGossip.java
+++ b/src/main/java/org/cuminshelf/direct/LoadGossip.java
@@ -157,7 +157,7 @@
     private boolean addDemands(long now, EntryLoad.Builder load) {
         for (UpstreamRateLimits.LimitReport heard : backpressure.limits().localLimitReports(now)) {
             HeardLimit.Builder limit = HeardLimit.newBuilder()
-                    .setUpstream(heard.start())
+                    .setUpstream(heard.instanceId())
                     .setAgeUs((long) (heard.ageNanos() / NANOS_PER_MICRO));
             heard.perSecond().ifPresent(limit::setPerSecond);
             load.addLimits(limit);
@@ -167,8 +167,9 @@
                     ServiceDemand.newBuilder().setService(demand.service()).setCallsPerSecond(demand.perSecond()));
         }
         for (UpstreamBackoffs.RemainingBackoff rest : backpressure.backoffs().localReports(now)) {
-            load.addRests(RestingUpstream.newBuilder().setUpstream(rest.start()).setLeftUs((long)
-                    (rest.remainingNanos() / NANOS_PER_MICRO)));
+            load.addRests(
+                    RestingUpstream.newBuilder().setUpstream(rest.instanceId()).setLeftUs((long)
+                            (rest.remainingNanos() / NANOS_PER_MICRO)));
         }
         load.addAllLeaving(backpressure.leavingUpstreams().recentLocalReports(now));
         return load.getLimitsCount() + load.getDemandsCount() + load.getRestsCount() + load.getLeavingCount() > 0;
--- a/src/test/java/org/cuminshelf/backpressure/LimitSharingSimulation.java
+++ b/src/test/java/org/cuminshelf/backpressure/LimitSharingSimulation.java
@@ -29,60 +29,60 @@
         TURNS
     }
 
-    private static final double SECOND = 1e9;
-    private static final double STEP = SECOND / 1_000;
-    private static final double SECONDS = 20;
+    private static final double NANOS_PER_SECOND = 1e9;
+    private static final double STEP_NANOS = NANOS_PER_SECOND / 1_000;
+    private static final double DURATION_SECONDS = 20;
     /** Calls a second of a usual entry, each of which may go to the upstream with the limit. */
-    private static final double CALLS_OF_ENTRY = 14;
+    private static final double CALLS_PER_ENTRY_PER_SECOND = 14;
 
-    private static final int NEWS_EVERY = 100;
-    private static final int DEMAND_SPAN = 1_000;
+    private static final int REPORT_INTERVAL_STEPS = 100;
+    private static final int DEMAND_SMOOTHING_STEPS = 1_000;
 
     private final int entries;
     private final double limit;
-    private final SharingStrategy way;
+    private final SharingStrategy strategy;
     private final Traffic traffic;
     private final UniformRandomProvider random;
     private final PermitSchedule[] permits;
     private final double[] demand;
-    private final double[] told;
+    private final double[] reportedDemand;
     private final Deque<Double> window = new ArrayDeque<>();
     private final List<Double> sent = new ArrayList<>();
 
-    LimitSharingSimulation(int entries, double limit, SharingStrategy way, Traffic traffic, long seed) {
+    LimitSharingSimulation(int entries, double limit, SharingStrategy strategy, Traffic traffic, long seed) {
         this.entries = entries;
         this.limit = limit;
-        this.way = way;
+        this.strategy = strategy;
         this.traffic = traffic;
         this.random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
         this.permits = new PermitSchedule[entries];
         this.demand = new double[entries];
-        this.told = new double[entries];
+        this.reportedDemand = new double[entries];
     }
 
-    private double calls(int entry, double now) {
-        double all = traffic == Traffic.FEW_CALLS ? limit / 2 : 4 * limit + CALLS_OF_ENTRY * entries;
+    private double callsPerSecond(int entry, double now) {
+        double all = traffic == Traffic.FEW_CALLS ? limit / 2 : 4 * limit + CALLS_PER_ENTRY_PER_SECOND * entries;
         return switch (traffic) {
             case EVEN, FEW_CALLS -> all / entries;
             case ONE_ENTRY -> entry == 0 ? all : 0;
-            case TURNS -> entry % 3 == (int) (now / SECOND / 3) % 3 ? 3 * all / entries : 0.1 * all / entries;
+            case TURNS -> entry % 3 == (int) (now / NANOS_PER_SECOND / 3) % 3 ? 3 * all / entries : 0.1 * all / entries;
         };
     }
 
     private double share(int entry) {
-        return switch (way) {
+        return switch (strategy) {
             case EQUAL -> limit / entries;
             case OWNERS -> {
                 int owners = Math.min(entries, Math.max(1, (int) Math.ceil(limit)));
                 yield entry < owners ? limit / owners : 0;
             }
             case DEMAND -> {
-                double own = Math.max(LimitSharing.MIN_CALLS_PER_SECOND, demand[entry]);
+                double ownRate = Math.max(LimitSharing.MIN_CALLS_PER_SECOND, demand[entry]);
                 double others = 0;
                 for (int other = 0; other < entries; other++) {
-                    others += other == entry ? 0 : Math.max(LimitSharing.MIN_CALLS_PER_SECOND, told[other]);
+                    others += other == entry ? 0 : Math.max(LimitSharing.MIN_CALLS_PER_SECOND, reportedDemand[other]);
                 }
-                yield limit * own / (own + others);
+                yield limit * ownRate / (ownRate + others);
             }
         };
     }
@@ -95,30 +95,30 @@
      */
     record Outcome(double used, int worst) {}
 
-    Outcome play() {
-        for (int step = 0; step < SECONDS * SECOND / STEP; step++) {
-            double now = step * STEP;
+    Outcome run() {
+        for (int step = 0; step < DURATION_SECONDS * NANOS_PER_SECOND / STEP_NANOS; step++) {
+            double now = step * STEP_NANOS;
             for (int entry = 0; entry < entries; entry++) {
-                demand[entry] += (calls(entry, now) - demand[entry]) / DEMAND_SPAN;
-                if ((step + entry * 7) % NEWS_EVERY == 0) {
-                    told[entry] = demand[entry];
+                demand[entry] += (callsPerSecond(entry, now) - demand[entry]) / DEMAND_SMOOTHING_STEPS;
+                if ((step + entry * 7) % REPORT_INTERVAL_STEPS == 0) {
+                    reportedDemand[entry] = demand[entry];
                     refresh(entry, now);
                 }
-                if (random.nextDouble() < calls(entry, now) * STEP / SECOND) {
-                    call(entry, now);
+                if (random.nextDouble() < callsPerSecond(entry, now) * STEP_NANOS / NANOS_PER_SECOND) {
+                    tryToSend(entry, now);
                 }
             }
         }
         int worst = 0;
         for (double at : sent) {
             window.add(at);
-            while (window.getFirst() <= at - 4 * SECOND) {
+            while (window.getFirst() <= at - 4 * NANOS_PER_SECOND) {
                 window.removeFirst();
             }
             worst = Math.max(worst, window.size());
         }
-        double wanted = traffic == Traffic.FEW_CALLS ? limit / 2 : limit;
-        return new Outcome(sent.size() / (wanted * SECONDS), worst);
+        double expected = traffic == Traffic.FEW_CALLS ? limit / 2 : limit;
+        return new Outcome(sent.size() / (expected * DURATION_SECONDS), worst);
     }
 
     private void refresh(int entry, double now) {
@@ -126,16 +126,16 @@
         if (share <= 0) {
             return;
         }
-        double interval = SECOND / share;
-        double lapse = LimitSharing.permitLifetimeNanos(limit);
+        double intervalNanos = NANOS_PER_SECOND / share;
+        double lifetimeNanos = LimitSharing.permitLifetimeNanos(limit);
         if (permits[entry] == null) {
-            permits[entry] = new PermitSchedule((long) now, interval, lapse, (entry + 1.0) / entries);
+            permits[entry] = new PermitSchedule((long) now, intervalNanos, lifetimeNanos, (entry + 1.0) / entries);
         } else {
-            permits[entry].changeInterval((long) now, interval, lapse);
+            permits[entry].changeInterval((long) now, intervalNanos, lifetimeNanos);
         }
     }
 
-    private void call(int entry, double now) {
+    private void tryToSend(int entry, double now) {
         if (permits[entry] != null && permits[entry].nextPermitTime((long) now) <= now) {
             permits[entry].takePermit((long) now);
             sent.add(now);
@@ -153,9 +153,9 @@
                 for (double limit : new double[] {0.5, 5, 50, 200}) {
                     StringBuilder line =
                             new StringBuilder(String.format(Locale.ROOT, "| %s | %d | %.1f ", traffic, entries, limit));
-                    for (SharingStrategy way : SharingStrategy.values()) {
+                    for (SharingStrategy strategy : SharingStrategy.values()) {
                         line.append("| ")
-                                .append(new LimitSharingSimulation(entries, limit, way, traffic, 1).play())
+                                .append(new LimitSharingSimulation(entries, limit, strategy, traffic, 1).run())
                                 .append(' ');
                     }
                     System.out.println(line.append('|'));
--- a/src/test/java/org/cuminshelf/backpressure/PermitScheduleTest.java
+++ b/src/test/java/org/cuminshelf/backpressure/PermitScheduleTest.java
@@ -12,64 +12,64 @@
 /** Permits at even intervals that lapse. */
 class PermitScheduleTest {
 
-    private static final double INTERVAL = 100;
-    private static final double LAPSE = 250;
+    private static final double INTERVAL_NANOS = 100;
+    private static final double LIFETIME_NANOS = 250;
 
-    private final PermitSchedule permits = new PermitSchedule(0, INTERVAL, LAPSE, 1);
+    private final PermitSchedule permits = new PermitSchedule(0, INTERVAL_NANOS, LIFETIME_NANOS, 1);
 
-    private boolean take(long now) {
-        boolean open = permits.nextPermitTime(now) <= now;
-        if (open) {
+    private boolean tryTake(long now) {
+        boolean available = permits.nextPermitTime(now) <= now;
+        if (available) {
             permits.takePermit(now);
         }
-        return open;
+        return available;
     }
 
     @Example
-    void theFirstComesAfterItsPartOfAnInterval() {
-        assertThat(take(99)).isFalse();
-        assertThat(take(100)).isTrue();
-        assertThat(take(199)).isFalse();
-        assertThat(take(200)).isTrue();
+    void theFirstPermitComesAfterItsPhase() {
+        assertThat(tryTake(99)).isFalse();
+        assertThat(tryTake(100)).isTrue();
+        assertThat(tryTake(199)).isFalse();
+        assertThat(tryTake(200)).isTrue();
     }
 
     /** Guards against a burst of what was not used while an entry was idle or stood still. */
     @Example
-    void whatWasNotUsedLapses() {
+    void unusedPermitsExpire() {
         int used = 0;
-        while (take(10_000)) {
+        while (tryTake(10_000)) {
             used++;
         }
         assertThat(used).isEqualTo(3);
     }
 
     @Example
-    void oneThatIsGivenBackMayBeUsed() {
-        take(100);
+    void aReturnedPermitMayBeUsedAgain() {
+        tryTake(100);
         permits.returnPermit();
-        assertThat(take(100)).isTrue();
-        assertThat(take(100)).isFalse();
+        assertThat(tryTake(100)).isTrue();
+        assertThat(tryTake(100)).isFalse();
     }
 
     @Example
-    void aNewIntervalCountsWhatWasWaitedFor() {
-        permits.changeInterval(50, 2 * INTERVAL, LAPSE);
+    void anIntervalChangeScalesTheRemainingWait() {
+        permits.changeInterval(50, 2 * INTERVAL_NANOS, LIFETIME_NANOS);
         assertThat(permits.nextPermitTime(50)).isEqualTo(150);
     }
 
     @Property(tries = 300, seed = "7")
-    void inAnyTimeNoMoreAreUsedThanCameInItAndThoseThatStood(
+    void inAnyPeriodAtMostTheIssuedAndUnexpiredPermitsAreUsed(
             @ForAll @Size(max = 300) List<@IntRange(max = 60) Integer> pauses) {
         long now = 0;
         long first = -1;
         int used = 0;
         for (int pause : pauses) {
             now += pause;
-            if (take(now)) {
+            if (tryTake(now)) {
                 first = first < 0 ? now : first;
                 used++;
             }
         }
-        assertThat(used).isLessThanOrEqualTo((int) ((now - Math.max(0, first) + LAPSE) / INTERVAL) + 1);
+        assertThat(used).isLessThanOrEqualTo((int) ((now - Math.max(0, first) + LIFETIME_NANOS) / INTERVAL_NANOS) + 1);
     }
 }
--- a/src/test/java/org/cuminshelf/engines/EngineLatencyModelTest.java
+++ b/src/test/java/org/cuminshelf/engines/EngineLatencyModelTest.java
@@ -18,53 +18,56 @@
     private static final int ENGINES = 12;
 
     /** A service's engines drawn at random: prefill from 15 to 120 tokens a millisecond, latencies from 5 to 200 ms. */
-    private static final class Drawn {
+    private static final class RandomService {
         private final UniformRandomProvider random;
-        private final double latency;
-        private final double perThousand;
-        private final double perMillionPairs;
+        private final double latencyMillis;
+        private final double millisPerThousandTokens;
+        private final double millisPerMillionPairs;
         private final EngineLatencyModel model = EngineLatencyModel.create();
         private double slowFactor = 1;
 
-        private Drawn(long seed) {
+        private RandomService(long seed) {
             this.random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
-            this.latency = 5 + 195 * random.nextDouble();
-            this.perThousand = 8 + 58 * random.nextDouble();
-            this.perMillionPairs = 0.1 + 0.9 * random.nextDouble();
+            this.latencyMillis = 5 + 195 * random.nextDouble();
+            this.millisPerThousandTokens = 8 + 58 * random.nextDouble();
+            this.millisPerMillionPairs = 0.1 + 0.9 * random.nextDouble();
         }
 
-        private double took(int held, int uncached) {
-            double pairs = (double) uncached * (held + uncached / 2.0);
-            return latency + perThousand * uncached / 1e3 + perMillionPairs * pairs / 1e6;
+        private double prefillMillis(int cachedTokens, int uncachedTokens) {
+            double pairs = (double) uncachedTokens * (cachedTokens + uncachedTokens / 2.0);
+            return latencyMillis + millisPerThousandTokens * uncachedTokens / 1e3 + millisPerMillionPairs * pairs / 1e6;
         }
 
-        private void observe(int engine, double wrongShare) {
-            int held = 200 * random.nextInt(60);
-            int uncached = 100 + 100 * random.nextInt(70);
-            double took = took(held, uncached) * (engine == 0 ? slowFactor : 1) * (0.95 + 0.1 * random.nextDouble());
-            if (random.nextDouble() < wrongShare) {
+        private void observe(int engine, double outlierShare) {
+            int cachedTokens = 200 * random.nextInt(60);
+            int uncachedTokens = 100 + 100 * random.nextInt(70);
+            double elapsedMillis = prefillMillis(cachedTokens, uncachedTokens)
+                    * (engine == 0 ? slowFactor : 1)
+                    * (0.95 + 0.1 * random.nextDouble());
+            if (random.nextDouble() < outlierShare) {
                 // A part believed held was not, or the observer stood still for a while.
-                took += 400 * random.nextDouble();
+                elapsedMillis += 400 * random.nextDouble();
             }
-            model.observePrompt(new PromptSample("e" + engine, false, 0, held, uncached, 0, took));
+            model.observePrompt(
+                    new PromptSample("e" + engine, false, 0, cachedTokens, uncachedTokens, 0, elapsedMillis));
         }
 
-        private double expected(int engine, int held, int uncached) {
-            return model.prefillMillis("e" + engine, false, 0, held, uncached)
+        private double expectedMillis(int engine, int cachedTokens, int uncachedTokens) {
+            return model.prefillMillis("e" + engine, false, 0, cachedTokens, uncachedTokens)
                     + model.latencyMillis("e" + engine, false);
         }
     }
 
     @Property(tries = 10, seed = "21")
-    void twoHundredPromptsTellAnyEnginesTimesWithinFifteenPercent(@ForAll @LongRange(max = 1L << 40) long seed) {
-        Drawn drawn = new Drawn(seed);
+    void twoHundredPromptsPredictAnyEnginesTimesWithinFifteenPercent(@ForAll @LongRange(max = 1L << 40) long seed) {
+        RandomService service = new RandomService(seed);
         for (int index = 0; index < OBSERVATIONS; index++) {
-            drawn.observe(1 + index % ENGINES, 0.15);
+            service.observe(1 + index % ENGINES, 0.15);
         }
         List<Double> errors = new ArrayList<>();
         for (int size = 300; size <= 6_900; size += 300) {
-            double real = drawn.took(4_000, size);
-            errors.add(Math.abs(drawn.expected(1, 4_000, size) - real) / real);
+            double actualMillis = service.prefillMillis(4_000, size);
+            errors.add(Math.abs(service.expectedMillis(1, 4_000, size) - actualMillis) / actualMillis);
         }
         errors.sort(Double::compare);
         assertThat(errors.get(errors.size() / 2)).isLessThan(0.15);
@@ -76,17 +79,17 @@
      * the ten prompts that it takes in some three seconds it must count as at least three times slower.
      */
     @Property(tries = 10, seed = "22")
-    void anEngineThatTurnsFiveTimesSlowerIsToldWithinTenPrompts(@ForAll @LongRange(max = 1L << 40) long seed) {
-        Drawn drawn = new Drawn(seed);
+    void aFivefoldSlowdownIsDetectedWithinTenPrompts(@ForAll @LongRange(max = 1L << 40) long seed) {
+        RandomService service = new RandomService(seed);
         for (int index = 0; index < OBSERVATIONS; index++) {
-            drawn.observe(index % ENGINES, 0.15);
+            service.observe(index % ENGINES, 0.15);
         }
-        drawn.slowFactor = 5;
+        service.slowFactor = 5;
         for (int index = 0; index < 10 * ENGINES; index++) {
-            drawn.observe(index % ENGINES, 0.15);
+            service.observe(index % ENGINES, 0.15);
         }
-        assertThat(drawn.model.slowdown("e0")).isGreaterThan(3);
-        assertThat(drawn.model.slowdown("e1")).isBetween(0.7, 1.4);
+        assertThat(service.model.slowdown("e0")).isGreaterThan(3);
+        assertThat(service.model.slowdown("e1")).isBetween(0.7, 1.4);
     }
 
     /*
@@ -94,24 +97,24 @@
      * sent nothing any more, and so never showed that they are not.
      */
     @Example
-    void anEngineThatIsNotTriedCountsAsUsualAfterAWhile() {
-        Drawn drawn = new Drawn(5);
+    void theSlowdownOfAnUnusedEngineDecays() {
+        RandomService service = new RandomService(5);
         for (int index = 0; index < OBSERVATIONS; index++) {
-            drawn.observe(index % ENGINES, 0);
+            service.observe(index % ENGINES, 0);
         }
-        drawn.slowFactor = 5;
+        service.slowFactor = 5;
         for (int index = 0; index < 10; index++) {
-            drawn.observe(0, 0);
+            service.observe(0, 0);
         }
-        assertThat(drawn.model.slowdown("e0")).isGreaterThan(3);
+        assertThat(service.model.slowdown("e0")).isGreaterThan(3);
         for (int index = 0; index < 1_200; index++) {
-            drawn.observe(1 + index % 11, 0);
+            service.observe(1 + index % 11, 0);
         }
-        assertThat(drawn.model.slowdown("e0")).isLessThan(1.1);
+        assertThat(service.model.slowdown("e0")).isLessThan(1.1);
     }
 
     @Example
-    void handoversAndEventsAreLearntToo() {
+    void handoverTimesAndEventIntervalsAreFitted() {
         EngineLatencyModel model = EngineLatencyModel.create();
         for (int index = 0; index < OBSERVATIONS; index++) {
             int tokens = 500 * (index % 40);
@@ -128,17 +131,17 @@
      * short, engines that generate stand idle while prompts queue elsewhere.
      */
     @Example
-    void whatMayBeReadBesideStreamsFollowsTheirPauses() {
+    void thePrefillAllowanceFollowsThePausesOfStreams() {
         PrefillAllowance allowance = PrefillAllowance.create();
-        double first = allowance.millis();
+        double initial = allowance.millis();
         for (int index = 0; index < 6; index++) {
             allowance.observe(190, 200);
         }
-        assertThat(allowance.millis()).isLessThan(first / 4);
+        assertThat(allowance.millis()).isLessThan(initial / 4);
         for (int index = 0; index < 400; index++) {
             allowance.observe(60, 200);
         }
-        assertThat(allowance.millis()).isGreaterThan(2 * first);
+        assertThat(allowance.millis()).isGreaterThan(2 * initial);
         double before = allowance.millis();
         allowance.observe(10_000, 0);
         assertThat(allowance.millis()).isEqualTo(before);
--- a/src/test/java/org/cuminshelf/engines/PromptQueueTest.java
+++ b/src/test/java/org/cuminshelf/engines/PromptQueueTest.java
@@ -9,8 +9,8 @@
 /** When an engine will be free. */
 class PromptQueueTest {
 
-    private static final long MILLI = 1_000_000;
-    private static final long NOW = 5_000 * MILLI;
+    private static final long NANOS_PER_MILLI = 1_000_000;
+    private static final long NOW = 5_000 * NANOS_PER_MILLI;
     private static final Address OTHER = Address.of("10.0.1.2:7000");
     private final PromptQueue queue = PromptQueue.empty();
 
@@ -19,14 +19,14 @@
      * though most of it has been read.
      */
     @Example
-    void whatWasReadSinceCountsNoMore() {
+    void prefillAlreadyDoneIsNotCounted() {
         queue.add(1, new PromptQueue.PendingPrompt(NOW, 100));
         queue.add(2, new PromptQueue.PendingPrompt(NOW, 50));
         assertThat(queue.waitMillis(NOW, 0)).isEqualTo(150);
-        assertThat(queue.waitMillis(NOW + 30 * MILLI, 0)).isEqualTo(120);
+        assertThat(queue.waitMillis(NOW + 30 * NANOS_PER_MILLI, 0)).isEqualTo(120);
         queue.remove(1);
-        queue.onPrefilled(NOW + 100 * MILLI);
-        assertThat(queue.waitMillis(NOW + 120 * MILLI, 0)).isEqualTo(30);
+        queue.onPrefilled(NOW + 100 * NANOS_PER_MILLI);
+        assertThat(queue.waitMillis(NOW + 120 * NANOS_PER_MILLI, 0)).isEqualTo(30);
     }
 
     /*
@@ -34,14 +34,14 @@
      * showed no sign of having been taken in is still being read, however long ago it should have been.
      */
     @Example
-    void whatShowedNoSignIsStillThere() {
+    void anOverduePromptStillOccupiesTheEngine() {
         queue.add(1, new PromptQueue.PendingPrompt(NOW, 100));
         queue.add(2, new PromptQueue.PendingPrompt(NOW, 50));
         // 800 ms overdue: as much as half of that is expected still, and the next prompt after it.
-        assertThat(queue.waitMillis(NOW + 900 * MILLI, 0)).isEqualTo(450);
+        assertThat(queue.waitMillis(NOW + 900 * NANOS_PER_MILLI, 0)).isEqualTo(450);
         queue.remove(1);
-        queue.onPrefilled(NOW + 900 * MILLI);
-        assertThat(queue.waitMillis(NOW + 900 * MILLI, 0)).isEqualTo(50);
+        queue.onPrefilled(NOW + 900 * NANOS_PER_MILLI);
+        assertThat(queue.waitMillis(NOW + 900 * NANOS_PER_MILLI, 0)).isEqualTo(50);
     }
 
     /*
@@ -49,15 +49,15 @@
      * after the engine's work on it.
      */
     @Example
-    void theSignMayFollowTheWork() {
+    void theLatencyOfTheFirstOutputDoesNotOccupyTheEngine() {
         queue.add(1, new PromptQueue.PendingPrompt(NOW, 100));
-        assertThat(queue.waitMillis(NOW + 150 * MILLI, 120)).isZero();
-        queue.add(2, new PromptQueue.PendingPrompt(NOW + 150 * MILLI, 40));
-        assertThat(queue.waitMillis(NOW + 160 * MILLI, 120)).isEqualTo(30);
+        assertThat(queue.waitMillis(NOW + 150 * NANOS_PER_MILLI, 120)).isZero();
+        queue.add(2, new PromptQueue.PendingPrompt(NOW + 150 * NANOS_PER_MILLI, 40));
+        assertThat(queue.waitMillis(NOW + 160 * NANOS_PER_MILLI, 120)).isEqualTo(30);
     }
 
     @Example
-    void whatOtherEntriesToldCountsUntilTheyTellAnew() {
+    void remotePromptsCountUntilTheyAreReplaced() {
         queue.setRemotePrompts(OTHER, List.of(new PromptQueue.PendingPrompt(NOW, 80)));
         queue.add(1, new PromptQueue.PendingPrompt(NOW, 20));
         assertThat(queue.waitMillis(NOW, 0)).isEqualTo(100);
--- a/src/test/java/org/cuminshelf/planning/BalancedPlannerTest.java
+++ b/src/test/java/org/cuminshelf/planning/BalancedPlannerTest.java
@@ -11,9 +11,9 @@
 /** Roles that follow what engines are used for, in engine time. */
 class BalancedPlannerTest {
 
-    private static final int PLACES = 64;
-    private static final long SECOND = 1_000_000;
-    private final RolePlanner planner = BalancedPlanner.of(PLACES);
+    private static final int SLOTS_PER_ENGINE = 64;
+    private static final long MICROS_PER_SECOND = 1_000_000;
+    private final RolePlanner planner = BalancedPlanner.of(SLOTS_PER_ENGINE);
     private final List<EngineSnapshot> engines = new ArrayList<>();
     private long prefill;
     private long decode;
@@ -21,10 +21,10 @@
     private int changes;
 
     /** Offers work for a while: engines' worth of reading, and places' worth of generation. */
-    private void offer(int length, double readers, double places) {
-        for (int index = 0; index < length; index++) {
-            prefill += (long) (readers * SECOND);
-            decode += (long) (places * SECOND);
+    private void offer(int durationSeconds, double prefillEngines, double decodeSlots) {
+        for (int index = 0; index < durationSeconds; index++) {
+            prefill += (long) (prefillEngines * MICROS_PER_SECOND);
+            decode += (long) (decodeSlots * MICROS_PER_SECOND);
             seconds++;
             for (RoleChange change :
                     planner.plan(Durations.nanos(1_000L * seconds), engines, new CumulativeDemand(prefill, decode))) {
@@ -36,14 +36,14 @@
         }
     }
 
-    private void fleet(int reading, int generating) {
-        for (int index = 0; index < reading + generating; index++) {
-            engines.add(
-                    new EngineSnapshot("e" + index, index < reading ? Role.ROLE_PREFILL : Role.ROLE_DECODE, false, 0));
+    private void addEngines(int prefillCount, int decodeCount) {
+        for (int index = 0; index < prefillCount + decodeCount; index++) {
+            engines.add(new EngineSnapshot(
+                    "e" + index, index < prefillCount ? Role.ROLE_PREFILL : Role.ROLE_DECODE, false, 0));
         }
     }
 
-    private long reading() {
+    private long prefillEngines() {
         return engines.stream()
                 .filter(engine -> engine.role() == Role.ROLE_PREFILL)
                 .count();
@@ -54,18 +54,18 @@
      * that was right for another mix.
      */
     @Example
-    void enginesWithFreePlacesReadInsteadWhereReadersAreOverloaded() {
-        fleet(2, 11);
+    void decodeEnginesWithFreeSlotsMoveToAnOverloadedPrefillRole() {
+        addEngines(2, 11);
         offer(60, 4, 90);
-        assertThat(reading()).isBetween(4L, 10L);
+        assertThat(prefillEngines()).isBetween(4L, 10L);
         assertThat(changes).isLessThanOrEqualTo(8);
     }
 
     @Example
-    void longAnswersTakeReadersBack() {
-        fleet(9, 4);
+    void longAnswersMovePrefillEnginesToDecode() {
+        addEngines(9, 4);
         offer(60, 1, 350);
-        assertThat(reading()).isBetween(3L, 7L);
+        assertThat(prefillEngines()).isBetween(3L, 7L);
     }
 
     /*
@@ -73,7 +73,7 @@
      */
     @Example
     void idleEnginesKeepTheirRoles() {
-        fleet(5, 8);
+        addEngines(5, 8);
         offer(60, 0.8, 10);
         assertThat(changes).isZero();
     }
@@ -84,8 +84,8 @@
      * for a moment ago are kept.
      */
     @Example
-    void aLullOfLongAnswersTakesNoEngineFromThem() {
-        fleet(2, 2);
+    void aShortLullInDecodeDemandMovesNoDecodeEngine() {
+        addEngines(2, 2);
         offer(20, 2, 95);
         offer(8, 4.2, 40);
         assertThat(changes).isZero();
@@ -93,8 +93,8 @@
 
     /* The first seconds of work, when nothing is learnt, count for nothing, however long control has run by then. */
     @Example
-    void theFirstSecondsOfWorkAreNoGroundForAChange() {
-        fleet(3, 3);
+    void theWarmUpCausesNoRoleChange() {
+        addEngines(3, 3);
         offer(20, 0, 0);
         offer(3, 12, 50);
         offer(9, 2.2, 80);
@@ -103,10 +103,10 @@
 
     @Example
     void noRoleLosesItsLastEngine() {
-        fleet(1, 2);
+        addEngines(1, 2);
         offer(60, 5, 0);
-        assertThat(reading()).isEqualTo(2);
+        assertThat(prefillEngines()).isEqualTo(2);
         offer(120, 0, 500);
-        assertThat(reading()).isEqualTo(1);
+        assertThat(prefillEngines()).isEqualTo(1);
     }
 }
--- a/src/test/java/org/cuminshelf/planning/DebouncingPlannerTest.java
+++ b/src/test/java/org/cuminshelf/planning/DebouncingPlannerTest.java
@@ -11,13 +11,13 @@
 /** When engines change their roles under a mix that swings, and under one that stays. */
 class DebouncingPlannerTest {
 
-    private static final long PATIENCE = Durations.nanos(8_000);
+    private static final long HOLD_NANOS = Durations.nanos(8_000);
     private final List<EngineSnapshot> engines = new ArrayList<>();
     private final List<RoleChange> changes = new ArrayList<>();
     private final PlannerSettings settings = new PlannerSettings(85_000, 7_500, 3, 30, 20, 2, 1, 1);
-    private final RolePlanner planner = DebouncingPlanner.of(CostAwarePlanner.of(settings), PATIENCE);
-    private long prompts;
-    private long outputs;
+    private final RolePlanner planner = DebouncingPlanner.of(CostAwarePlanner.of(settings), HOLD_NANOS);
+    private long promptTokens;
+    private long outputTokens;
     private int seconds;
 
     DebouncingPlannerTest() {
@@ -31,10 +31,10 @@
      * engines can take in, for the next three more output, and each change comes when its swing is over.
      */
     @Example
-    void aMixThatSwingsWithinSecondsChangesNoRole() {
-        for (int swing = 0; swing < 20; swing++) {
-            boolean manyPrompts = swing % 2 == 0;
-            pass(3, manyPrompts ? 300_000 : 80_000, manyPrompts ? 8_000 : 24_000);
+    void aMixThatOscillatesWithinSecondsChangesNoRole() {
+        for (int period = 0; period < 20; period++) {
+            boolean manyPrompts = period % 2 == 0;
+            offer(3, manyPrompts ? 300_000 : 80_000, manyPrompts ? 8_000 : 24_000);
         }
         assertThat(changes).isEmpty();
     }
@@ -44,10 +44,10 @@
      * other is moved, until prompts and output are served alike.
      */
     @Example
-    void aMixThatMovedForGoodMovesOneEngineAfterTheOther() {
-        pass(10, 150_000, 15_000);
+    void aPermanentShiftOfTheMixMovesOneEngineAtATime() {
+        offer(10, 150_000, 15_000);
         assertThat(changes).isEmpty();
-        pass(60, 330_000, 4_000);
+        offer(60, 330_000, 4_000);
         assertThat(changes).isNotEmpty();
         assertThat(changes).allMatch(change -> change.role() == Role.ROLE_PREFILL);
         assertThat(changes.stream().map(RoleChange::engine)).doesNotHaveDuplicates();
@@ -57,19 +57,19 @@
      * Nothing can be served: the engines that generate are gone for good, all others only take prompts in.
      */
     @Example
-    void aRoleWithoutAnyEngineIsFilledSooner() {
+    void aRoleWithoutEnginesIsFilledSooner() {
         engines.removeIf(engine -> engine.role() == Role.ROLE_DECODE);
-        pass(9, 100_000, 20_000);
+        offer(9, 100_000, 20_000);
         assertThat(changes).isNotEmpty();
         assertThat(changes.getFirst().role()).isEqualTo(Role.ROLE_DECODE);
     }
 
-    private void pass(int duration, long promptTokens, long outputTokens) {
-        for (int second = 0; second < duration; second++) {
-            prompts += promptTokens;
-            outputs += outputTokens;
-            List<RoleChange> wanted =
-                    planner.plan(Durations.nanos(1_000L * ++seconds), engines, new CumulativeDemand(prompts, outputs));
+    private void offer(int durationSeconds, long promptTokensPerSecond, long outputTokensPerSecond) {
+        for (int second = 0; second < durationSeconds; second++) {
+            promptTokens += promptTokensPerSecond;
+            outputTokens += outputTokensPerSecond;
+            List<RoleChange> wanted = planner.plan(
+                    Durations.nanos(1_000L * ++seconds), engines, new CumulativeDemand(promptTokens, outputTokens));
             wanted.forEach(this::apply);
             changes.addAll(wanted);
         }
--- a/src/test/java/org/cuminshelf/poison/CrashStormSimulation.java
+++ b/src/test/java/org/cuminshelf/poison/CrashStormSimulation.java
@@ -16,27 +16,27 @@
 final class CrashStormSimulation {
 
     private static final Fingerprint POISON = new Fingerprint(0, 1);
-    private static final long STEP = Durations.nanos(250);
+    private static final long STEP_NANOS = Durations.nanos(250);
     private static final int STEPS = 480;
     private static final int ENGINES = 4;
-    private static final double CRASH_CHANCE = 0.25 / 8;
-    private static final int ARRIVALS = 12;
-    private static final int MOST_TRIES = 4;
+    private static final double CRASH_PROBABILITY_PER_STEP = 0.25 / 8;
+    private static final int ARRIVALS_PER_STEP = 12;
+    private static final int MAX_ATTEMPTS = 4;
     /** Steps that a run lasts: a quarter of a second to two. */
-    private static final int LONGEST_RUN = 8;
+    private static final int MAX_RUN_STEPS = 8;
 
-    private static final int STEPS_OF_RETURN = 4;
+    private static final int POISON_INTERVAL_STEPS = 4;
 
     /** A run at an engine: when it began and ends, in steps. */
     private record Run(Fingerprint request, int startStep, int endStep) {}
 
     private final Random random;
-    private final PoisonRegistry register = new PoisonRegistry();
+    private final PoisonRegistry registry = new PoisonRegistry();
     private final List<List<Run>> engines = new ArrayList<>();
-    private final int[] starts = new int[ENGINES];
-    private final TreeMap<Fingerprint, Integer> tries = new TreeMap<>();
+    private final int[] startCounts = new int[ENGINES];
+    private final TreeMap<Fingerprint, Integer> attempts = new TreeMap<>();
     private final Set<Fingerprint> atCrashes = new HashSet<>();
-    private long number;
+    private long lastChangeNumber;
     private long nextHarmless = 10;
     private int poisonCrashes;
 
@@ -49,64 +49,64 @@
 
     void run() {
         for (int step = 0; step < STEPS; step++) {
-            long now = (step + 10) * STEP;
-            for (int arrival = 0; arrival < ARRIVALS; arrival++) {
+            long now = (step + 10) * STEP_NANOS;
+            for (int arrival = 0; arrival < ARRIVALS_PER_STEP; arrival++) {
                 place(step, new Fingerprint(0, nextHarmless++));
             }
             int poisoned =
-                    step % STEPS_OF_RETURN == 0 && !register.isQuarantined(POISON) ? random.nextInt(ENGINES) : -1;
+                    step % POISON_INTERVAL_STEPS == 0 && !registry.isQuarantined(POISON) ? random.nextInt(ENGINES) : -1;
             for (int engine = 0; engine < ENGINES; engine++) {
-                end(now, step, engine);
-                if (engine == poisoned || random.nextDouble() < CRASH_CHANCE) {
+                endRuns(now, step, engine);
+                if (engine == poisoned || random.nextDouble() < CRASH_PROBABILITY_PER_STEP) {
                     crash(now, step, engine, engine == poisoned);
                 }
             }
-            register.quarantinePoison(now + 2 * STEP, "vm", this::next);
+            registry.quarantinePoison(now + 2 * STEP_NANOS, "vm", this::next);
         }
     }
 
     private long next(boolean urgent) {
-        return ++number;
+        return ++lastChangeNumber;
     }
 
     private void place(int step, Fingerprint request) {
-        if (!register.isQuarantined(request) && tries.merge(request, 1, Integer::sum) <= MOST_TRIES) {
-            engines.get(random.nextInt(ENGINES)).add(new Run(request, step, step + 1 + random.nextInt(LONGEST_RUN)));
+        if (!registry.isQuarantined(request) && attempts.merge(request, 1, Integer::sum) <= MAX_ATTEMPTS) {
+            engines.get(random.nextInt(ENGINES)).add(new Run(request, step, step + 1 + random.nextInt(MAX_RUN_STEPS)));
         }
     }
 
-    private void end(long now, int step, int engine) {
+    private void endRuns(long now, int step, int engine) {
         engines.get(engine).removeIf(run -> {
-            boolean over = run.endStep <= step;
-            if (over) {
-                register.onSuccess(now, run.request, "vm", this::next);
+            boolean ended = run.endStep <= step;
+            if (ended) {
+                registry.onSuccess(now, run.request, "vm", this::next);
             }
-            return over;
+            return ended;
         });
     }
 
     private void crash(long now, int step, int engine, boolean poisoned) {
-        String upstream = engine + "-" + starts[engine]++;
-        List<Run> cut = List.copyOf(engines.get(engine));
+        String upstream = engine + "-" + startCounts[engine]++;
+        List<Run> interrupted = List.copyOf(engines.get(engine));
         engines.get(engine).clear();
-        for (Run run : cut) {
-            Involvement how = run.startStep == step ? Involvement.JUST_BEGUN : Involvement.UNDER_WAY;
-            register.onCrash(now, upstream, run.request, how, this::next);
+        for (Run run : interrupted) {
+            Involvement involvement = run.startStep == step ? Involvement.JUST_BEGUN : Involvement.UNDER_WAY;
+            registry.onCrash(now, upstream, run.request, involvement, this::next);
             atCrashes.add(run.request);
         }
         if (poisoned) {
             poisonCrashes++;
-            register.onCrash(now, upstream, POISON, Involvement.JUST_BEGUN, this::next);
+            registry.onCrash(now, upstream, POISON, Involvement.JUST_BEGUN, this::next);
         }
-        cut.forEach(run -> place(step + 1, run.request));
+        interrupted.forEach(run -> place(step + 1, run.request));
     }
 
-    int harmlessOnes() {
+    int harmlessRequests() {
         return atCrashes.size();
     }
 
-    int refused() {
-        return (int) register.quarantine().all().stream()
+    int refusedHarmlessRequests() {
+        return (int) registry.quarantine().all().stream()
                 .filter(row ->
                         !row.getReleased() && !Quarantine.fingerprint(row).equals(POISON))
                 .count();
--- a/src/test/java/org/cuminshelf/poison/CrashTableTest.java
+++ b/src/test/java/org/cuminshelf/poison/CrashTableTest.java
@@ -12,7 +12,7 @@
 
     private static final Fingerprint POISON = new Fingerprint(0, 1);
     private static final Fingerprint OTHER = new Fingerprint(0, 2);
-    private static final ChangeSequence ANY = ChangeSequence.constant(1);
+    private static final ChangeSequence SEQUENCE = ChangeSequence.constant(1);
     private static final long SECOND = Durations.nanos(1_000);
 
     private final CrashTable table = new CrashTable();
@@ -20,15 +20,15 @@
 
     private void justBegun(String upstream, Fingerprint... requests) {
         for (Fingerprint request : requests) {
-            table.record(now, upstream, request, Involvement.JUST_BEGUN, ANY);
+            table.record(now, upstream, request, Involvement.JUST_BEGUN, SEQUENCE);
         }
     }
 
     private void underWay(String upstream, Fingerprint request) {
-        table.record(now, upstream, request, Involvement.UNDER_WAY, ANY);
+        table.record(now, upstream, request, Involvement.UNDER_WAY, SEQUENCE);
     }
 
-    private List<Fingerprint> poison() {
+    private List<Fingerprint> findPoison() {
         now += SECOND;
         return table.findPoison(now, request -> false);
     }
@@ -37,9 +37,9 @@
     void threeCrashesJustAfterItBeganMakeARequestPoison() {
         justBegun("u1", POISON, OTHER);
         justBegun("u2", POISON);
-        assertThat(poison()).isEmpty();
+        assertThat(findPoison()).isEmpty();
         justBegun("u3", POISON);
-        assertThat(poison()).containsExactly(POISON);
+        assertThat(findPoison()).containsExactly(POISON);
     }
 
     /*
@@ -47,22 +47,22 @@
      * one entry told of it three times, and each counted.
      */
     @Example
-    void whatIsToldTwiceOfOneCrashCountsOnce() {
-        for (int told = 0; told < 5; told++) {
+    void repeatedReportsOfOneCrashCountOnce() {
+        for (int report = 0; report < 5; report++) {
             justBegun("u1", POISON);
             justBegun("u2", POISON);
         }
-        assertThat(poison()).isEmpty();
+        assertThat(findPoison()).isEmpty();
     }
 
     @Example
-    void oneGoodEndClearsARequestOfAllCrashesBefore() {
+    void aSuccessClearsARequestOfAllEarlierCrashes() {
         justBegun("u1", POISON);
         justBegun("u2", POISON);
-        assertThat(table.clear(now, POISON, ANY)).isTrue();
+        assertThat(table.clear(now, POISON, SEQUENCE)).isTrue();
         justBegun("u3", POISON);
         justBegun("u1", POISON);
-        assertThat(poison()).isEmpty();
+        assertThat(findPoison()).isEmpty();
         assertThat(table.crashedUpstreams(POISON)).containsExactly("u3");
     }
 
@@ -71,7 +71,7 @@
      * of it some milliseconds before another told of the poison request, and was believed at once.
      */
     @Example
-    void nothingIsFoundBeforeAllThatWereThereCanHaveBeenToldOf() {
+    void noRequestIsFoundBeforeReportsOfItsCrashesHaveSettled() {
         justBegun("u1", POISON, OTHER);
         justBegun("u2", POISON, OTHER);
         justBegun("u3", OTHER);
@@ -79,59 +79,59 @@
         now += Durations.nanos(20);
         assertThat(table.findPoison(now, request -> false)).isEmpty();
         justBegun("u3", POISON);
-        assertThat(poison()).isEmpty();
+        assertThat(findPoison()).isEmpty();
     }
 
     @Example
-    void oneThatWasAlwaysBesideAnotherIsFoundOnceTheyPart() {
+    void poisonBesideAnotherRequestIsFoundOnceItCrashesAlone() {
         for (String upstream : List.of("u1", "u2", "u3")) {
             justBegun(upstream, POISON, OTHER);
         }
-        assertThat(poison()).isEmpty();
+        assertThat(findPoison()).isEmpty();
         justBegun("u4", POISON);
-        assertThat(poison()).containsExactly(POISON);
+        assertThat(findPoison()).containsExactly(POISON);
     }
 
     @Example
-    void oneThatWasAlwaysBesideAnotherIsFoundOnceTheOtherEndedWell() {
+    void poisonBesideAnotherRequestIsFoundOnceTheOtherSucceeds() {
         for (String upstream : List.of("u1", "u2", "u3")) {
             justBegun(upstream, POISON, OTHER);
         }
-        assertThat(poison()).isEmpty();
-        table.clear(now, OTHER, ANY);
-        assertThat(poison()).containsExactly(POISON);
+        assertThat(findPoison()).isEmpty();
+        table.clear(now, OTHER, SEQUENCE);
+        assertThat(findPoison()).containsExactly(POISON);
     }
 
     /*
      * Upstreams go on ending for ever: two poison requests come together each time, and neither is told from the other.
      */
     @Example
-    void twoThatWereAlwaysTogetherAreBothTakenForPoisonAfterFiveCrashes() {
+    void twoRequestsAlwaysAtTheSameCrashesAreBothPoisonAfterFive() {
         for (String upstream : List.of("u1", "u2", "u3", "u4")) {
             justBegun(upstream, POISON, OTHER);
         }
-        assertThat(poison()).isEmpty();
+        assertThat(findPoison()).isEmpty();
         justBegun("u5", POISON, OTHER);
-        assertThat(poison()).containsExactlyInAnyOrder(POISON, OTHER);
+        assertThat(findPoison()).containsExactlyInAnyOrder(POISON, OTHER);
     }
 
     @Example
-    void aLongStreamBesideItDoesNotKeepPoisonFromBeingFound() {
+    void aLongStreamAtTheSameCrashesDoesNotHidePoison() {
         for (String upstream : List.of("u1", "u2", "u3")) {
             justBegun(upstream, POISON);
             underWay(upstream, OTHER);
         }
-        assertThat(poison()).containsExactly(POISON);
+        assertThat(findPoison()).containsExactly(POISON);
     }
 
     @Example
-    void whatEndsUpstreamsOnlyAfterAWhileTakesSixCrashes() {
+    void aRequestThatCrashesUpstreamsLateTakesSixCrashes() {
         for (String upstream : List.of("u1", "u2", "u3", "u4", "u5")) {
             underWay(upstream, POISON);
         }
-        assertThat(poison()).isEmpty();
+        assertThat(findPoison()).isEmpty();
         underWay("u6", POISON);
-        assertThat(poison()).containsExactly(POISON);
+        assertThat(findPoison()).containsExactly(POISON);
     }
 
     /*
@@ -139,7 +139,7 @@
      * had been found and before all entries knew.
      */
     @Example
-    void crashesThatAKnownPoisonRequestExplainsCountAgainstNobodyElse() {
+    void crashesExplainedByKnownPoisonDoNotCountAgainstOthers() {
         justBegun("u1", POISON, OTHER);
         table.updateExplained(POISON, POISON::equals);
         justBegun("u2", OTHER);
@@ -156,7 +156,7 @@
      * known of its crashes makes room for what is known of theirs.
      */
     @Example
-    void aFloodOfOtherCrashesDoesNotPushOutWhatIsKnown() {
+    void manyUnrelatedCrashesDoNotEvictASuspect() {
         justBegun("u1", POISON);
         justBegun("u2", POISON);
         for (int crash = 0; crash < 1_000; crash++) {
@@ -164,10 +164,10 @@
         }
         justBegun("u3", POISON);
         assertThat(table.crashedUpstreams(POISON)).containsExactly("u1", "u2", "u3");
-        assertThat(poison()).as("in a storm three crashes may be chance").isEmpty();
+        assertThat(findPoison()).as("in a storm three crashes may be chance").isEmpty();
         justBegun("u4", POISON);
         justBegun("u5", POISON);
-        assertThat(poison()).containsExactly(POISON);
+        assertThat(findPoison()).containsExactly(POISON);
     }
 
     /*
@@ -175,18 +175,18 @@
      * twelve.
      */
     @Example
-    void inAStormOfOtherCrashesThreeAreNotEnough() {
+    void threeCrashesAreNotEnoughDuringAStorm() {
         for (int crash = 0; crash < 9; crash++) {
             justBegun("other-" + crash, new Fingerprint(1, crash));
         }
         justBegun("u1", OTHER);
         justBegun("u2", OTHER);
         justBegun("u3", OTHER);
-        assertThat(poison()).isEmpty();
+        assertThat(findPoison()).isEmpty();
     }
 
     @Example
-    void crashesOfLongAgoAreNoStorm() {
+    void oldCrashesAreNoStorm() {
         for (int crash = 0; crash < 9; crash++) {
             justBegun("other-" + crash, new Fingerprint(1, crash));
         }
@@ -194,11 +194,11 @@
         justBegun("u1", POISON);
         justBegun("u2", POISON);
         justBegun("u3", POISON);
-        assertThat(poison()).containsExactly(POISON);
+        assertThat(findPoison()).containsExactly(POISON);
     }
 
     @Example
-    void aFloodOfRequestsAtOneCrashIsBoundedAndKeepsThoseThatHadJustBegun() {
+    void theRequestsOfOneCrashAreBoundedAndThoseJustBegunAreKept() {
         for (int request = 0; request < 1_000; request++) {
             underWay("u1", new Fingerprint(1, request));
         }
--- a/src/test/java/org/cuminshelf/poison/FingerprintTest.java
+++ b/src/test/java/org/cuminshelf/poison/FingerprintTest.java
@@ -17,7 +17,7 @@
     }
 
     @Example
-    void theSamePartsGiveTheSameFingerprint() {
+    void equalPartsGiveEqualFingerprints() {
         assertThat(of("POST", "h", "/a", "c", BODY.clone())).isEqualTo(of("POST", "h", "/a", "c", BODY));
     }
 
@@ -25,7 +25,7 @@
      * A harmless request is refused in place of a poison one that differs in one part only.
      */
     @Example
-    void eachPartTellsRequestsApart() {
+    void aDifferenceInAnyPartChangesTheFingerprint() {
         Fingerprint one = of("POST", "h", "/a", "c", BODY);
         assertThat(one).isNotEqualTo(of("GET", "h", "/a", "c", BODY));
         assertThat(one).isNotEqualTo(of("POST", "i", "/a", "c", BODY));
@@ -36,13 +36,13 @@
     }
 
     @Property
-    void whatIsWrittenIsReadBack(@ForAll long high, @ForAll long low) {
+    void aWrittenFingerprintIsParsed(@ForAll long high, @ForAll long low) {
         Fingerprint one = new Fingerprint(high, low);
         assertThat(Fingerprint.parse(one.toString())).contains(one);
     }
 
     @Example
-    void otherTextsAreNoFingerprints() {
+    void malformedTextsAreRejected() {
         assertThat(Fingerprint.parse("")).isEmpty();
         assertThat(Fingerprint.parse("0123")).isEmpty();
         assertThat(Fingerprint.parse("x".repeat(32))).isEmpty();
--- a/src/test/java/org/cuminshelf/poison/PoisonRegistryTest.java
+++ b/src/test/java/org/cuminshelf/poison/PoisonRegistryTest.java
@@ -25,38 +25,38 @@
     private static final Fingerprint POISON = new Fingerprint(0, 1);
     private static final long SECOND = Durations.nanos(1_000);
     /** Harmless requests at crashes of which one may be refused: some 770 are in a storm, so one in thirteen storms. */
-    private static final int MOST_REFUSED_ONE_IN = 10_000;
+    private static final int HARMLESS_REQUESTS_PER_ALLOWED_REFUSAL = 10_000;
 
-    private long number;
-    private final ChangeSequence numbers = urgent -> ++number;
+    private long lastChangeNumber;
+    private final ChangeSequence sequence = urgent -> ++lastChangeNumber;
 
-    private void crash(PoisonRegistry register, String upstream, Fingerprint request, Involvement involvement) {
-        register.onCrash(SECOND, upstream, request, involvement, numbers);
+    private void crash(PoisonRegistry registry, String upstream, Fingerprint request, Involvement involvement) {
+        registry.onCrash(SECOND, upstream, request, involvement, sequence);
     }
 
-    private PoisonRegistry quarantined() {
-        PoisonRegistry register = new PoisonRegistry();
+    private PoisonRegistry quarantiningRegistry() {
+        PoisonRegistry registry = new PoisonRegistry();
         for (String upstream : List.of("u1", "u2", "u3")) {
-            crash(register, upstream, POISON, Involvement.JUST_BEGUN);
+            crash(registry, upstream, POISON, Involvement.JUST_BEGUN);
         }
-        register.quarantinePoison(2 * SECOND, "vm", numbers);
-        return register;
+        registry.quarantinePoison(2 * SECOND, "vm", sequence);
+        return registry;
     }
 
-    private void tell(PoisonRegistry from, PoisonRegistry to) {
-        to.merge(2 * SECOND, from.crashesChangedSince(0), from.quarantine().changedSince(0), numbers);
+    private void replicate(PoisonRegistry from, PoisonRegistry to) {
+        to.merge(2 * SECOND, from.crashesChangedSince(0), from.quarantine().changedSince(0), sequence);
     }
 
-    private static Object state(PoisonRegistry register) {
+    private static Object state(PoisonRegistry registry) {
         TreeMap<String, Set<CrashedRun>> crashes = new TreeMap<>();
-        for (UpstreamCrash crash : register.crashesChangedSince(0)) {
+        for (UpstreamCrash crash : registry.crashesChangedSince(0)) {
             crashes.put(crash.getUpstream(), new HashSet<>(crash.getRunsList()));
         }
-        return List.of(crashes, new HashSet<>(register.quarantine().all()));
+        return List.of(crashes, new HashSet<>(registry.quarantine().all()));
     }
 
     @Property(tries = 200, seed = "20261203")
-    void whateverTheOrderInWhichTheyTellEachOtherAllKnowTheSame(
+    void registriesConvergeWhateverTheOrderOfReplication(
             @ForAll long seed, @ForAll @IntRange(min = 1, max = 40) int events) {
         Random random = new Random(seed);
         List<PoisonRegistry> entries = List.of(new PoisonRegistry(), new PoisonRegistry(), new PoisonRegistry());
@@ -64,16 +64,16 @@
             PoisonRegistry entry = entries.get(random.nextInt(entries.size()));
             Fingerprint request = new Fingerprint(0, random.nextInt(5));
             if (random.nextInt(6) == 0) {
-                entry.onSuccess(SECOND, request, "vm", numbers);
+                entry.onSuccess(SECOND, request, "vm", sequence);
             } else {
-                Involvement how = random.nextBoolean() ? Involvement.JUST_BEGUN : Involvement.UNDER_WAY;
-                crash(entry, "u" + random.nextInt(6), request, how);
+                Involvement involvement = random.nextBoolean() ? Involvement.JUST_BEGUN : Involvement.UNDER_WAY;
+                crash(entry, "u" + random.nextInt(6), request, involvement);
             }
         }
         List<PoisonRegistry> order = new ArrayList<>(entries);
         for (int round = 0; round < 3; round++) {
             Collections.shuffle(order, random);
-            order.forEach(from -> order.forEach(to -> tell(from, to)));
+            order.forEach(from -> order.forEach(to -> replicate(from, to)));
         }
         assertThat(state(entries.get(0))).isEqualTo(state(entries.get(1))).isEqualTo(state(entries.get(2)));
     }
@@ -83,81 +83,81 @@
      * was there is sent again, up to four times in all, and is there again when the next one ends.
      */
     @Example
-    void harmlessRequestsAreNotTakenForPoison() {
-        int harmlessOnes = 0;
+    void harmlessRequestsAreNotQuarantined() {
+        int harmlessRequests = 0;
         int refused = 0;
         for (int seed = 1; seed <= 200; seed++) {
             CrashStormSimulation storm = new CrashStormSimulation(seed);
             storm.run();
-            harmlessOnes += storm.harmlessOnes();
-            refused += storm.refused();
+            harmlessRequests += storm.harmlessRequests();
+            refused += storm.refusedHarmlessRequests();
             assertThat(storm.poisonCrashes())
                     .as("crashes of the poison request, seed %d", seed)
                     .isLessThanOrEqualTo(6);
         }
-        System.out.printf("harmless requests at crashes: %d, taken for poison: %d%n", harmlessOnes, refused);
-        assertThat(refused).isLessThanOrEqualTo(harmlessOnes / MOST_REFUSED_ONE_IN);
+        System.out.printf("harmless requests at crashes: %d, taken for poison: %d%n", harmlessRequests, refused);
+        assertThat(refused).isLessThanOrEqualTo(harmlessRequests / HARMLESS_REQUESTS_PER_ALLOWED_REFUSAL);
     }
 
     /*
      * A request is quarantined again as soon as it is released: an entry that was cut off tells of the old crashes.
      */
     @Example
-    void whatARequestWasReleasedFromIsNotHeldAgainstItAgain() {
-        PoisonRegistry register = quarantined();
-        PoisonRegistry cutOff = quarantined();
-        assertThat(register.isQuarantined(POISON)).isTrue();
-        QuarantinedRequest released = register.quarantine()
+    void crashesBeforeAReleaseDoNotQuarantineAgain() {
+        PoisonRegistry registry = quarantiningRegistry();
+        PoisonRegistry partitioned = quarantiningRegistry();
+        assertThat(registry.isQuarantined(POISON)).isTrue();
+        QuarantinedRequest released = registry.quarantine()
                 .releaseRow(POISON, "ada", "engine mended", 7)
                 .orElseThrow();
-        register.merge(SECOND, released, numbers);
-        tell(cutOff, register);
-        register.quarantinePoison(4 * SECOND, "vm", numbers);
-        assertThat(register.isQuarantined(POISON)).isFalse();
+        registry.merge(SECOND, released, sequence);
+        replicate(partitioned, registry);
+        registry.quarantinePoison(4 * SECOND, "vm", sequence);
+        assertThat(registry.isQuarantined(POISON)).isFalse();
         PoisonRegistry restarted = new PoisonRegistry();
-        restarted.merge(SECOND, released, numbers);
-        tell(cutOff, restarted);
-        restarted.quarantinePoison(4 * SECOND, "vm", numbers);
+        restarted.merge(SECOND, released, sequence);
+        replicate(partitioned, restarted);
+        restarted.quarantinePoison(4 * SECOND, "vm", sequence);
         assertThat(restarted.isQuarantined(POISON)).isFalse();
     }
 
     @Example
-    void threeNewCrashesAfterItsReleaseQuarantineItAgain() {
-        PoisonRegistry register = quarantined();
-        register.merge(
+    void threeCrashesAfterAReleaseQuarantineAgain() {
+        PoisonRegistry registry = quarantiningRegistry();
+        registry.merge(
                 SECOND,
-                register.quarantine()
+                registry.quarantine()
                         .releaseRow(POISON, "ada", "engine mended", 7)
                         .orElseThrow(),
-                numbers);
+                sequence);
         for (String upstream : List.of("u4", "u5", "u6")) {
-            crash(register, upstream, POISON, Involvement.JUST_BEGUN);
+            crash(registry, upstream, POISON, Involvement.JUST_BEGUN);
         }
-        register.quarantinePoison(4 * SECOND, "vm", numbers);
-        assertThat(register.isQuarantined(POISON)).isTrue();
-        assertThat(register.quarantine().all().iterator().next().getGeneration())
+        registry.quarantinePoison(4 * SECOND, "vm", sequence);
+        assertThat(registry.isQuarantined(POISON)).isTrue();
+        assertThat(registry.quarantine().all().iterator().next().getGeneration())
                 .isEqualTo(2);
     }
 
     @Example
-    void aQuarantinedRequestThatEndsWellAfterAllIsReleased() {
-        PoisonRegistry register = quarantined();
-        assertThat(register.onSuccess(SECOND, POISON, "vm", numbers)).isTrue();
-        assertThat(register.isQuarantined(POISON)).isFalse();
+    void aQuarantinedRequestThatSucceedsIsReleased() {
+        PoisonRegistry registry = quarantiningRegistry();
+        assertThat(registry.onSuccess(SECOND, POISON, "vm", sequence)).isTrue();
+        assertThat(registry.isQuarantined(POISON)).isFalse();
     }
 
     @Example
-    void ofMoreQuarantinedRequestsThanAreKeptTheReleasedGoFirst() {
+    void releasedRequestsAreEvictedFirst() {
         Quarantine quarantine = new Quarantine();
         Fingerprint first = new Fingerprint(9, 0);
-        quarantine.merge(quarantine.quarantineRow(first, List.of("u"), "vm"), numbers);
+        quarantine.merge(quarantine.quarantineRow(first, List.of("u"), "vm"), sequence);
         for (int request = 1; request <= 1_023; request++) {
             Fingerprint next = new Fingerprint(9, request);
-            quarantine.merge(quarantine.quarantineRow(next, List.of("u"), "vm"), numbers);
+            quarantine.merge(quarantine.quarantineRow(next, List.of("u"), "vm"), sequence);
         }
         Fingerprint released = new Fingerprint(9, 500);
-        quarantine.merge(quarantine.releaseRow(released, "ada", "", 0).orElseThrow(), numbers);
-        quarantine.merge(quarantine.quarantineRow(POISON, List.of("u"), "vm"), numbers);
+        quarantine.merge(quarantine.releaseRow(released, "ada", "", 0).orElseThrow(), sequence);
+        quarantine.merge(quarantine.quarantineRow(POISON, List.of("u"), "vm"), sequence);
         assertThat(quarantine.isQuarantined(first)).isTrue();
         assertThat(quarantine.all()).hasSize(1_024);
         assertThat(quarantine.all()).extracting(Quarantine::fingerprint).doesNotContain(released);
