--- a/src/main/java/org/cuminshelf/backpressure/Backpressure.java
+++ b/src/main/java/org/cuminshelf/backpressure/Backpressure.java
@@ -5,12 +5,12 @@
 /** What upstreams ask of this entry, and when each may be sent a request. */
 public final class Backpressure {
 
-    private final RateLimits limits;
-    private final Rests rests = Rests.none();
-    private final Leavers leavers = Leavers.none();
+    private final UpstreamRateLimits limits;
+    private final UpstreamBackoffs backoffs = UpstreamBackoffs.create();
+    private final LeavingUpstreams leavingUpstreams = LeavingUpstreams.create();
 
     private Backpressure(Address self) {
-        this.limits = RateLimits.none(self);
+        this.limits = UpstreamRateLimits.create(self);
     }
 
     /**
@@ -19,7 +19,7 @@
      * @param self the address of this entry, as the others know it
      * @return the state
      */
-    public static Backpressure none(Address self) {
+    public static Backpressure create(Address self) {
         return new Backpressure(self);
     }
 
@@ -28,7 +28,7 @@
      *
      * @return the table
      */
-    public RateLimits limits() {
+    public UpstreamRateLimits limits() {
         return limits;
     }
 
@@ -37,8 +37,8 @@
      *
      * @return the table
      */
-    public Rests rests() {
-        return rests;
+    public UpstreamBackoffs backoffs() {
+        return backoffs;
     }
 
     /**
@@ -46,41 +46,41 @@
      *
      * @return the table
      */
-    public Leavers leavers() {
-        return leavers;
+    public LeavingUpstreams leavingUpstreams() {
+        return leavingUpstreams;
     }
 
     /**
      * Tells when a request may be sent to an upstream.
      *
      * @param now   the time in nanoseconds
-     * @param start identity of its start
+     * @param instanceId identity of its start
      * @return a time in nanoseconds, not after {@code now} if one may be sent now
      */
-    public long nextSend(long now, String start) {
-        return Math.max(limits.nextPermit(now, start), rests.next(start));
+    public long nextSendTime(long now, String instanceId) {
+        return Math.max(limits.nextPermitTime(now, instanceId), backoffs.nextSendTime(instanceId));
     }
 
     /**
      * Tells whether a request may be sent to an upstream now.
      *
      * @param now   the time in nanoseconds
-     * @param start identity of its start
+     * @param instanceId identity of its start
      * @return true if it may
      */
-    public boolean admits(long now, String start) {
-        return nextSend(now, start) <= now;
+    public boolean maySend(long now, String instanceId) {
+        return nextSendTime(now, instanceId) <= now;
     }
 
     /**
      * Tells whether a request for which a permit was kept may be sent to an upstream now.
      *
      * @param now   the time in nanoseconds
-     * @param start identity of its start
+     * @param instanceId identity of its start
      * @return true if it may
      */
-    public boolean admitsKept(long now, String start) {
-        return rests.next(start) <= now;
+    public boolean maySendWithReservedPermit(long now, String instanceId) {
+        return backoffs.nextSendTime(instanceId) <= now;
     }
 
     /**
@@ -89,18 +89,18 @@
      * @param now the time in nanoseconds
      */
     public void tick(long now) {
-        rests.tick(now);
-        leavers.tick(now);
+        backoffs.tick(now);
+        leavingUpstreams.tick(now);
     }
 
     /**
      * Takes note of a request that is sent.
      *
      * @param now   the time in nanoseconds
-     * @param start identity of the upstream's start
+     * @param instanceId identity of the upstream's start
      */
-    public void use(long now, String start) {
-        limits.use(now, start);
-        rests.use(now, start);
+    public void onRequestSent(long now, String instanceId) {
+        limits.takePermit(now, instanceId);
+        backoffs.onRequestSent(now, instanceId);
     }
 }
--- a/src/main/java/org/cuminshelf/direct/AttemptRunner.java
+++ b/src/main/java/org/cuminshelf/direct/AttemptRunner.java
@@ -9,7 +9,7 @@
 import org.cuminshelf.core.Core;
 import org.cuminshelf.core.Deadlines;
 import org.cuminshelf.core.Durations;
-import org.cuminshelf.engines.EngineModel;
+import org.cuminshelf.engines.EngineLatencyModel;
 import org.cuminshelf.engines.PromptQueue;
 import org.cuminshelf.engines.PromptSample;
 import org.cuminshelf.exchange.UpstreamHandler;
@@ -125,7 +125,8 @@
         upstream.localAttempts++;
         upstream.localMemoryTokens += attempt.memoryTokens();
         if (attempt.estimate.prefillMillis() > 0) {
-            upstream.pendingPrompts.add(attempt.number, new PromptQueue.Waiting(now, attempt.estimate.prefillMillis()));
+            upstream.pendingPrompts.add(
+                    attempt.number, new PromptQueue.PendingPrompt(now, attempt.estimate.prefillMillis()));
             attempt.promptPending = true;
         }
         call.intent.generation().ifPresent(shape -> {
@@ -276,7 +277,7 @@
 
     private void onPromptProcessed(long now, DirectAttempt attempt) {
         removePendingPrompt(attempt);
-        attempt.upstream.pendingPrompts.taken(now);
+        attempt.upstream.pendingPrompts.onPrefilled(now);
         loadGossip.onPrefillCompleted(
                 attempt.upstream,
                 new PromptSample(
@@ -308,11 +309,11 @@
         if (attempt.prefillOnly || call.deliveredEvents < MIN_EVENTS_FOR_GAP || call.attemptCount != 1) {
             return;
         }
-        EngineModel model = engineModels.of(attempt.upstream.service);
-        model.observeGap(
+        EngineLatencyModel model = engineModels.of(attempt.upstream.service);
+        model.observeEventInterval(
                 attempt.upstream.totalAttempts(),
                 millis(call.lastEventAtNanos - call.responseStartedAtNanos) / (call.deliveredEvents - 1));
-        model.reading().observe(millis(call.longestGapNanos), call.route.maxEventGapMillis());
+        model.prefillAllowance().observe(millis(call.longestGapNanos), call.route.maxEventGapMillis());
     }
 
     private void onConnectionFailed(long now, DirectAttempt attempt, boolean requestSent, String reason) {
--- a/src/main/java/org/cuminshelf/direct/BackpressureListener.java
+++ b/src/main/java/org/cuminshelf/direct/BackpressureListener.java
@@ -2,10 +2,10 @@
 
 import java.time.Duration;
 import java.util.OptionalDouble;
+import org.cuminshelf.backpressure.AdvertisedLimit;
 import org.cuminshelf.backpressure.Backpressure;
-import org.cuminshelf.backpressure.Demands;
-import org.cuminshelf.backpressure.RateLimits;
-import org.cuminshelf.backpressure.StatedLimit;
+import org.cuminshelf.backpressure.BackpressureSignals;
+import org.cuminshelf.backpressure.UpstreamRateLimits;
 import org.cuminshelf.core.Address;
 
 /** Hears what answers, and other entries, say of what upstreams ask for, and notes what changed. */
@@ -43,47 +43,48 @@
         if (metadata.isFromOtherInstance(upstream.name)) {
             return;
         }
-        Demands demands = metadata.backpressure();
+        BackpressureSignals demands = metadata.backpressure();
         if (demands.leaving()) {
             upstreams.markDraining(now, upstream.id, true, requestId);
         }
-        demands.rest().ifPresent(pause -> applyPause(now, upstream, requestId, pause));
+        demands.backoff().ifPresent(pause -> applyPause(now, upstream, requestId, pause));
         // Neither a failure nor the answer to an earlier request shows the end of a need by what it leaves out.
         boolean conclusive = status < FIRST_NON_SUCCESS_STATUS
                 && metadata.requestId().filter(id -> !id.equals(requestId)).isEmpty();
         if (conclusive) {
-            backpressure.rests().answered(upstream.id, sentAtNanos);
+            backpressure.backoffs().onAnswer(upstream.id, sentAtNanos);
         }
-        if (conclusive || !(demands.limit() instanceof StatedLimit.Unlimited)) {
+        if (conclusive || !(demands.limit() instanceof AdvertisedLimit.Unlimited)) {
             applyLimit(now, upstream, sentAtNanos, requestId, demands.limit());
         }
     }
 
     private void applyLimit(
-            long now, UpstreamInstance upstream, long sentAtNanos, String requestId, StatedLimit limit) {
-        if (limit instanceof StatedLimit.Unreadable(String text)) {
+            long now, UpstreamInstance upstream, long sentAtNanos, String requestId, AdvertisedLimit limit) {
+        if (limit instanceof AdvertisedLimit.Malformed(String text)) {
             log.note("upstream", upstream.id, "outcome", "limit-unreadable", "stated", text, "request", requestId);
         }
         backpressure
                 .limits()
-                .heard(now, upstream.id, upstream.service, sentAtNanos, limit)
+                .onAnswer(now, upstream.id, upstream.service, sentAtNanos, limit)
                 .ifPresent(change -> logChange(upstream, change, "request", requestId));
     }
 
     private void applyPause(long now, UpstreamInstance upstream, String requestId, Duration pause) {
-        backpressure.rests().asked(now, upstream.id, pause);
+        backpressure.backoffs().onBackoffRequested(now, upstream.id, pause);
         log.note("upstream", upstream.id, "outcome", "rest-asked", "ms", pause.toMillis(), "request", requestId);
     }
 
     /** Takes what another entry heard from an upstream. */
-    void onEntryReport(long now, UpstreamInstance upstream, Address entry, RateLimits.Heard reported) {
+    void onEntryReport(long now, UpstreamInstance upstream, Address entry, UpstreamRateLimits.LimitReport reported) {
         backpressure
                 .limits()
-                .told(now, upstream.service, reported)
+                .onRemoteReport(now, upstream.service, reported)
                 .ifPresent(change -> logChange(upstream, change, "told-by", entry));
     }
 
-    private void logChange(UpstreamInstance upstream, RateLimits.Change change, String source, Object from) {
+    private void logChange(
+            UpstreamInstance upstream, UpstreamRateLimits.LimitChange change, String source, Object from) {
         log.note(
                 "upstream",
                 upstream.id,
--- a/src/main/java/org/cuminshelf/direct/CallDispatcher.java
+++ b/src/main/java/org/cuminshelf/direct/CallDispatcher.java
@@ -120,7 +120,7 @@
         openCalls.put(call.number, call);
         callDeadlines.set(call.number, call.deadlineNanos);
         retryBudget.onRequest(now, call.service);
-        backpressure.limits().called(now, call.service);
+        backpressure.limits().onCall(now, call.service);
         call.intent.generation().ifPresent(shape -> {
             call.fairnessClaim =
                     Optional.of(sizeFairness.register(call.route.name(), AnswerValues.sizeInPromptTokens(shape)));
@@ -180,11 +180,11 @@
      */
     private void reservePermit(long now, DirectCall call) {
         call.reservedPermit = selector.handoverEngineToReserve(now, call).map(row -> row.id);
-        call.reservedPermit.ifPresent(start -> backpressure.limits().use(now, start));
+        call.reservedPermit.ifPresent(start -> backpressure.limits().takePermit(now, start));
     }
 
     private void releasePermit(DirectCall call) {
-        call.reservedPermit.ifPresent(backpressure.limits()::giveBack);
+        call.reservedPermit.ifPresent(backpressure.limits()::returnPermit);
         call.reservedPermit = Optional.empty();
     }
 
--- a/src/main/java/org/cuminshelf/direct/DirectCore.java
+++ b/src/main/java/org/cuminshelf/direct/DirectCore.java
@@ -64,8 +64,8 @@
         this.protocol = protocol;
         this.log = log;
         long now = clock.getAsLong();
-        this.backpressure = Backpressure.none(self);
-        this.upstreams = new UpstreamTable(backpressure.leavers(), log);
+        this.backpressure = Backpressure.create(self);
+        this.upstreams = new UpstreamTable(backpressure.leavingUpstreams(), log);
         this.poisonGuard = new PoisonGuard(client, upstreams, clock, settings.vm(), log);
         this.usageMeter = new UsageMeter(settings.usageWindowMillis(), log);
         this.control = new ControlSubscription(
@@ -339,7 +339,7 @@
      * @return their number
      */
     public long limitedUpstreams() {
-        return backpressure.limits().inForce();
+        return backpressure.limits().activeCount();
     }
 
     /**
@@ -348,7 +348,7 @@
      * @return their number
      */
     public long restingUpstreams() {
-        return backpressure.rests().resting(clock.getAsLong());
+        return backpressure.backoffs().activeCount(clock.getAsLong());
     }
 
     /**
--- a/src/main/java/org/cuminshelf/direct/EngineTimePrices.java
+++ b/src/main/java/org/cuminshelf/direct/EngineTimePrices.java
@@ -4,7 +4,7 @@
 import java.util.HashMap;
 import java.util.Map;
 import org.cuminshelf.core.Durations;
-import org.cuminshelf.engines.EngineModel;
+import org.cuminshelf.engines.EngineLatencyModel;
 
 /**
  * What a millisecond of an engine's time is worth, in requests, for each service and way of reading.
@@ -63,7 +63,7 @@
     private final Map<String, Price> prices = new HashMap<>();
 
     /** Looks at which engines have prompts under way. */
-    void updateScarcity(long now, String service, Collection<UpstreamInstance> engines, EngineModel model) {
+    void updateScarcity(long now, String service, Collection<UpstreamInstance> engines, EngineLatencyModel model) {
         Price price = prices.computeIfAbsent(service, key -> new Price());
         double weight = 1 - Math.exp(-(now - price.observedAt) / MEMORY_NANOS);
         price.observedAt = now;
@@ -73,7 +73,7 @@
 
     /** How scarce a role's time is: 0 if an engine is free, 1 if prompts wait for too long at the one freed first. */
     private static double scarcity(
-            long now, Collection<UpstreamInstance> engines, EngineModel model, boolean generates) {
+            long now, Collection<UpstreamInstance> engines, EngineLatencyModel model, boolean generates) {
         double least = Double.MAX_VALUE;
         for (UpstreamInstance row : engines) {
             if (row.generatesTokens() == generates) {
--- a/src/main/java/org/cuminshelf/direct/LoadGossip.java
+++ b/src/main/java/org/cuminshelf/direct/LoadGossip.java
@@ -5,8 +5,8 @@
 import java.util.Optional;
 import java.util.OptionalDouble;
 import org.cuminshelf.backpressure.Backpressure;
-import org.cuminshelf.backpressure.RateLimits;
-import org.cuminshelf.backpressure.Rests;
+import org.cuminshelf.backpressure.UpstreamBackoffs;
+import org.cuminshelf.backpressure.UpstreamRateLimits;
 import org.cuminshelf.core.Address;
 import org.cuminshelf.core.Core;
 import org.cuminshelf.core.Durations;
@@ -102,18 +102,18 @@
 
     /** A prompt was taken in. */
     void onPrefillCompleted(UpstreamInstance upstream, PromptSample sample) {
-        models.of(upstream.service).observe(sample);
+        models.of(upstream.service).observePrompt(sample);
         if (taken.size() >= MOST_NEWS) {
             return;
         }
         taken.add(TakenPrompt.newBuilder()
                 .setUpstream(upstream.id)
-                .setBesideStreams(sample.besideStreams())
+                .setBesideStreams(sample.alsoDecodes())
                 .setStreams(sample.streams())
-                .setHeld(sample.held())
-                .setUncached(sample.uncached())
+                .setHeld(sample.cachedTokens())
+                .setUncached(sample.uncachedTokens())
                 .setWaitUs(micros(sample.waitMillis()))
-                .setTookUs(micros(sample.tookMillis()))
+                .setTookUs(micros(sample.elapsedMillis()))
                 .build());
     }
 
@@ -158,22 +158,23 @@
 
     /** Adds what upstreams ask for, and returns whether that is anything. */
     private boolean addDemands(long now, EntryLoad.Builder load) {
-        for (RateLimits.Heard heard : backpressure.limits().heardHere(now)) {
+        for (UpstreamRateLimits.LimitReport heard : backpressure.limits().localLimitReports(now)) {
             HeardLimit.Builder limit = HeardLimit.newBuilder()
-                    .setUpstream(heard.start())
+                    .setUpstream(heard.instanceId())
                     .setAgeUs((long) (heard.ageNanos() / NANOS_PER_MICRO));
             heard.perSecond().ifPresent(limit::setPerSecond);
             load.addLimits(limit);
         }
-        for (RateLimits.Demand demand : backpressure.limits().demandsHere(now)) {
+        for (UpstreamRateLimits.CallRateReport demand : backpressure.limits().localCallRateReports(now)) {
             load.addDemands(
                     ServiceDemand.newBuilder().setService(demand.service()).setCallsPerSecond(demand.perSecond()));
         }
-        for (Rests.Left rest : backpressure.rests().heardHere(now)) {
-            load.addRests(RestingUpstream.newBuilder().setUpstream(rest.start()).setLeftUs((long)
-                    (rest.leftNanos() / NANOS_PER_MICRO)));
+        for (UpstreamBackoffs.RemainingBackoff rest : backpressure.backoffs().localReports(now)) {
+            load.addRests(
+                    RestingUpstream.newBuilder().setUpstream(rest.instanceId()).setLeftUs((long)
+                            (rest.remainingNanos() / NANOS_PER_MICRO)));
         }
-        load.addAllLeaving(backpressure.leavers().heardHere(now));
+        load.addAllLeaving(backpressure.leavingUpstreams().recentLocalReports(now));
         return load.getLimitsCount() + load.getDemandsCount() + load.getRestsCount() + load.getLeavingCount() > 0;
     }
 
@@ -182,10 +183,10 @@
                 .setId(row.id)
                 .setRunning(row.localAttempts)
                 .setTokens((int) row.localMemoryTokens);
-        for (PromptQueue.Waiting prompt : row.pendingPrompts.own()) {
+        for (PromptQueue.PendingPrompt prompt : row.pendingPrompts.localPrompts()) {
             load.addPrompts(WaitingPrompt.newBuilder()
                     .setAgeUs((int) ((now - prompt.sentAt()) / NANOS_PER_MICRO))
-                    .setWorkUs(micros(prompt.workMillis())));
+                    .setWorkUs(micros(prompt.prefillMillis())));
         }
         return load.build();
     }
@@ -206,12 +207,16 @@
         load.getDemandsList()
                 .forEach(demand -> backpressure
                         .limits()
-                        .told(now, entry, new RateLimits.Demand(demand.getService(), demand.getCallsPerSecond())));
+                        .onRemoteReport(
+                                now,
+                                entry,
+                                new UpstreamRateLimits.CallRateReport(
+                                        demand.getService(), demand.getCallsPerSecond())));
     }
 
     private void onRestElsewhere(long now, RestingUpstream rest) {
         long left = (long) (rest.getLeftUs() * NANOS_PER_MICRO);
-        backpressure.rests().told(now, new Rests.Left(rest.getUpstream(), left));
+        backpressure.backoffs().onRemoteReport(now, new UpstreamBackoffs.RemainingBackoff(rest.getUpstream(), left));
     }
 
     private void onLimitHeardElsewhere(long now, Address entry, HeardLimit limit) {
@@ -220,8 +225,8 @@
         long age = (long) (limit.getAgeUs() * NANOS_PER_MICRO);
         upstreams
                 .instance(limit.getUpstream())
-                .ifPresent(row ->
-                        demandWatch.onEntryReport(now, row, entry, new RateLimits.Heard(row.id, perSecond, age)));
+                .ifPresent(row -> demandWatch.onEntryReport(
+                        now, row, entry, new UpstreamRateLimits.LimitReport(row.id, perSecond, age)));
     }
 
     private void onSentElsewhere(long now, SentPrompt prompt) {
@@ -241,9 +246,9 @@
         if (row.isEmpty()) {
             return;
         }
-        row.get().pendingPrompts.taken(now);
+        row.get().pendingPrompts.onPrefilled(now);
         models.of(row.get().service)
-                .observe(new PromptSample(
+                .observePrompt(new PromptSample(
                         row.get().id,
                         prompt.getBesideStreams(),
                         prompt.getStreams(),
@@ -254,11 +259,11 @@
     }
 
     /** The prompts that an entry says it has at an engine. */
-    static List<PromptQueue.Waiting> queuedPrompts(long now, UpstreamLoad load) {
-        List<PromptQueue.Waiting> prompts = new ArrayList<>(load.getPromptsCount());
+    static List<PromptQueue.PendingPrompt> queuedPrompts(long now, UpstreamLoad load) {
+        List<PromptQueue.PendingPrompt> prompts = new ArrayList<>(load.getPromptsCount());
         for (WaitingPrompt prompt : load.getPromptsList()) {
             long sentAt = now - (long) (prompt.getAgeUs() * NANOS_PER_MICRO);
-            prompts.add(new PromptQueue.Waiting(sentAt, prompt.getWorkUs() / MICROS_PER_MILLI));
+            prompts.add(new PromptQueue.PendingPrompt(sentAt, prompt.getWorkUs() / MICROS_PER_MILLI));
         }
         return prompts;
     }
--- a/src/main/java/org/cuminshelf/direct/PoisonGuard.java
+++ b/src/main/java/org/cuminshelf/direct/PoisonGuard.java
@@ -14,9 +14,9 @@
 import org.cuminshelf.message.Subscribe;
 import org.cuminshelf.message.Update;
 import org.cuminshelf.message.UpstreamCrash;
-import org.cuminshelf.poison.ChangeNumbers;
+import org.cuminshelf.poison.ChangeSequence;
 import org.cuminshelf.poison.Fingerprint;
-import org.cuminshelf.poison.PoisonRegister;
+import org.cuminshelf.poison.PoisonRegistry;
 import org.cuminshelf.poison.Quarantine;
 
 /**
@@ -58,7 +58,7 @@
     /** How the log names a refusal, and when the caller may come back. */
     record Refusal(String outcome, long retryAfterMillis) {}
 
-    private final PoisonRegister register = new PoisonRegister();
+    private final PoisonRegistry register = new PoisonRegistry();
     private final UpstreamTable upstreams;
     private final CrashDetector crashDetector;
     private final String vm;
@@ -66,7 +66,7 @@
     /** Up to which of this entry's changes each control process has heard. */
     private final Map<Address, Long> acknowledgedChanges = new HashMap<>();
 
-    private final ChangeNumbers localChanges = this::nextChangeNumber;
+    private final ChangeSequence localChanges = this::nextChangeNumber;
     private long version = LEARNED_CHANGE_NUMBER;
     private boolean reportUrgent;
     private long nextUrgentReportNanos = Long.MIN_VALUE;
@@ -96,7 +96,7 @@
         if (register.isQuarantined(call.fingerprint())) {
             return Optional.of(new Refusal("quarantined", QUARANTINED_RETRY_AFTER_MILLIS));
         }
-        if (register.isUnsettled(now, call.fingerprint())) {
+        if (register.isSettling(now, call.fingerprint())) {
             return Optional.of(new Refusal("upstreams-crashed", UNSETTLED_RETRY_AFTER_MILLIS));
         }
         return Optional.empty();
@@ -112,7 +112,8 @@
      * call, faster than anybody can tell: from the second on its caller has to come back.
      */
     boolean mayRetry(DirectCall call) {
-        return register.isEmpty() || register.crashesUnder(call.fingerprint()).size() < MAX_CRASHES_PER_CALL;
+        return register.isEmpty()
+                || register.crashedUpstreams(call.fingerprint()).size() < MAX_CRASHES_PER_CALL;
     }
 
     /** A call ended well, so it is no poison. */
@@ -120,18 +121,18 @@
         if (register.isEmpty()) {
             return;
         }
-        int crashes = register.crashesUnder(call.fingerprint()).size();
-        if (register.endedWell(now, call.fingerprint(), vm, localChanges) && crashes >= MAX_CRASHES_PER_CALL) {
+        int crashes = register.crashedUpstreams(call.fingerprint()).size();
+        if (register.onSuccess(now, call.fingerprint(), vm, localChanges) && crashes >= MAX_CRASHES_PER_CALL) {
             log.note("poison", call.fingerprint().toString(), "outcome", "cleared", "crashes", crashes);
         }
     }
 
     private void onCrash(long now, String upstream, Fingerprint request, Involvement involvement) {
         avoidInstance(now, upstream);
-        if (!register.crashed(now, upstream, request, involvement, localChanges)) {
+        if (!register.onCrash(now, upstream, request, involvement, localChanges)) {
             return;
         }
-        int crashes = register.crashesUnder(request).size();
+        int crashes = register.crashedUpstreams(request).size();
         if (crashes >= MAX_CRASHES_PER_CALL) {
             log.note(
                     "poison",
@@ -160,7 +161,10 @@
                 .filter(upstream -> !register.hasCrashed(upstream))
                 .forEach(upstream -> avoidInstance(now, upstream));
         register.merge(
-                now, update.getCrashesList(), update.getQuarantinedList(), ChangeNumbers.always(LEARNED_CHANGE_NUMBER));
+                now,
+                update.getCrashesList(),
+                update.getQuarantinedList(),
+                ChangeSequence.constant(LEARNED_CHANGE_NUMBER));
         crashDetector.onUpstreamsChanged(now);
     }
 
@@ -170,8 +174,8 @@
         subscribe
                 .setPoisonVersion(version)
                 .setPoisonSince(since)
-                .addAllCrashes(register.crashesSince(since))
-                .addAllQuarantined(register.quarantine().since(since));
+                .addAllCrashes(register.crashesChangedSince(since))
+                .addAllQuarantined(register.quarantine().changedSince(since));
     }
 
     /** When control has to be told of news. */
@@ -190,12 +194,12 @@
     void tick(long now) {
         crashDetector.tick(now);
         if (now >= register.nextDue()) {
-            register.findPoison(now, vm, localChanges);
+            register.quarantinePoison(now, vm, localChanges);
         }
         if (now >= nextCountNanos) {
             nextCountNanos = now + COUNT_INTERVAL_NANOS;
-            suspects = register.suspects();
-            quarantined = register.quarantine().size();
+            suspects = register.suspectCount();
+            quarantined = register.quarantine().quarantinedCount();
         }
     }
 
@@ -206,7 +210,7 @@
     /** Takes the requests that came to be quarantined since the last question; their calls are to be stopped. */
     List<Fingerprint> takeQuarantined() {
         List<Fingerprint> quarantined = new ArrayList<>();
-        for (QuarantinedRequest row : register.takeChanged()) {
+        for (QuarantinedRequest row : register.takeChangedRows()) {
             Fingerprint request = Quarantine.fingerprint(row);
             log.note(
                     "poison",
--- a/src/main/java/org/cuminshelf/direct/ResponseMetadata.java
+++ b/src/main/java/org/cuminshelf/direct/ResponseMetadata.java
@@ -1,7 +1,7 @@
 package org.cuminshelf.direct;
 
 import java.util.Optional;
-import org.cuminshelf.backpressure.Demands;
+import org.cuminshelf.backpressure.BackpressureSignals;
 
 /**
  * What the head of an upstream's answer says about the request.
@@ -17,7 +17,7 @@
         boolean notExecuted,
         Optional<String> instanceId,
         boolean authentic,
-        Demands backpressure) {
+        BackpressureSignals backpressure) {
 
     /** Whether another start of an upstream has the address by now. */
     boolean isFromOtherInstance(String expectedInstance) {
--- a/src/main/java/org/cuminshelf/direct/ThrottledUpstreamClient.java
+++ b/src/main/java/org/cuminshelf/direct/ThrottledUpstreamClient.java
@@ -32,11 +32,11 @@
     @Override
     public UpstreamExchange send(Address address, String instanceId, UpstreamRequest request, UpstreamHandler handler) {
         long now = clock.getAsLong();
-        if (!backpressure.admits(now, instanceId)) {
+        if (!backpressure.maySend(now, instanceId)) {
             handler.onFailed(false, "the upstream asked to wait");
             return NOT_SENT;
         }
-        backpressure.use(now, instanceId);
+        backpressure.onRequestSent(now, instanceId);
         return delegate.send(address, instanceId, request, handler);
     }
 
--- a/src/main/java/org/cuminshelf/direct/UpstreamInstance.java
+++ b/src/main/java/org/cuminshelf/direct/UpstreamInstance.java
@@ -110,15 +110,15 @@
     }
 
     /** Takes what another entry has under way there. */
-    void applyLoad(Address entry, UpstreamLoad load, List<PromptQueue.Waiting> waiting) {
+    void applyLoad(Address entry, UpstreamLoad load, List<PromptQueue.PendingPrompt> waiting) {
         addRemoteLoad(load, 1);
         Optional.ofNullable(loadByEntry.put(entry, load)).ifPresent(previous -> addRemoteLoad(previous, -1));
-        pendingPrompts.told(entry, waiting);
+        pendingPrompts.setRemotePrompts(entry, waiting);
     }
 
     void removeLoad(Address entry) {
         Optional.ofNullable(loadByEntry.remove(entry)).ifPresent(previous -> addRemoteLoad(previous, -1));
-        pendingPrompts.told(entry, List.of());
+        pendingPrompts.setRemotePrompts(entry, List.of());
     }
 
     private void addRemoteLoad(UpstreamLoad load, int sign) {
--- a/src/main/java/org/cuminshelf/direct/UpstreamSelector.java
+++ b/src/main/java/org/cuminshelf/direct/UpstreamSelector.java
@@ -13,7 +13,7 @@
 import org.cuminshelf.backpressure.Backpressure;
 import org.cuminshelf.core.Core;
 import org.cuminshelf.core.Durations;
-import org.cuminshelf.engines.EngineModel;
+import org.cuminshelf.engines.EngineLatencyModel;
 import org.cuminshelf.message.Role;
 import org.cuminshelf.routes.EngineCapacity;
 import org.cuminshelf.routes.RoutedService;
@@ -149,7 +149,7 @@
         SharedPrefixLocations shared = SharedPrefixLocations.of(shape, open(now, call), now);
         int held = shared.maxCachedTokens();
         double millis =
-                models.of(call.service).workMillis("", false, 0, held, Math.max(0, shape.promptTokens() - held));
+                models.of(call.service).prefillMillis("", false, 0, held, Math.max(0, shape.promptTokens() - held));
         return (long) (MICROS_PER_MILLI * millis);
     }
 
@@ -159,7 +159,7 @@
         int perEvent = tokensPerEvent(service);
         int usualStreams = limits.map(EngineCapacity::slots).orElse(1) / 2;
         double events = Math.ceil((double) shape.outputTokens() / perEvent);
-        double millis = events * models.of(service).gapMillis(usualStreams);
+        double millis = events * models.of(service).eventIntervalMillis(usualStreams);
         prices.recordGeneration(service, millis);
         return (long) (MICROS_PER_MILLI * millis);
     }
@@ -187,7 +187,7 @@
     private Optional<Choice> forHandover(long now, DirectCall call) {
         UpstreamInstance best = null;
         double least = Double.MAX_VALUE;
-        EngineModel model = models.of(call.service);
+        EngineLatencyModel model = models.of(call.service);
         List<UpstreamInstance> open = open(now, call);
         Optional<SharedPrefixLocations> shared =
                 call.intent.generation().map(shape -> SharedPrefixLocations.of(shape, open, now));
@@ -277,7 +277,7 @@
         boolean splits = call.lastEventId.isEmpty() && !call.singleEngineOnly;
         boolean prefillThere = splits && open.stream().anyMatch(row -> !row.generatesTokens());
         boolean placeThere = open.stream().anyMatch(row -> row.generatesTokens() && hasPlace(row, call));
-        EngineModel model = models.of(call.service);
+        EngineLatencyModel model = models.of(call.service);
         long room = cacheRoom(call);
         open.forEach(row -> row.promptCache.setCapacityTokens(room));
         Choice best = null;
@@ -302,21 +302,21 @@
         return Optional.ofNullable(best).map(choice -> withGain(now, choice, call, model, shape));
     }
 
-    private Choice withGain(long now, Choice choice, DirectCall call, EngineModel model, GenerationShape shape) {
+    private Choice withGain(long now, Choice choice, DirectCall call, EngineLatencyModel model, GenerationShape shape) {
         double answer = values.valueOf(call, shape) * (1 - LATE_COST * lateChance(now, choice, call, model));
         double time = choice.estimate.prefillMillis() * prices.perMillisecond(call.service, choice.upstream);
         return new Choice(choice.upstream, choice.prefillOnly, choice.estimate, choice.prefixSource, answer - time);
     }
 
     /** Whether a prompt may be taken in by an engine that also generates; more may wait there if no other can do it. */
-    private boolean fitsBesideStreams(Choice choice, DirectCall call, EngineModel model, boolean prefillThere) {
+    private boolean fitsBesideStreams(Choice choice, DirectCall call, EngineLatencyModel model, boolean prefillThere) {
         UpstreamInstance row = choice.upstream;
         // A stream that its caller has half of goes on beside what is there: cutting it would lose what it took so far.
         boolean idle = row.totalAttempts() == 0 || call.responseStarted;
         double backlog = choice.queueMillis() + choice.estimate.prefillMillis();
         return idle
                 || hasPlace(row, call)
-                        && (!prefillThere || backlog <= model.reading().millis());
+                        && (!prefillThere || backlog <= model.prefillAllowance().millis());
     }
 
     /**
@@ -338,7 +338,7 @@
     private Choice estimate(
             long now,
             UpstreamInstance row,
-            EngineModel model,
+            EngineLatencyModel model,
             GenerationShape shape,
             SharedPrefixLocations shared,
             double onItsWay) {
@@ -347,8 +347,8 @@
         int uncached = Math.max(0, shape.promptTokens() - held);
         boolean generates = row.generatesTokens();
         double latency = model.latencyMillis(row.id, generates);
-        double work = model.workMillis(row.id, generates, row.totalAttempts(), held, uncached)
-                + model.moveMillis(Math.max(0, held - own));
+        double work = model.prefillMillis(row.id, generates, row.totalAttempts(), held, uncached)
+                + model.transferMillis(Math.max(0, held - own));
         double wait = row.pendingPrompts.waitMillis(now, latency) + onItsWay;
         double handover = generates ? 0 : model.handoverMillis(shape.promptTokens());
         double first = wait + work + latency + (row.zone.equals(zone) ? 0 : OTHER_ZONE_MILLIS) + handover;
@@ -360,7 +360,7 @@
             long now,
             Choice choice,
             DirectCall call,
-            EngineModel model,
+            EngineLatencyModel model,
             GenerationShape shape,
             SharedPrefixLocations shared) {
         UpstreamInstance row = choice.upstream;
@@ -374,13 +374,13 @@
     }
 
     /** What is lost on average by an answer's coming late: its chance to, and by how much. */
-    private static double lateCost(long now, Choice choice, DirectCall call, EngineModel model) {
+    private static double lateCost(long now, Choice choice, DirectCall call, EngineLatencyModel model) {
         double late = lateMillis(now, choice, call) / call.route.targetLatencyMillis();
         return lateChance(now, choice, call, model) * LATE_COST + Math.clamp(late, 0, MOST_TARGETS_LATE) * LATER_COST;
     }
 
-    private static double lateChance(long now, Choice choice, DirectCall call, EngineModel model) {
-        double error = Math.max(LEAST_ERROR_MILLIS, model.error() * choice.firstEventMillis());
+    private static double lateChance(long now, Choice choice, DirectCall call, EngineLatencyModel model) {
+        double error = Math.max(LEAST_ERROR_MILLIS, model.relativeError() * choice.firstEventMillis());
         return 1 / (1 + Math.exp(-LOGISTIC * lateMillis(now, choice, call) / error));
     }
 
@@ -396,7 +396,7 @@
         List<UpstreamInstance> open = upstreams.instancesOf(call.service).stream()
                 .filter(row -> isOpen(now, row, call))
                 .toList();
-        if (!backpressure.rests().isAnyAskedElsewhere()) {
+        if (!backpressure.backoffs().hasRemoteBackoffs()) {
             return open;
         }
         Set<Role> willing = EnumSet.noneOf(Role.class);
@@ -407,7 +407,7 @@
     }
 
     private boolean isAskedElsewhere(long now, UpstreamInstance row) {
-        return backpressure.rests().isAskedElsewhere(now, row.id);
+        return backpressure.backoffs().isBackedOffRemotely(now, row.id);
     }
 
     private boolean isOpen(long now, UpstreamInstance row, DirectCall call) {
@@ -418,7 +418,7 @@
 
     private boolean hasPermit(long now, UpstreamInstance row, DirectCall call) {
         boolean kept = call.reservedPermit.filter(row.id::equals).isPresent();
-        return kept ? backpressure.admitsKept(now, row.id) : backpressure.admits(now, row.id);
+        return kept ? backpressure.maySendWithReservedPermit(now, row.id) : backpressure.maySend(now, row.id);
     }
 
     /** Whether an upstream can answer a call, and not just read its prompt. */
@@ -452,7 +452,7 @@
                 return OptionalLong.empty();
             }
             askedToWait |= held;
-            long open = Math.max(row.avoidedUntilNanos(), held ? backpressure.nextSend(now, row.id) : now);
+            long open = Math.max(row.avoidedUntilNanos(), held ? backpressure.nextSendTime(now, row.id) : now);
             next = Math.min(next, open);
         }
         return askedToWait ? OptionalLong.of(next) : OptionalLong.empty();
@@ -462,7 +462,7 @@
      * The engine of which a permit should be kept for the handover of a call: none if one without a limit can do it.
      */
     Optional<UpstreamInstance> handoverEngineToReserve(long now, DirectCall call) {
-        if (backpressure.limits().inForce() == 0) {
+        if (backpressure.limits().activeCount() == 0) {
             return Optional.empty();
         }
         UpstreamInstance best = null;
