--- a/src/main/java/org/cuminshelf/control/ControlCore.java
+++ b/src/main/java/org/cuminshelf/control/ControlCore.java
@@ -37,51 +37,64 @@
 import org.cuminshelf.replica.Replica;
 import org.cuminshelf.replica.ReplicaSettings;
 
-/** The decisions of a control process: a replica of each of its groups, the directory and the subscribers. */
+/**
+ * The deterministic core of a control process. It holds a replica of each of its groups, the directories of upstreams
+ * and the subscribers, and routes messages and timer ticks to them. Times named {@code now} are monotonic nanoseconds.
+ */
 public final class ControlCore implements Core {
 
-    private static final long HOUSEKEEPING_EVERY = Durations.nanos(250);
-    private static final long ADMIN_PATIENCE = Durations.nanos(5_000);
+    private static final long HOUSEKEEPING_INTERVAL_NANOS = Durations.nanos(250);
+    private static final long REQUEST_TIMEOUT_NANOS = Durations.nanos(5_000);
     private static final long NANOS_PER_MICRO = 1_000;
 
-    /** Who waits for the outcome of an entry. */
-    private record Waiter(Address asker, long question, long term, long since) {}
+    /**
+     * A request whose outcome is not yet known.
+     *
+     * @param requester  the sender, which gets the answer
+     * @param requestId  number of the request at the requester
+     * @param term       the term in which the request was proposed
+     * @param receivedAt the time of arrival in nanoseconds
+     */
+    private record PendingRequest(Address requester, long requestId, long term, long receivedAt) {}
 
     private record RegionGroup(
             Replica replica,
             RegionStateMachine machine,
-            SidecarOrderDispatcher orders,
-            SidecarRoleController planning,
-            EventPreloader events) {}
+            SidecarOrderDispatcher orderDispatcher,
+            SidecarRoleController roleController,
+            EventPreloader eventPreloader) {}
 
     private final ControlSettings settings;
     private final Address self;
     private final Invariants invariants;
     private final Map<String, Replica> replicas = new LinkedHashMap<>();
     private final Map<String, RegionGroup> regions = new LinkedHashMap<>();
-    private final GlobalStateMachine config = new GlobalStateMachine();
+    private final GlobalStateMachine globalState = new GlobalStateMachine();
     private final SidecarDirectory directory;
     private final DirectUpstreamRegistry registry;
-    private DutyLease holder;
-    private DirectRoleController stages;
-    private Optional<UsageReporter> usage = Optional.empty();
+    private DutyLease dutyLease;
+    private DirectRoleController directRoles;
+    private Optional<UsageReporter> usageReporter = Optional.empty();
     private QuarantineManager quarantine;
     private final PoisonRegistry poison = new PoisonRegistry();
     private final SubscriberTable subscribers = new SubscriberTable();
-    private final UpdatePublisher updates;
-    private final Map<Long, Waiter> configWaiters = new HashMap<>();
-    private final Map<String, Map<Long, Waiter>> claimWaiters = new HashMap<>();
-    private final Map<String, Map<Long, Waiter>> orderWaiters = new HashMap<>();
-    private final Map<Long, Address> readWaiters = new HashMap<>();
-    private final Map<Long, Waiter> configReads = new HashMap<>();
-    private final Map<Long, Waiter> forwarded = new HashMap<>();
-    /** Numbers of questions; they start at a place of this incarnation, so that a late answer finds no asker. */
+    private final UpdatePublisher updatePublisher;
+    private final Map<Long, PendingRequest> pendingProposals = new HashMap<>();
+    private final Map<String, Map<Long, PendingRequest>> pendingClaims = new HashMap<>();
+    private final Map<String, Map<Long, PendingRequest>> pendingOrders = new HashMap<>();
+    private final Map<Long, Address> pendingSubscriberReads = new HashMap<>();
+    private final Map<Long, PendingRequest> pendingConfigReads = new HashMap<>();
+    private final Map<Long, PendingRequest> forwardedRequests = new HashMap<>();
+    /**
+     * Number of the next forwarded request or confirmed read. The numbers start at a value derived from the
+     * incarnation, so that a late answer to a previous incarnation matches no pending request.
+     */
     private long nextToken;
 
     private long nextHousekeeping;
     private boolean stopping;
-    private FleetConfig typedConfig = FleetConfig.empty();
-    private long typedVersion;
+    private FleetConfig parsedConfig = FleetConfig.empty();
+    private long parsedVersion;
     private long wallMillis;
     private long wallReadAt;
 
@@ -93,18 +106,18 @@
         this.registry = new DirectUpstreamRegistry(directory);
         this.nextToken = LongHashFunction.xx3().hashLong(incarnation) & Long.MAX_VALUE >> 1;
         this.nextHousekeeping = now;
-        this.updates =
-                new UpdatePublisher(settings.region(), replicas, config, directory, registry, subscribers, poison, now);
+        this.updatePublisher = new UpdatePublisher(
+                settings.region(), replicas, globalState, directory, registry, subscribers, poison, now);
     }
 
     /**
-     * Makes the core of a starting control process.
+     * Creates the core of a starting control process.
      *
-     * @param settings    its groups
-     * @param self        its own address
-     * @param incarnation the incarnation of this process
-     * @param durable     what its disk holds of each group, by name
-     * @param now         the time in nanoseconds, or an earlier one since which no former life has said anything
+     * @param settings    the settings of the process
+     * @param self        the address of the process
+     * @param incarnation the incarnation of the process
+     * @param durable     the durable state of each group, by group name
+     * @param now         the time in nanoseconds, or an earlier time since which no previous incarnation sent a message
      * @param random      the seeded source of election timeouts
      * @param invariants  receives the outcome of assertions
      * @return the core
@@ -126,14 +139,15 @@
 
     private void addGroup(ReplicaSettings group, DurableState state, long now, UniformRandomProvider random) {
         if (group.group().equals(ControlSettings.GLOBAL_GROUP)) {
-            Replica replica = Replica.start(group, state, config, now, random, invariants);
+            Replica replica = Replica.start(group, state, globalState, now, random, invariants);
             replicas.put(group.group(), replica);
-            holder = new DutyLease(replica, settings.duties().leaseMillis());
-            stages = new DirectRoleController(replica, config.orders(), registry, subscribers, holder);
+            dutyLease = new DutyLease(replica, settings.duties().leaseMillis());
+            directRoles = new DirectRoleController(replica, globalState.orders(), registry, subscribers, dutyLease);
             if (settings.duties().usageDeadlineMillis().isPresent()) {
-                usage = Optional.of(new UsageReporter(replica, config.usage(), holder, settings.duties()));
+                usageReporter =
+                        Optional.of(new UsageReporter(replica, globalState.usage(), dutyLease, settings.duties()));
             }
-            quarantine = new QuarantineManager(replica, config.quarantine(), poison, directory);
+            quarantine = new QuarantineManager(replica, globalState.quarantine(), poison, directory);
             return;
         }
         RegionStateMachine machine = new RegionStateMachine(invariants);
@@ -147,8 +161,8 @@
                         new SidecarOrderDispatcher(group.group(), replica, machine),
                         new SidecarRoleController(replica, machine, directory, subscribers),
                         new EventPreloader(replica, machine, directory)));
-        claimWaiters.put(group.group(), new HashMap<>());
-        orderWaiters.put(group.group(), new HashMap<>());
+        pendingClaims.put(group.group(), new HashMap<>());
+        pendingOrders.put(group.group(), new HashMap<>());
     }
 
     @Override
@@ -157,13 +171,16 @@
         switch (input.getBodyCase()) {
             case ANNOUNCE -> onAnnounce(now, from, input.getIncarnation(), input.getAnnounce());
             case SUBSCRIBE -> onSubscribe(now, from, input.getIncarnation(), input.getSubscribe(), out);
-            case CONFIG_FETCH -> updates.onConfigFetch(from, input.getConfigFetch(), out);
-            case UPSTREAM_BEAT -> registry.onBeat(now, wallMillis, input.getUpstreamBeat(), otherControl(), out);
-            case ORDER_APPLIED -> stages.onOutcome(input.getOrderApplied());
-            case USAGE_REPORTED -> usage.ifPresent(system -> system.onReported(now, input.getUsageReported()));
+            case CONFIG_FETCH -> updatePublisher.onConfigFetch(from, input.getConfigFetch(), out);
+            case UPSTREAM_BEAT ->
+                registry.onHeartbeat(now, wallMillis, input.getUpstreamBeat(), otherControlProcesses(), out);
+            case ORDER_APPLIED -> directRoles.onOutcome(input.getOrderApplied());
+            case USAGE_REPORTED ->
+                usageReporter.ifPresent(reporter -> reporter.onReported(now, input.getUsageReported()));
             case CLAIM_REQUEST -> onClaim(now, from, input.getClaimRequest(), out);
             case ORDER_REPORT ->
-                regions.values().forEach(region -> region.orders().onReport(now, from, input.getOrderReport()));
+                regions.values()
+                        .forEach(region -> region.orderDispatcher().onReport(now, from, input.getOrderReport()));
             case ADMIN_REQUEST -> onAdmin(now, from, input.getAdminRequest(), out);
             case ADMIN_ANSWER -> onForwardedAnswer(input.getAdminAnswer(), out);
             case WALL_CLOCK -> onWallClock(now, input.getWallClock());
@@ -182,7 +199,7 @@
         }
     }
 
-    /** The time of day, 0 before it was read. */
+    /** The wall clock in Unix microseconds, 0 before it was first read. */
     private long unixMicros(long now) {
         return wallMillis == 0 ? 0 : TimeUnit.MILLISECONDS.toMicros(wallMillis) + (now - wallReadAt) / NANOS_PER_MICRO;
     }
@@ -206,26 +223,26 @@
     @Override
     public void tick(long now, Outbox out) {
         replicas.values().forEach(replica -> replica.tick(now, out));
-        holder.tick(now);
+        dutyLease.tick(now);
         quarantine.tick(now, wallMillis);
-        usage.ifPresent(system -> system.tick(now, out));
-        answerConfigWaiters(out);
+        usageReporter.ifPresent(reporter -> reporter.tick(now, out));
+        answerProposals(out);
         regions.forEach((name, region) -> {
-            answerClaimWaiters(name, region, out);
-            answerOrderWaiters(name, region, out);
-            region.events().tick(now, wallMillis, acceptedConfig());
-            region.planning().tick(now, acceptedConfig(), config.version());
-            region.orders().tick(now, out);
+            answerClaims(name, region, out);
+            answerOrders(name, region, out);
+            region.eventPreloader().tick(now, wallMillis, acceptedConfig());
+            region.roleController().tick(now, acceptedConfig(), globalState.version());
+            region.orderDispatcher().tick(now, out);
         });
-        answerReads(out);
-        stages.tick(now, out);
-        updates.tick(now, out);
+        answerConfirmedReads(out);
+        directRoles.tick(now, out);
+        updatePublisher.tick(now, out);
         if (now >= nextHousekeeping) {
-            nextHousekeeping = now + HOUSEKEEPING_EVERY;
+            nextHousekeeping = now + HOUSEKEEPING_INTERVAL_NANOS;
             directory.tick(now);
             registry.tick(now);
             subscribers.tick(now);
-            expireWaiters(now, out);
+            expireRequests(now, out);
         }
     }
 
@@ -235,46 +252,46 @@
         for (Replica replica : replicas.values()) {
             due = Math.min(due, replica.nextDue());
         }
-        return Math.min(due, updates.nextDue());
+        return Math.min(due, updatePublisher.nextDue());
     }
 
     /**
-     * The version of the configuration accepted as far as this process knows.
+     * Returns the version of the accepted configuration that this process knows.
      *
-     * @return the version, 0 before the first
+     * @return the version, 0 before the first configuration is accepted
      */
     public long configVersion() {
-        return config.version();
+        return globalState.version();
     }
 
     /**
-     * The configuration accepted as far as this process knows.
+     * Returns the accepted configuration that this process knows.
      *
-     * @return its canonical form
+     * @return the configuration in its canonical form
      */
     public byte[] config() {
-        return config.config().toByteArray();
+        return globalState.config().toByteArray();
     }
 
     /**
-     * Counts the requests that are refused because upstreams crash when they run them. Any thread may ask.
+     * Counts the requests that are rejected because they crash the upstreams that run them. Callable from any thread.
      *
-     * @return their number, as far as this process knows
+     * @return the number of quarantined requests that this process knows
      */
     public long quarantinedRequests() {
-        return quarantine.quarantined();
+        return quarantine.quarantinedCount();
     }
 
-    /** The requests that are refused as poison, as far as a quorum wrote them down. */
+    /** The quarantined requests, as committed to the log. */
     Quarantine durableQuarantine() {
-        return config.quarantine();
+        return globalState.quarantine();
     }
 
     /**
-     * The replica of a group.
+     * Returns the replica of a group.
      *
      * @param group the name of the group
-     * @return the replica, if this process has one
+     * @return the replica, or empty if this process has none of the group
      */
     public Optional<Replica> replica(String group) {
         return Optional.ofNullable(replicas.get(group));
@@ -286,52 +303,52 @@
     private void onAnnounce(long now, Address from, long incarnation, Announce announce) {
         directory.onAnnounce(now, from, incarnation, announce);
         if (announce.getRegion().equals(settings.region())) {
-            regions.values().forEach(region -> region.orders().onAnnounce(now, from, incarnation, announce));
+            regions.values().forEach(region -> region.orderDispatcher().onAnnounce(now, from, incarnation, announce));
         }
     }
 
     private void onSubscribe(long now, Address from, long incarnation, Subscribe subscribe, Outbox out) {
-        SubscriberTable.Row row = subscribers.onSubscribe(now, from, incarnation, subscribe);
+        SubscriberTable.Subscriber subscriber = subscribers.onSubscribe(now, from, incarnation, subscribe);
         quarantine.onSubscribe(now, subscribe);
-        row.takenAt = unixMicros(now);
-        usage.ifPresent(system -> system.onSubscribe(now, row, subscribe));
+        subscriber.receivedAtUnixMicros = unixMicros(now);
+        usageReporter.ifPresent(reporter -> reporter.onSubscribe(now, subscriber, subscribe));
         if (subscribe.getConfirm()) {
             long token = nextToken++;
             if (replicas.get(ControlSettings.GLOBAL_GROUP).confirmRead(token)) {
-                readWaiters.put(token, from);
+                pendingSubscriberReads.put(token, from);
                 return;
             }
         }
-        updates.send(row, false, out);
+        updatePublisher.send(subscriber, false, out);
     }
 
-    /** The other control processes, by the log of the global group. */
-    private List<Address> otherControl() {
+    /** The other control processes, from the membership of the global group. */
+    private List<Address> otherControlProcesses() {
         return replicas.get(ControlSettings.GLOBAL_GROUP).members().stream()
                 .filter(member -> !member.equals(self))
                 .toList();
     }
 
-    /** The accepted configuration, typed; parsed once for each version. */
+    /** The accepted configuration in parsed form; parsed once per version. */
     private FleetConfig acceptedConfig() {
-        if (typedVersion != config.version()) {
-            typedVersion = config.version();
-            typedConfig = FleetConfig.parse(config.config().toByteArray()).getOrElse(typedConfig);
+        if (parsedVersion != globalState.version()) {
+            parsedVersion = globalState.version();
+            parsedConfig = FleetConfig.parse(globalState.config().toByteArray()).getOrElse(parsedConfig);
         }
-        return typedConfig;
+        return parsedConfig;
     }
 
-    private void answerReads(Outbox out) {
+    private void answerConfirmedReads(Outbox out) {
         for (long token : replicas.get(ControlSettings.GLOBAL_GROUP).takeConfirmedReads()) {
-            Waiter reader = configReads.remove(token);
-            if (reader != null) {
-                answerConfigRead(reader.asker(), reader.question(), out);
+            PendingRequest configRead = pendingConfigReads.remove(token);
+            if (configRead != null) {
+                answerConfigRead(configRead.requester(), configRead.requestId(), out);
                 continue;
             }
-            Address asker = readWaiters.remove(token);
-            subscribers.rows().stream()
-                    .filter(row -> row.address.equals(asker))
-                    .forEach(row -> updates.send(row, true, out));
+            Address requester = pendingSubscriberReads.remove(token);
+            subscribers.all().stream()
+                    .filter(subscriber -> subscriber.address.equals(requester))
+                    .forEach(subscriber -> updatePublisher.send(subscriber, true, out));
         }
     }
 
@@ -351,34 +368,34 @@
             answerClaim(from, request.getQuestion(), ClaimResult.CLAIM_NOT_LEADER, leader, out);
             return;
         }
-        Waiter waiter = new Waiter(from, request.getQuestion(), region.replica().term(), now);
-        claimWaiters.get(request.getGroup()).put(index.get(), waiter);
+        PendingRequest pending =
+                new PendingRequest(from, request.getQuestion(), region.replica().term(), now);
+        pendingClaims.get(request.getGroup()).put(index.get(), pending);
     }
 
-    private static void answerClaim(Address to, long question, ClaimResult result, String leader, Outbox out) {
+    private static void answerClaim(Address to, long requestId, ClaimResult result, String leader, Outbox out) {
         ClaimAnswer answer = ClaimAnswer.newBuilder()
-                .setQuestion(question)
+                .setQuestion(requestId)
                 .setResult(result)
                 .setLeader(leader)
                 .build();
         out.send(to, Envelope.newBuilder().setClaimAnswer(answer));
     }
 
-    private void answerClaimWaiters(String group, RegionGroup region, Outbox out) {
+    private void answerClaims(String group, RegionGroup region, Outbox out) {
         long applied = region.replica().applied();
-        claimWaiters.get(group).entrySet().removeIf(entry -> {
+        pendingClaims.get(group).entrySet().removeIf(entry -> {
             if (entry.getKey() > applied) {
                 return false;
             }
-            Waiter waiter = entry.getValue();
-            // An entry of another term may have taken the place of the one proposed: its outcome is not
-            // the asker's.
-            Optional<ClaimAnswer> outcome = region.replica().term() == waiter.term()
+            PendingRequest request = entry.getValue();
+            // After a change of term, the log index may hold another entry than the one proposed for the request.
+            Optional<ClaimAnswer> outcome = region.replica().term() == request.term()
                     ? region.machine().takeClaimAnswer(entry.getKey())
                     : Optional.empty();
             outcome.ifPresent(answer -> out.send(
-                    waiter.asker(),
-                    Envelope.newBuilder().setClaimAnswer(answer.toBuilder().setQuestion(waiter.question()))));
+                    request.requester(),
+                    Envelope.newBuilder().setClaimAnswer(answer.toBuilder().setQuestion(request.requestId()))));
             return true;
         });
     }
@@ -404,7 +421,7 @@
                         out);
             case QUARANTINE_RELEASE -> onRelease(now, from, request, out);
             case VOTER_CHANGE, ACTION_NOT_SET ->
-                refuseAdmin(from, request.getQuestion(), AdminResult.ADMIN_UNKNOWN, "no such action", out);
+                rejectAdmin(from, request.getQuestion(), AdminResult.ADMIN_UNKNOWN, "no such action", out);
         }
     }
 
@@ -416,31 +433,32 @@
         Replica replica = replicas.get(ControlSettings.GLOBAL_GROUP);
         long token = nextToken++;
         if (replica.confirmRead(token)) {
-            configReads.put(token, new Waiter(from, request.getQuestion(), replica.term(), now));
+            pendingConfigReads.put(token, new PendingRequest(from, request.getQuestion(), replica.term(), now));
         } else {
             forward(now, from, request, replica, out);
         }
     }
 
-    private void answerConfigRead(Address to, long question, Outbox out) {
+    private void answerConfigRead(Address to, long requestId, Outbox out) {
         answerAdmin(
                 to,
-                question,
-                AdminAnswer.newBuilder().setVersion(config.version()).setConfig(config.config()),
+                requestId,
+                AdminAnswer.newBuilder().setVersion(globalState.version()).setConfig(globalState.config()),
                 out);
     }
 
     private void onConfigApply(long now, Address from, AdminRequest request, Outbox out) {
         ConfigApply apply = request.getConfigApply();
-        Optional<String> wrong = settings.configCheck().apply(apply.getConfig().toByteArray());
-        if (wrong.isPresent()) {
-            refuseAdmin(from, request.getQuestion(), AdminResult.ADMIN_BAD, wrong.get(), out);
+        Optional<String> rejection =
+                settings.configCheck().apply(apply.getConfig().toByteArray());
+        if (rejection.isPresent()) {
+            rejectAdmin(from, request.getQuestion(), AdminResult.ADMIN_BAD, rejection.get(), out);
             return;
         }
         Replica replica = replicas.get(ControlSettings.GLOBAL_GROUP);
         Optional<Long> index = replica.propose(now, LogEntry.newBuilder().setConfig(apply));
         if (index.isPresent()) {
-            configWaiters.put(index.get(), new Waiter(from, request.getQuestion(), replica.term(), now));
+            pendingProposals.put(index.get(), new PendingRequest(from, request.getQuestion(), replica.term(), now));
         } else {
             forward(now, from, request, replica, out);
         }
@@ -454,24 +472,24 @@
         }
         Optional<QuarantinedRequest> released = quarantine.release(wallMillis, request.getQuarantineRelease());
         if (released.isEmpty()) {
-            refuseAdmin(from, request.getQuestion(), AdminResult.ADMIN_UNKNOWN, "no such request is quarantined", out);
+            rejectAdmin(from, request.getQuestion(), AdminResult.ADMIN_UNKNOWN, "no such request is quarantined", out);
             return;
         }
         replica.propose(now, LogEntry.newBuilder().setQuarantined(released.get()))
-                .ifPresent(index ->
-                        configWaiters.put(index, new Waiter(from, request.getQuestion(), replica.term(), now)));
+                .ifPresent(index -> pendingProposals.put(
+                        index, new PendingRequest(from, request.getQuestion(), replica.term(), now)));
     }
 
     private void onOrderPlace(long now, Address from, AdminRequest request, Outbox out) {
         if (regions.isEmpty()) {
-            refuseAdmin(from, request.getQuestion(), AdminResult.ADMIN_UNKNOWN, "no region group here", out);
+            rejectAdmin(from, request.getQuestion(), AdminResult.ADMIN_UNKNOWN, "no region group here", out);
             return;
         }
         Map.Entry<String, RegionGroup> region = regions.entrySet().iterator().next();
         OrderPlace place = request.getOrderPlace();
-        Optional<Address> engine = engine(place.getEngine());
+        Optional<Address> engine = findEngine(place.getEngine());
         if (engine.isEmpty()) {
-            refuseAdmin(from, request.getQuestion(), AdminResult.ADMIN_UNKNOWN, "no such upstream", out);
+            rejectAdmin(from, request.getQuestion(), AdminResult.ADMIN_UNKNOWN, "no such upstream", out);
             return;
         }
         Replica replica = region.getValue().replica();
@@ -488,54 +506,55 @@
                 .setAuthor(place.getAuthor())
                 .build();
         replica.propose(now, LogEntry.newBuilder().setOrder(placed))
-                .ifPresent(index -> orderWaiters
+                .ifPresent(index -> pendingOrders
                         .get(region.getKey())
-                        .put(index, new Waiter(from, request.getQuestion(), replica.term(), now)));
+                        .put(index, new PendingRequest(from, request.getQuestion(), replica.term(), now)));
     }
 
-    private Optional<Address> engine(String name) {
-        return directory.rows().stream()
-                .filter(row -> row.member.getVm().equals(name)
-                        || row.member.getAddress().equals(name))
-                .map(row -> Address.of(row.member.getAddress()))
+    private Optional<Address> findEngine(String name) {
+        return directory.upstreams().stream()
+                .filter(upstream -> upstream.member.getVm().equals(name)
+                        || upstream.member.getAddress().equals(name))
+                .map(upstream -> Address.of(upstream.member.getAddress()))
                 .findFirst();
     }
 
     private void forward(long now, Address from, AdminRequest request, Replica replica, Outbox out) {
         Optional<Address> leader = replica.leader().filter(address -> !address.equals(self));
         if (leader.isEmpty() || !from.isLocal()) {
-            refuseAdmin(from, request.getQuestion(), AdminResult.ADMIN_NOT_LEADER, "no leader is known", out);
+            rejectAdmin(from, request.getQuestion(), AdminResult.ADMIN_NOT_LEADER, "no leader is known", out);
             return;
         }
         long token = nextToken++;
-        forwarded.put(token, new Waiter(from, request.getQuestion(), 0, now));
+        forwardedRequests.put(token, new PendingRequest(from, request.getQuestion(), 0, now));
         out.send(
                 leader.get(),
                 Envelope.newBuilder().setAdminRequest(request.toBuilder().setQuestion(token)));
     }
 
     private void onForwardedAnswer(AdminAnswer answer, Outbox out) {
-        Waiter waiter = forwarded.remove(answer.getQuestion());
-        if (waiter != null) {
-            answerAdmin(waiter.asker(), waiter.question(), answer.toBuilder(), answer.getResult(), out);
+        PendingRequest request = forwardedRequests.remove(answer.getQuestion());
+        if (request != null) {
+            answerAdmin(request.requester(), request.requestId(), answer.toBuilder(), answer.getResult(), out);
         }
     }
 
-    private void answerConfigWaiters(Outbox out) {
+    private void answerProposals(Outbox out) {
         Replica replica = replicas.get(ControlSettings.GLOBAL_GROUP);
-        configWaiters.entrySet().removeIf(entry -> {
+        pendingProposals.entrySet().removeIf(entry -> {
             if (entry.getKey() > replica.applied()) {
                 return false;
             }
-            Waiter waiter = entry.getValue();
-            if (replica.term() == waiter.term()) {
-                config.takeAnswer(entry.getKey())
+            PendingRequest request = entry.getValue();
+            if (replica.term() == request.term()) {
+                globalState
+                        .takeAnswer(entry.getKey())
                         .ifPresent(answer -> answerAdmin(
-                                waiter.asker(), waiter.question(), answer.toBuilder(), answer.getResult(), out));
+                                request.requester(), request.requestId(), answer.toBuilder(), answer.getResult(), out));
             } else {
-                refuseAdmin(
-                        waiter.asker(),
-                        waiter.question(),
+                rejectAdmin(
+                        request.requester(),
+                        request.requestId(),
                         AdminResult.ADMIN_UNAVAILABLE,
                         "the leader changed; send the same again",
                         out);
@@ -544,23 +563,23 @@
         });
     }
 
-    private void answerOrderWaiters(String group, RegionGroup region, Outbox out) {
-        orderWaiters.get(group).entrySet().removeIf(entry -> {
+    private void answerOrders(String group, RegionGroup region, Outbox out) {
+        pendingOrders.get(group).entrySet().removeIf(entry -> {
             if (entry.getKey() > region.replica().applied()) {
                 return false;
             }
-            Waiter waiter = entry.getValue();
-            region.machine().takePlaced(entry.getKey()).ifPresent(placed -> {
+            PendingRequest request = entry.getValue();
+            region.machine().takePlacementOutcome(entry.getKey()).ifPresent(placed -> {
                 if (placed.isPresent()) {
                     answerAdmin(
-                            waiter.asker(),
-                            waiter.question(),
+                            request.requester(),
+                            request.requestId(),
                             AdminAnswer.newBuilder().setVersion(placed.get().getNumber()),
                             out);
                 } else {
-                    refuseAdmin(
-                            waiter.asker(),
-                            waiter.question(),
+                    rejectAdmin(
+                            request.requester(),
+                            request.requestId(),
                             AdminResult.ADMIN_CONFLICT,
                             "another order is pending there, or its sidecar just restarted",
                             out);
@@ -570,56 +589,59 @@
         });
     }
 
-    private void expireWaiters(long now, Outbox out) {
-        expire(now, configWaiters, out);
-        orderWaiters.values().forEach(waiters -> expire(now, waiters, out));
-        expire(now, forwarded, out);
-        expire(now, configReads, out);
-        claimWaiters.values().forEach(waiters -> waiters.values().removeIf(w -> now - w.since() > ADMIN_PATIENCE));
-        if (readWaiters.size() > 10_000) {
-            readWaiters.clear();
+    private void expireRequests(long now, Outbox out) {
+        expire(now, pendingProposals, out);
+        pendingOrders.values().forEach(requests -> expire(now, requests, out));
+        expire(now, forwardedRequests, out);
+        expire(now, pendingConfigReads, out);
+        pendingClaims
+                .values()
+                .forEach(requests ->
+                        requests.values().removeIf(request -> now - request.receivedAt() > REQUEST_TIMEOUT_NANOS));
+        if (pendingSubscriberReads.size() > 10_000) {
+            pendingSubscriberReads.clear();
         }
     }
 
-    private void expire(long now, Map<Long, Waiter> waiters, Outbox out) {
-        waiters.values().removeIf(waiter -> {
-            boolean late = now - waiter.since() > ADMIN_PATIENCE;
-            if (late) {
-                refuseAdmin(
-                        waiter.asker(),
-                        waiter.question(),
+    private void expire(long now, Map<Long, PendingRequest> requests, Outbox out) {
+        requests.values().removeIf(request -> {
+            boolean expired = now - request.receivedAt() > REQUEST_TIMEOUT_NANOS;
+            if (expired) {
+                rejectAdmin(
+                        request.requester(),
+                        request.requestId(),
                         AdminResult.ADMIN_UNAVAILABLE,
                         "no quorum answered; the outcome is unknown: send the same again",
                         out);
             }
-            return late;
+            return expired;
         });
     }
 
-    private static void answerAdmin(Address to, long question, AdminAnswer.Builder answer, Outbox out) {
-        answerAdmin(to, question, answer, AdminResult.ADMIN_DONE, out);
+    private static void answerAdmin(Address to, long requestId, AdminAnswer.Builder answer, Outbox out) {
+        answerAdmin(to, requestId, answer, AdminResult.ADMIN_DONE, out);
     }
 
     private static void answerAdmin(
-            Address to, long question, AdminAnswer.Builder answer, AdminResult result, Outbox out) {
+            Address to, long requestId, AdminAnswer.Builder answer, AdminResult result, Outbox out) {
         out.send(
                 to,
                 Envelope.newBuilder()
-                        .setAdminAnswer(answer.setQuestion(question).setResult(result)));
+                        .setAdminAnswer(answer.setQuestion(requestId).setResult(result)));
     }
 
-    private static void refuseAdmin(Address to, long question, AdminResult result, String detail, Outbox out) {
-        answerAdmin(to, question, AdminAnswer.newBuilder().setDetail(detail), result, out);
+    private static void rejectAdmin(Address to, long requestId, AdminResult result, String detail, Outbox out) {
+        answerAdmin(to, requestId, AdminAnswer.newBuilder().setDetail(detail), result, out);
     }
 
     private FleetStatus status() {
         FleetStatus.Builder status = FleetStatus.newBuilder()
                 .setAddress(self.value())
-                .setConfigVersion(config.version())
-                .setLowestVersionInForce(subscribers.lowestVersion(config.version()))
-                .setSubscribers(subscribers.rows().size());
+                .setConfigVersion(globalState.version())
+                .setLowestVersionInForce(subscribers.lowestVersion(globalState.version()))
+                .setSubscribers(subscribers.all().size());
         replicas.values().forEach(replica -> status.addGroups(replica.status()));
-        directory.rows().forEach(row -> status.addMembers(row.member));
+        directory.upstreams().forEach(upstream -> status.addMembers(upstream.member));
         regions.values().forEach(region -> {
             status.addAllPendingOrders(region.machine().pendingOrders());
             status.setClaims(status.getClaims() + region.machine().claimCount());
@@ -636,9 +658,9 @@
     }
 
     /**
-     * Lists the groups of this process.
+     * Lists the groups in which this process has a replica.
      *
-     * @return their names
+     * @return the names of the groups
      */
     public List<String> groups() {
         return List.copyOf(replicas.keySet());
--- a/src/main/java/org/cuminshelf/control/DirectRoleController.java
+++ b/src/main/java/org/cuminshelf/control/DirectRoleController.java
@@ -25,126 +25,128 @@
 import org.tinylog.Logger;
 
 /**
- * Plans the roles of engines that announce themselves straight to control, and gives the orders.
+ * Plans the roles of engines that announce themselves directly to control, without a sidecar, and orders role changes.
  *
  * <p>Failures it guards against:
  * <ul>
- *   <li>A deposed leader gives an order beside its successor's. An order is sent only after it is committed, only under
- *       a lease, and only by the leader of the term in which it was committed; its number is its index in the log, so
- *       that numbers rise across leaders.</li>
- *   <li>An engine takes an order, answers nothing, and carries it out seconds later, after a newer one. After an order
- *       an engine is left alone for {@link #QUIET}, by its successor too, which knows the order from the log, and
- *       under its name: the order may reach a later start of it.</li>
- *   <li>Requests reach an engine that is about to change its role and are refused. Entries are told
- *       {@link #NOTICE} before the order is sent.</li>
+ *   <li>A deposed leader sends an order that competes with one of its successor. An order is sent only after it is
+ *       committed, only under a lease, and only by the leader of the term in which it was committed. The number of an
+ *       order is its log index, so that numbers increase across leaders.</li>
+ *   <li>An engine receives an order, does not respond, and applies the order seconds later, after a newer one. No
+ *       further order is sent to an engine within {@link #ORDER_COOLDOWN_NANOS} of the last. This also binds a new
+ *       leader, which reads the order from the log. The cooldown applies to the engine's name, because the order may
+ *       reach a later incarnation of the engine.</li>
+ *   <li>Requests reach an engine that is about to change its role and are rejected. Entries are notified
+ *       {@link #NOTICE_NANOS} before the order is sent.</li>
  * </ul>
  */
 final class DirectRoleController {
 
     private static final String LOG = "control: ";
-    /** How often the basis of plans is logged where it stays the same: half a line a second at the most. */
-    private static final long TELL_EVERY = Durations.nanos(2_000);
+    /** Minimum interval between log lines for an unchanged plan: at most half a line per second and service. */
+    private static final long PLAN_LOG_INTERVAL_NANOS = Durations.nanos(2_000);
 
-    private static final long PLAN_EVERY = Durations.nanos(500);
-    /** How long entries have to hear that an engine takes no new work; news reach them within some 30 ms. */
-    private static final long NOTICE = Durations.nanos(120);
-    /** Engines were seen to carry an order out 12 s after it was sent; a third more for clocks and pauses. */
-    private static final long QUIET = Durations.nanos(16_000);
-    /** A change takes 3 s after running work ended; an engine not back by then is asked to show its role itself. */
-    private static final long CHANGE_TAKES = Durations.nanos(6_000);
-    /** How long the mix must ask for the same change: longer than the swings of three seconds within it. */
-    private static final long PATIENCE = Durations.nanos(8_000);
+    private static final long PLAN_INTERVAL_NANOS = Durations.nanos(500);
+    /** Delay between commit and sending, in which entries stop using the engine; updates reach them within 30 ms. */
+    private static final long NOTICE_NANOS = Durations.nanos(120);
+    /** Engines apply an order up to 12 s after it was sent; a third more allows for clock error and pauses. */
+    private static final long ORDER_COOLDOWN_NANOS = Durations.nanos(16_000);
+    /** A role change takes 3 s after running work has ended; after this timeout the engine's reported role counts. */
+    private static final long CHANGE_TIMEOUT_NANOS = Durations.nanos(6_000);
+    /** Time for which the load must require the same change; the load fluctuates with a period of three seconds. */
+    private static final long SUSTAINED_DEMAND_NANOS = Durations.nanos(8_000);
 
-    /** A planner, and what was last logged of it. */
-    private static final class Plan {
+    /** The planner of one service, the engines it last planned with, and the state last logged. */
+    private static final class ServicePlan {
         private final DebouncingPlanner planner;
-        private Set<String> engines = Set.of();
-        private Optional<Role> told = Optional.empty();
-        private long toldAt = Long.MIN_VALUE / 2;
+        private Set<String> engineNames = Set.of();
+        private Optional<Role> loggedRole = Optional.empty();
+        private long loggedAt = Long.MIN_VALUE / 2;
 
-        private Plan(DebouncingPlanner planner) {
+        private ServicePlan(DebouncingPlanner planner) {
             this.planner = planner;
         }
     }
 
-    private static final class Sent {
+    /** The last committed order of an engine. */
+    private static final class CommittedOrder {
         private final DirectOrder order;
-        private final long knownAt;
-        private final boolean own;
-        private boolean given;
+        private final long committedAt;
+        private final boolean proposedHere;
+        private boolean sent;
 
-        private Sent(DirectOrder order, long knownAt, boolean own) {
+        private CommittedOrder(DirectOrder order, long committedAt, boolean proposedHere) {
             this.order = order;
-            this.knownAt = knownAt;
-            this.own = own;
+            this.committedAt = committedAt;
+            this.proposedHere = proposedHere;
         }
     }
 
     private final Replica replica;
-    private final LastDirectOrders book;
+    private final LastDirectOrders orders;
     private final DirectUpstreamRegistry registry;
     private final SubscriberTable subscribers;
-    private final DutyLease holder;
-    private final Map<String, Sent> last = new TreeMap<>();
-    private final Map<String, Plan> plans = new HashMap<>();
+    private final DutyLease dutyLease;
+    private final Map<String, CommittedOrder> lastOrders = new TreeMap<>();
+    private final Map<String, ServicePlan> plans = new HashMap<>();
     private long proposedTerm;
     private int proposals;
     private long nextPlan;
 
     DirectRoleController(
             Replica replica,
-            LastDirectOrders book,
+            LastDirectOrders orders,
             DirectUpstreamRegistry registry,
             SubscriberTable subscribers,
-            DutyLease holder) {
+            DutyLease dutyLease) {
         this.replica = replica;
-        this.book = book;
+        this.orders = orders;
         this.registry = registry;
         this.subscribers = subscribers;
-        this.holder = holder;
+        this.dutyLease = dutyLease;
     }
 
     void tick(long now, Outbox out) {
-        boolean leads = holder.holds(now);
-        takeCommitted(now, leads);
-        if (leads && proposedTerm != replica.term()) {
+        boolean isLeader = dutyLease.isHeld(now);
+        applyCommitted(now, isLeader);
+        if (isLeader && proposedTerm != replica.term()) {
             proposedTerm = replica.term();
             proposals = 0;
         }
-        if (leads) {
-            giveOrders(now, out);
+        if (isLeader) {
+            sendOrders(now, out);
         }
         if (now >= nextPlan) {
-            nextPlan = now + PLAN_EVERY;
-            plan(now, holder.mayAct(now));
+            nextPlan = now + PLAN_INTERVAL_NANOS;
+            plan(now, dutyLease.mayAct(now));
         }
     }
 
-    private void takeCommitted(long now, boolean leads) {
-        for (DirectOrder order : book.takeApplied()) {
-            boolean own = leads && proposals > 0 && proposedTerm == replica.term();
-            proposals -= own ? 1 : 0;
-            last.put(order.getUpstream(), new Sent(order, now, own));
-            registry.row(order.getUpstream())
-                    .map(beat -> plans.get(beat.getService()))
+    private void applyCommitted(long now, boolean isLeader) {
+        for (DirectOrder order : orders.takeApplied()) {
+            boolean proposedHere = isLeader && proposals > 0 && proposedTerm == replica.term();
+            proposals -= proposedHere ? 1 : 0;
+            lastOrders.put(order.getUpstream(), new CommittedOrder(order, now, proposedHere));
+            registry.find(order.getUpstream())
+                    .map(heartbeat -> plans.get(heartbeat.getService()))
                     .ifPresent(plan -> plan.planner.onChangeOrdered(now));
-            registry.changing(order.getUpstream(), order.getRole(), now + CHANGE_TAKES);
+            registry.markChanging(order.getUpstream(), order.getRole(), now + CHANGE_TIMEOUT_NANOS);
         }
     }
 
-    private void giveOrders(long now, Outbox out) {
-        for (Sent sent : last.values()) {
-            if (sent.own && !sent.given && now - sent.knownAt >= NOTICE) {
-                sent.given = true;
-                if (now - sent.knownAt > 5 * NOTICE) {
-                    // The process stood still in between: whether it still leads is not for its own clock to say.
+    private void sendOrders(long now, Outbox out) {
+        for (CommittedOrder committed : lastOrders.values()) {
+            if (committed.proposedHere && !committed.sent && now - committed.committedAt >= NOTICE_NANOS) {
+                committed.sent = true;
+                if (now - committed.committedAt > 5 * NOTICE_NANOS) {
+                    // The process was suspended since the commit, so its own clock cannot prove that it still leads.
                     Logger.warn(
                             LOG + "event=order id={} outcome=too-late number={}",
-                            sent.order.getUpstream(),
-                            sent.order.getNumber());
+                            committed.order.getUpstream(),
+                            committed.order.getNumber());
                     continue;
                 }
-                out.send(Address.ORDERS, Envelope.newBuilder().setSendDirectOrder(sent.order));
+                out.send(Address.ORDERS, Envelope.newBuilder().setSendDirectOrder(committed.order));
             }
         }
     }
@@ -157,56 +159,60 @@
     }
 
     /**
-     * Looks at engines and work offered, and gives orders where this process may.
+     * Feeds the engines and the offered work to the planners, and proposes orders if this process may decide.
      *
-     * <p>Every control process looks. Guards against a leader that is lost while engines leave: a successor that began
-     * to look when it began to lead knew the mix 8 s later, and waited 8 s more before it moved an engine.
+     * <p>Every control process observes, not only the leader. Otherwise, if the leader is lost while engines leave, its
+     * successor needs 8 s to learn the load and another 8 s before it changes the role of an engine.
      */
-    private void plan(long now, boolean decides) {
+    private void plan(long now, boolean mayDecide) {
         Map<String, List<EngineSnapshot>> byService = new TreeMap<>();
-        for (UpstreamBeat beat : registry.serving()) {
-            if (beat.getRole() != Role.ROLE_MIXED) {
+        for (UpstreamBeat heartbeat : registry.serving()) {
+            if (heartbeat.getRole() != Role.ROLE_MIXED) {
                 byService
-                        .computeIfAbsent(beat.getService(), key -> new ArrayList<>())
-                        .add(view(now, beat));
+                        .computeIfAbsent(heartbeat.getService(), key -> new ArrayList<>())
+                        .add(engineView(now, heartbeat));
             }
         }
         byService.forEach((service, engines) -> {
-            Plan plan = plans.computeIfAbsent(
-                    service, key -> new Plan(DebouncingPlanner.of(BalancedPlanner.of(slots(engines)), PATIENCE)));
-            noteLeft(now, plan, engines);
-            if (!decides) {
+            ServicePlan plan = plans.computeIfAbsent(
+                    service,
+                    key -> new ServicePlan(DebouncingPlanner.of(BalancedPlanner.of(slotsPerEngine(engines)), SUSTAINED_DEMAND_NANOS)));
+            detectDepartures(now, plan, engines);
+            if (!mayDecide) {
                 plan.planner.observe(now, engines, subscribers.demand(service));
                 return;
             }
             List<RoleChange> changes = plan.planner.plan(now, engines, subscribers.demand(service));
-            tell(now, service, plan);
+            logPlan(now, service, plan);
             changes.forEach(change -> propose(now, service, change));
         });
     }
 
-    /** Tells a planner of engines that said that they leave or are gone; one that fell silent may be back soon. */
-    private void noteLeft(long now, Plan plan, List<EngineSnapshot> engines) {
-        Set<String> names = engines.stream().map(EngineSnapshot::name).collect(Collectors.toSet());
-        boolean left = plan.engines.stream()
-                .filter(name -> !names.contains(name))
-                .anyMatch(name -> registry.row(name)
-                        .filter(beat -> beat.getLeaving() || beat.getDeleted())
+    /**
+     * Notifies the planner of engines that announced their departure or are deleted. A silent engine does not count, as
+     * it may return within seconds.
+     */
+    private void detectDepartures(long now, ServicePlan plan, List<EngineSnapshot> engines) {
+        Set<String> currentNames = engines.stream().map(EngineSnapshot::name).collect(Collectors.toSet());
+        boolean departed = plan.engineNames.stream()
+                .filter(name -> !currentNames.contains(name))
+                .anyMatch(name -> registry.find(name)
+                        .filter(heartbeat -> heartbeat.getLeaving() || heartbeat.getDeleted())
                         .isPresent());
-        plan.engines = names;
-        if (left) {
+        plan.engineNames = currentNames;
+        if (departed) {
             plan.planner.onEngineLost(now);
         }
     }
 
-    /** Logs what engines are wanted for and why: without it, why no order came can't be told afterwards. */
-    private static void tell(long now, String service, Plan plan) {
+    /** Logs the wanted role and the planner's inputs, so that the absence of an order can be explained afterwards. */
+    private static void logPlan(long now, String service, ServicePlan plan) {
         Optional<Role> wanted = plan.planner.pendingRole();
-        if (wanted.equals(plan.told) && now - plan.toldAt < TELL_EVERY) {
+        if (wanted.equals(plan.loggedRole) && now - plan.loggedAt < PLAN_LOG_INTERVAL_NANOS) {
             return;
         }
-        plan.told = wanted;
-        plan.toldAt = now;
+        plan.loggedRole = wanted;
+        plan.loggedAt = now;
         Logger.info(
                 LOG + "event=plan id={} wants={} {}",
                 service,
@@ -215,42 +221,43 @@
     }
 
     /**
-     * An engine as the planner is to see it: one that is changing has its new role already, or each change would wait
-     * for the last; one that had an order lately comes last, as it can't have another.
+     * Describes an engine for the planner. An engine that is changing is shown in its new role, as otherwise each
+     * change would wait for the previous one. An engine within its order cooldown is shown with the highest load, so
+     * that the planner selects it last.
      */
-    private EngineSnapshot view(long now, UpstreamBeat beat) {
-        Sent before = last.get(beat.getName());
-        boolean ordered = before != null && now - before.knownAt <= QUIET;
-        Role role = beat.getChanging() && before != null ? before.order.getRole() : beat.getRole();
-        return new EngineSnapshot(beat.getName(), role, false, ordered ? Integer.MAX_VALUE : 0);
+    private EngineSnapshot engineView(long now, UpstreamBeat heartbeat) {
+        CommittedOrder previous = lastOrders.get(heartbeat.getName());
+        boolean recentlyOrdered = previous != null && now - previous.committedAt <= ORDER_COOLDOWN_NANOS;
+        Role role = heartbeat.getChanging() && previous != null ? previous.order.getRole() : heartbeat.getRole();
+        return new EngineSnapshot(heartbeat.getName(), role, false, recentlyOrdered ? Integer.MAX_VALUE : 0);
     }
 
-    /** Requests that one engine of a service runs at once. */
-    private int slots(List<EngineSnapshot> engines) {
+    /** Number of requests that one engine of a service can run concurrently. */
+    private int slotsPerEngine(List<EngineSnapshot> engines) {
         return engines.stream()
                 .findFirst()
-                .flatMap(engine -> registry.row(engine.name()))
+                .flatMap(engine -> registry.find(engine.name()))
                 .map(UpstreamBeat::getSlots)
                 .orElse(1);
     }
 
     private void propose(long now, String service, RoleChange change) {
-        Sent before = last.get(change.engine());
-        boolean quiet = before == null || now - before.knownAt > QUIET;
-        if (!quiet) {
+        CommittedOrder previous = lastOrders.get(change.engine());
+        boolean cooledDown = previous == null || now - previous.committedAt > ORDER_COOLDOWN_NANOS;
+        if (!cooledDown) {
             return;
         }
-        registry.row(change.engine()).ifPresent(beat -> {
+        registry.find(change.engine()).ifPresent(heartbeat -> {
             DirectOrder order = DirectOrder.newBuilder()
-                    .setUpstream(beat.getName())
-                    .setAddress(beat.getAddress())
+                    .setUpstream(heartbeat.getName())
+                    .setAddress(heartbeat.getAddress())
                     .setRole(change.role())
                     .build();
             replica.propose(now, LogEntry.newBuilder().setDirectOrder(order)).ifPresent(index -> {
                 proposals++;
                 Logger.info(
                         LOG + "event=order id={} number={} role={} service={} outcome=proposed demand={}",
-                        beat.getName(),
+                        heartbeat.getName(),
                         index,
                         change.role(),
                         service,
--- a/src/main/java/org/cuminshelf/control/DirectUpstreamRegistry.java
+++ b/src/main/java/org/cuminshelf/control/DirectUpstreamRegistry.java
@@ -15,167 +15,182 @@
 import org.cuminshelf.message.UpstreamBeat;
 
 /**
- * The upstreams that announce themselves straight to control, each to one control process at a time, which passes the
- * word on to the others. Not replicated: a control process that restarts hears from all again within a heartbeat.
+ * The upstreams that announce themselves directly to control, without a sidecar. Each sends its heartbeats to one
+ * control process at a time, which forwards them to the others. The registry is not replicated: a restarted control
+ * process receives heartbeats from all upstreams within one heartbeat interval.
  *
  * <p>Failures it guards against:
  * <ul>
- *   <li>A heartbeat is delayed and arrives after the word that its sender is gone, or after a newer one. The sequence
- *       orders the words of one start; a start that said it is gone stays gone.</li>
- *   <li>An upstream starts again under its name and counts anew. Ordered by the sequence alone it would not be heard
- *       until it has counted past its former self, and what is known of the former start would be believed of it. Each
- *       start has an identity of its own, made of the name and the time of the start; the newest is the one that is
- *       there, and words of older ones change nothing.</li>
- *   <li>All control processes lose power while an engine changes its role, and read the order in their logs before they
- *       hear the engine again. Were the change kept with the engine it would be lost, and the engine, which looks idle,
- *       be given whatever comes: on a recorded day 42 calls in 1.5 s, all of which it refused. So changes are kept by
- *       name, whether or not the engine is known; 17 calls are left, from before the group has a leader again.</li>
+ *   <li>A heartbeat is delayed and arrives after a newer one or after the deletion of its sender. The sequence number
+ *       orders the heartbeats of one incarnation, and a deleted incarnation stays deleted.</li>
+ *   <li>An upstream restarts under the same name and its sequence restarts too. Ordered by sequence alone, its
+ *       heartbeats would be ignored until they exceed the old sequence, and the state of the former incarnation would
+ *       be applied to it. Each incarnation therefore has its own identity, made of the name and the start time. Only
+ *       the newest incarnation is current; heartbeats of older ones are ignored.</li>
+ *   <li>All control processes lose power while an engine changes its role, and read the order from their logs before
+ *       they receive the engine's next heartbeat. A change stored with the engine's entry would be lost, and the
+ *       engine, which appears idle, would be sent requests that it rejects: 42 calls within 1.5 s. Pending changes are
+ *       therefore kept by name, whether or not the engine is known. This leaves 17 rejected calls, from the time before
+ *       the group has a leader again.</li>
  * </ul>
  */
 final class DirectUpstreamRegistry {
 
-    /** Silence after which an upstream counts as lapsed: four heartbeats of 1.2 s, so that a lost one is no matter. */
-    private static final long LEASE = Durations.nanos(5_000);
-    /** How long the word that an upstream is gone is kept; delayed heartbeats arrive within seconds. */
-    private static final long GONE_KEPT = Durations.nanos(60_000);
+    /** Silence after which an upstream has lapsed: four heartbeat intervals of 1.2 s, so that one may be lost. */
+    private static final long LEASE_NANOS = Durations.nanos(5_000);
+    /** Time for which a deleted or lapsed upstream is kept; delayed heartbeats arrive within seconds. */
+    private static final long GONE_RETENTION_NANOS = Durations.nanos(60_000);
 
-    private static final class Row {
-        private UpstreamBeat beat;
-        private long heardAt;
+    /** One run of an upstream, from its start to its end. */
+    private static final class Incarnation {
+        private UpstreamBeat heartbeat;
+        private long lastHeardAt;
     }
 
     /**
-     * An order to change a role that is on its way.
+     * An ordered role change that the engine has not yet completed.
      *
-     * @param to    the role that the engine will have
-     * @param until when it is given up, in nanoseconds
+     * @param targetRole the role that the engine will have
+     * @param expiresAt  time after which the change is no longer expected, in nanoseconds
      */
-    private record Change(Role to, long until) {}
+    private record PendingChange(Role targetRole, long expiresAt) {}
 
-    /** The starts of one name. */
-    private static final class Starts {
-        private long newest = -1;
-        private long goneUpTo = -1;
-        private final List<Row> rows = new ArrayList<>();
+    /** The incarnations of one upstream name, oldest first; start times are Unix milliseconds, -1 if none. */
+    private static final class Incarnations {
+        private long newestBornMillis = -1;
+        private long goneUpToBornMillis = -1;
+        private final List<Incarnation> all = new ArrayList<>();
     }
 
-    private final SidecarDirectory versions;
-    private final Map<String, Starts> names = new TreeMap<>();
-    private final Map<String, Change> changes = new TreeMap<>();
+    private final SidecarDirectory directory;
+    private final Map<String, Incarnations> incarnationsByName = new TreeMap<>();
+    private final Map<String, PendingChange> pendingChanges = new TreeMap<>();
 
-    DirectUpstreamRegistry(SidecarDirectory versions) {
-        this.versions = versions;
+    DirectUpstreamRegistry(SidecarDirectory directory) {
+        this.directory = directory;
     }
 
     /**
-     * Takes an announcement; what came from the upstream itself is passed on to the other control processes.
+     * Handles a heartbeat or deletion. One received from the upstream itself is forwarded to the other control
+     * processes.
      *
-     * @param now        the time in nanoseconds
-     * @param wallMillis the time of day in Unix milliseconds
-     * @param beat       the announcement
-     * @param others     the other control processes
-     * @param out        takes what is passed on
+     * @param now           the time in nanoseconds
+     * @param wallMillis    the wall clock in Unix milliseconds
+     * @param heartbeat     the heartbeat or deletion
+     * @param otherControls the other control processes
+     * @param out           receives the forwarded messages
      */
-    void onBeat(long now, long wallMillis, UpstreamBeat beat, List<Address> others, Outbox out) {
-        UpstreamBeat known = beat.getDeleted() ? onGone(now, wallMillis, beat) : onAlive(now, beat);
-        if (!known.getName().isEmpty() && !beat.getPassedOn()) {
-            UpstreamBeat passed = known.toBuilder().setPassedOn(true).build();
-            others.forEach(other -> out.send(other, Envelope.newBuilder().setUpstreamBeat(passed)));
+    void onHeartbeat(long now, long wallMillis, UpstreamBeat heartbeat, List<Address> otherControls, Outbox out) {
+        UpstreamBeat merged = heartbeat.getDeleted() ? onGone(now, wallMillis, heartbeat) : onRunning(now, heartbeat);
+        if (!merged.getName().isEmpty() && !heartbeat.getPassedOn()) {
+            UpstreamBeat forwarded = merged.toBuilder().setPassedOn(true).build();
+            otherControls.forEach(
+                    control -> out.send(control, Envelope.newBuilder().setUpstreamBeat(forwarded)));
         }
     }
 
-    /** Takes a heartbeat; returns what is known then, or an empty word if it came too late to change anything. */
-    private UpstreamBeat onAlive(long now, UpstreamBeat beat) {
-        Starts starts = names.computeIfAbsent(beat.getName(), key -> new Starts());
-        if (beat.getBornMs() <= starts.goneUpTo || beat.getBornMs() < starts.newest) {
+    /** Applies a heartbeat. Returns the resulting state, or an empty message if the heartbeat was outdated. */
+    private UpstreamBeat onRunning(long now, UpstreamBeat heartbeat) {
+        Incarnations incarnations = incarnationsByName.computeIfAbsent(heartbeat.getName(), key -> new Incarnations());
+        if (heartbeat.getBornMs() <= incarnations.goneUpToBornMillis
+                || heartbeat.getBornMs() < incarnations.newestBornMillis) {
             return UpstreamBeat.getDefaultInstance();
         }
-        if (beat.getBornMs() > starts.newest) {
-            if (starts.newest >= 0) {
-                // The order was for the former start.
-                changes.remove(beat.getName());
+        if (heartbeat.getBornMs() > incarnations.newestBornMillis) {
+            if (incarnations.newestBornMillis >= 0) {
+                // The pending change was ordered from the previous incarnation.
+                pendingChanges.remove(heartbeat.getName());
             }
-            starts.rows.forEach(this::end);
-            starts.newest = beat.getBornMs();
-            starts.rows.add(new Row());
+            incarnations.all.forEach(this::markDeleted);
+            incarnations.newestBornMillis = heartbeat.getBornMs();
+            incarnations.all.add(new Incarnation());
         }
-        Row row = starts.rows.getLast();
-        if (row.beat != null && beat.getSequence() < row.beat.getSequence()) {
+        Incarnation incarnation = incarnations.all.getLast();
+        if (incarnation.heartbeat != null && heartbeat.getSequence() < incarnation.heartbeat.getSequence()) {
             return UpstreamBeat.getDefaultInstance();
         }
-        row.heardAt = now;
-        put(row, merged(row.beat, beat));
-        return row.beat;
+        incarnation.lastHeardAt = now;
+        update(incarnation, merge(incarnation.heartbeat, heartbeat));
+        return incarnation.heartbeat;
     }
 
     /**
-     * Takes the word that an upstream is gone. It may not say which start of it: then it is the newest that is known,
-     * or where none is, any that started up to now.
+     * Applies a deletion. If it does not name an incarnation, it applies to the newest known one, or, if the upstream
+     * is unknown, to every incarnation started up to now.
      */
-    private UpstreamBeat onGone(long now, long wallMillis, UpstreamBeat beat) {
-        Starts starts = names.computeIfAbsent(beat.getName(), key -> new Starts());
-        long unnamed = starts.newest >= 0 ? starts.newest : wallMillis;
-        long upTo = beat.getBornMs() > 0 ? beat.getBornMs() : unnamed;
-        starts.goneUpTo = Math.max(starts.goneUpTo, upTo);
-        if (starts.newest < 0) {
-            Row row = new Row();
-            put(
-                    row,
-                    beat.toBuilder()
-                            .setId(identity(beat.getName(), upTo))
-                            .setBornMs(upTo)
+    private UpstreamBeat onGone(long now, long wallMillis, UpstreamBeat heartbeat) {
+        Incarnations incarnations = incarnationsByName.computeIfAbsent(heartbeat.getName(), key -> new Incarnations());
+        long defaultBornMillis = incarnations.newestBornMillis >= 0 ? incarnations.newestBornMillis : wallMillis;
+        long bornMillis = heartbeat.getBornMs() > 0 ? heartbeat.getBornMs() : defaultBornMillis;
+        incarnations.goneUpToBornMillis = Math.max(incarnations.goneUpToBornMillis, bornMillis);
+        if (incarnations.newestBornMillis < 0) {
+            Incarnation incarnation = new Incarnation();
+            update(
+                    incarnation,
+                    heartbeat.toBuilder()
+                            .setId(incarnationId(heartbeat.getName(), bornMillis))
+                            .setBornMs(bornMillis)
                             .build());
-            starts.rows.add(row);
+            incarnations.all.add(incarnation);
         }
-        for (Row row : starts.rows) {
-            row.heardAt = now;
-            if (row.beat.getBornMs() <= starts.goneUpTo) {
-                end(row);
+        for (Incarnation incarnation : incarnations.all) {
+            incarnation.lastHeardAt = now;
+            if (incarnation.heartbeat.getBornMs() <= incarnations.goneUpToBornMillis) {
+                markDeleted(incarnation);
             }
         }
         return UpstreamBeat.newBuilder()
-                .setName(beat.getName())
-                .setBornMs(starts.goneUpTo)
+                .setName(heartbeat.getName())
+                .setBornMs(incarnations.goneUpToBornMillis)
                 .setDeleted(true)
                 .build();
     }
 
-    private void end(Row row) {
-        put(row, row.beat.toBuilder().setDeleted(true).setLapsed(false).build());
+    private void markDeleted(Incarnation incarnation) {
+        update(
+                incarnation,
+                incarnation.heartbeat.toBuilder()
+                        .setDeleted(true)
+                        .setLapsed(false)
+                        .build());
     }
 
-    /** Names a start; where upstreams take a new name with each start that name does. */
-    private static String identity(String name, long bornMillis) {
+    /** Builds the identity of an incarnation; the name alone where upstreams report no start time. */
+    private static String incarnationId(String name, long bornMillis) {
         return bornMillis == 0 ? name : name + '@' + bornMillis;
     }
 
-    private UpstreamBeat merged(UpstreamBeat before, UpstreamBeat beat) {
-        boolean leaving = beat.getLeaving() || before != null && before.getLeaving();
-        return beat.toBuilder()
-                .setId(identity(beat.getName(), beat.getBornMs()))
+    private UpstreamBeat merge(UpstreamBeat previous, UpstreamBeat heartbeat) {
+        boolean leaving = heartbeat.getLeaving() || previous != null && previous.getLeaving();
+        return heartbeat.toBuilder()
+                .setId(incarnationId(heartbeat.getName(), heartbeat.getBornMs()))
                 .setLeaving(leaving)
                 .setLapsed(false)
-                .setChanging(isChanging(beat))
+                .setChanging(isChanging(heartbeat))
                 .build();
     }
 
-    private boolean isChanging(UpstreamBeat beat) {
-        Change change = changes.get(beat.getName());
-        return change != null && change.to != beat.getRole();
+    private boolean isChanging(UpstreamBeat heartbeat) {
+        PendingChange change = pendingChanges.get(heartbeat.getName());
+        return change != null && change.targetRole != heartbeat.getRole();
     }
 
-    private void put(Row row, UpstreamBeat beat) {
-        boolean same = row.beat != null && essence(row.beat).equals(essence(beat));
-        if (same) {
-            row.beat = beat.toBuilder().setChangedAt(row.beat.getChangedAt()).build();
+    private void update(Incarnation incarnation, UpstreamBeat heartbeat) {
+        boolean unchanged = incarnation.heartbeat != null
+                && withoutVolatileFields(incarnation.heartbeat).equals(withoutVolatileFields(heartbeat));
+        if (unchanged) {
+            incarnation.heartbeat = heartbeat.toBuilder()
+                    .setChangedAt(incarnation.heartbeat.getChangedAt())
+                    .build();
         } else {
-            row.beat = beat.toBuilder().setChangedAt(versions.nextVersion()).build();
+            incarnation.heartbeat =
+                    heartbeat.toBuilder().setChangedAt(directory.nextVersion()).build();
         }
     }
 
-    /** What subscribers must hear of at once; a sequence that merely rose is none of it. */
-    private static UpstreamBeat essence(UpstreamBeat beat) {
-        return beat.toBuilder()
+    /** The fields whose change must be published to subscribers at once, which excludes the sequence number. */
+    private static UpstreamBeat withoutVolatileFields(UpstreamBeat heartbeat) {
+        return heartbeat.toBuilder()
                 .clearSequence()
                 .clearPassedOn()
                 .clearChangedAt()
@@ -183,62 +198,70 @@
                 .build();
     }
 
-    /** Notes that an upstream takes no new work until it has a role, or until a time at the latest. */
-    void changing(String name, Role role, long until) {
-        changes.put(name, new Change(role, until));
-        newest(name).ifPresent(this::putChanging);
+    /** Marks an upstream as accepting no new work until it has the given role, or until {@code expiresAt}. */
+    void markChanging(String name, Role role, long expiresAt) {
+        pendingChanges.put(name, new PendingChange(role, expiresAt));
+        newestIncarnation(name).ifPresent(this::updateChanging);
     }
 
-    private void putChanging(Row row) {
-        boolean changing = isChanging(row.beat);
-        if (row.beat.getChanging() != changing) {
-            put(row, row.beat.toBuilder().setChanging(changing).build());
+    private void updateChanging(Incarnation incarnation) {
+        boolean changing = isChanging(incarnation.heartbeat);
+        if (incarnation.heartbeat.getChanging() != changing) {
+            update(
+                    incarnation,
+                    incarnation.heartbeat.toBuilder().setChanging(changing).build());
         }
     }
 
-    /** The upstreams that are neither gone nor leaving. */
+    /** The upstreams that are neither deleted, lapsed nor leaving. */
     List<UpstreamBeat> serving() {
-        return rows().map(row -> row.beat)
-                .filter(beat -> !beat.getDeleted() && !beat.getLapsed() && !beat.getLeaving())
+        return incarnations()
+                .map(incarnation -> incarnation.heartbeat)
+                .filter(heartbeat -> !heartbeat.getDeleted() && !heartbeat.getLapsed() && !heartbeat.getLeaving())
                 .toList();
     }
 
-    /** What is known of the newest start of a name. */
-    Optional<UpstreamBeat> row(String name) {
-        return newest(name).map(row -> row.beat);
+    /** The last heartbeat of the newest incarnation of a name. */
+    Optional<UpstreamBeat> find(String name) {
+        return newestIncarnation(name).map(incarnation -> incarnation.heartbeat);
     }
 
-    private Optional<Row> newest(String name) {
-        return Optional.ofNullable(names.get(name)).map(starts -> starts.rows.getLast());
+    private Optional<Incarnation> newestIncarnation(String name) {
+        return Optional.ofNullable(incarnationsByName.get(name)).map(incarnations -> incarnations.all.getLast());
     }
 
-    private Stream<Row> rows() {
-        return names.values().stream().flatMap(starts -> starts.rows.stream());
+    private Stream<Incarnation> incarnations() {
+        return incarnationsByName.values().stream().flatMap(incarnations -> incarnations.all.stream());
     }
 
     void tick(long now) {
-        changes.entrySet().removeIf(change -> now > change.getValue().until);
-        rows().forEach(row -> tick(now, row));
-        names.values().forEach(starts -> starts.rows.removeIf(row -> isForgotten(now, row)));
-        names.values().removeIf(starts -> starts.rows.isEmpty());
+        pendingChanges.entrySet().removeIf(change -> now > change.getValue().expiresAt);
+        incarnations().forEach(incarnation -> tick(now, incarnation));
+        incarnationsByName
+                .values()
+                .forEach(incarnations -> incarnations.all.removeIf(incarnation -> isExpired(now, incarnation)));
+        incarnationsByName.values().removeIf(incarnations -> incarnations.all.isEmpty());
     }
 
-    private void tick(long now, Row row) {
-        putChanging(row);
-        boolean ended = row.beat.getDeleted() || row.beat.getLapsed();
-        if (!ended && now - row.heardAt > LEASE) {
-            put(row, row.beat.toBuilder().setLapsed(true).build());
+    private void tick(long now, Incarnation incarnation) {
+        updateChanging(incarnation);
+        boolean ended = incarnation.heartbeat.getDeleted() || incarnation.heartbeat.getLapsed();
+        if (!ended && now - incarnation.lastHeardAt > LEASE_NANOS) {
+            update(
+                    incarnation,
+                    incarnation.heartbeat.toBuilder().setLapsed(true).build());
         }
     }
 
-    private static boolean isForgotten(long now, Row row) {
-        boolean ended = row.beat.getDeleted() || row.beat.getLapsed();
-        return ended && now - row.heardAt > GONE_KEPT;
+    private static boolean isExpired(long now, Incarnation incarnation) {
+        boolean ended = incarnation.heartbeat.getDeleted() || incarnation.heartbeat.getLapsed();
+        return ended && now - incarnation.lastHeardAt > GONE_RETENTION_NANOS;
     }
 
-    /** Adds what a subscriber lacks to an update. */
-    void describe(boolean whole, long heldVersion, Update.Builder update) {
-        rows().filter(row -> whole || row.beat.getChangedAt() > heldVersion)
-                .forEach(row -> update.addUpstreams(row.beat));
+    /** Adds the upstreams that changed after {@code heldVersion}, or all if {@code complete}, to an update. */
+    void addMissing(boolean complete, long heldVersion, Update.Builder update) {
+        incarnations()
+                .filter(incarnation -> complete || incarnation.heartbeat.getChangedAt() > heldVersion)
+                .forEach(incarnation -> update.addUpstreams(incarnation.heartbeat));
     }
 }
--- a/src/main/java/org/cuminshelf/control/DutyLease.java
+++ b/src/main/java/org/cuminshelf/control/DutyLease.java
@@ -5,29 +5,30 @@
 import org.cuminshelf.replica.Replica;
 
 /**
- * Whether this control process is the one that orders engines and reports to the platform.
+ * Decides whether this control process is the one that orders engines and reports to the platform.
  *
  * <p>Failures it guards against:
  * <ul>
- *   <li>A deposed leader goes on: only a leader under its lease holds, and no other is elected before that ends.</li>
- *   <li>Two processes take turns faster than whoever listens can tell them apart: a new leader waits for the stated
- *       lease before its first call. It has heard all engines and entries by then.</li>
- *   <li>Two processes show the same number: the number is the term, in which one process at the most leads.</li>
+ *   <li>A deposed leader continues to act. Only a leader with a valid lease holds the duty, and no other leader is
+ *       elected before that lease ends.</li>
+ *   <li>Holders alternate faster than the receiver of their calls can distinguish them. A new leader waits for the
+ *       configured lease before its first call. By then it has received messages from all engines and entries.</li>
+ *   <li>Two processes use the same fencing number. The number is the term, which has at most one leader.</li>
  * </ul>
  */
 final class DutyLease {
 
-    /** Time in which a new leader hears all engines and entries again. */
-    private static final long SETTLE = Durations.nanos(2_500);
+    /** Time within which a new leader receives messages from all engines and entries. */
+    private static final long MIN_SETTLE_NANOS = Durations.nanos(2_500);
 
     private final Replica replica;
-    private final long wait;
+    private final long settleNanos;
     private long heldTerm = -1;
     private long heldSince = Core.NEVER;
 
     DutyLease(Replica replica, long leaseMillis) {
         this.replica = replica;
-        this.wait = Math.max(SETTLE, Durations.nanos(leaseMillis));
+        this.settleNanos = Math.max(MIN_SETTLE_NANOS, Durations.nanos(leaseMillis));
     }
 
     void tick(long now) {
@@ -37,23 +38,23 @@
         }
     }
 
-    /** Whether this process leads, and no other can. */
-    boolean holds(long now) {
+    /** Returns whether this process leads under a valid lease, so that no other process can. */
+    boolean isHeld(long now) {
         return replica.hasLease(now) && heldTerm == replica.term();
     }
 
-    /** Whether it holds, and for long enough to act. */
+    /** Returns whether this process has held the duty for long enough to act. */
     boolean mayAct(long now) {
-        return holds(now) && now - heldSince >= wait;
+        return isHeld(now) && now - heldSince >= settleNanos;
     }
 
-    /** The fencing number of its calls. */
-    long number() {
+    /** The fencing number for calls of this holder. */
+    long fencingNumber() {
         return replica.term();
     }
 
-    /** Until when what it decides now may be carried out, by this process's monotonic clock. */
-    long until(long now) {
+    /** Time, on this process's monotonic clock in nanoseconds, until which a decision made now may be carried out. */
+    long expiresAt(long now) {
         return replica.leaseEnd(now);
     }
 }
--- a/src/main/java/org/cuminshelf/control/EventPreloader.java
+++ b/src/main/java/org/cuminshelf/control/EventPreloader.java
@@ -13,29 +13,30 @@
 import org.cuminshelf.replica.Replica;
 
 /**
- * Has models and adapters loaded before an event opens.
+ * Orders engines to load models and adapters before an event starts.
  *
- * <p>The weight store gives only so much at once, so that few loads run at a time; what is loaded early enough is there
- * at the hour. Loads take no engine away and wait for no attempts.
+ * <p>The bandwidth of the weight store is limited, so only a few loads run concurrently, and loading begins early
+ * enough to finish before the start. A load does not take the engine out of service and does not wait for running
+ * attempts.
  */
 final class EventPreloader {
 
-    private static final long LOOK_EVERY = Durations.nanos(1_000);
-    /** How long before its start an event's loads begin. */
-    private static final long LEAD_MILLIS = 30L * 60 * 1_000;
+    private static final long CHECK_INTERVAL_NANOS = Durations.nanos(1_000);
+    /** Time before the start of an event at which its loads begin. */
+    private static final long LOAD_LEAD_MILLIS = 30L * 60 * 1_000;
 
-    /** How long after its start an event still has its engines loaded, for those that are replaced. */
-    private static final long LASTS_MILLIS = 24L * 60 * 60 * 1_000;
+    /** Time after the start of an event for which loads continue, so that replaced engines are loaded too. */
+    private static final long LOAD_DURATION_MILLIS = 24L * 60 * 60 * 1_000;
 
-    /** Loads from the weight store at once. */
-    private static final int LOADS_AT_ONCE = 2;
+    /** Maximum number of loads from the weight store at a time. */
+    private static final int MAX_CONCURRENT_LOADS = 2;
 
     private static final String AUTHOR_PREFIX = "event ";
 
     private final Replica replica;
     private final RegionStateMachine machine;
     private final SidecarDirectory directory;
-    private long nextLook;
+    private long nextCheck;
 
     EventPreloader(Replica replica, RegionStateMachine machine, SidecarDirectory directory) {
         this.replica = replica;
@@ -43,26 +44,27 @@
         this.directory = directory;
     }
 
-    /** Looks for loads that are due; the wall clock is in milliseconds since 1970, 0 where it is not known. */
+    /** Orders loads that are due; {@code wallMillis} is the wall clock in Unix milliseconds, 0 if unknown. */
     void tick(long now, long wallMillis, FleetConfig config) {
-        if (now < nextLook || wallMillis == 0 || !replica.hasLease(now)) {
+        if (now < nextCheck || wallMillis == 0 || !replica.hasLease(now)) {
             return;
         }
-        nextLook = now + LOOK_EVERY;
+        nextCheck = now + CHECK_INTERVAL_NANOS;
         for (var event : config.events().entrySet()) {
             long untilStart = event.getValue().start().toInstant().toEpochMilli() - wallMillis;
-            if (untilStart <= LEAD_MILLIS && untilStart >= -LASTS_MILLIS) {
-                prepare(now, event.getKey(), event.getValue());
+            if (untilStart <= LOAD_LEAD_MILLIS && untilStart >= -LOAD_DURATION_MILLIS) {
+                loadForEvent(now, event.getKey(), event.getValue());
             }
         }
     }
 
-    private void prepare(long now, String name, EventConfig event) {
+    private void loadForEvent(long now, String name, EventConfig event) {
         for (String model : event.models().orElse(List.of())) {
-            load(now, name, event, OrderBody.newBuilder().setLoadModel(model).build());
+            loadWhereMissing(
+                    now, name, event, OrderBody.newBuilder().setLoadModel(model).build());
         }
         for (String adapter : event.adapters().orElse(List.of())) {
-            load(
+            loadWhereMissing(
                     now,
                     name,
                     event,
@@ -70,16 +72,18 @@
         }
     }
 
-    private void load(long now, String name, EventConfig event, OrderBody body) {
+    private void loadWhereMissing(long now, String name, EventConfig event, OrderBody body) {
         int wanted = event.engines().orElse(Integer.MAX_VALUE);
-        long loaded = directory.rows().stream().filter(row -> holds(row, body)).count();
-        for (SidecarDirectory.Row row : directory.rows()) {
-            if (loaded >= wanted || pendingLoads() >= LOADS_AT_ONCE) {
+        long loaded = directory.upstreams().stream()
+                .filter(upstream -> isLoaded(upstream, body))
+                .count();
+        for (SidecarDirectory.AnnouncedUpstream upstream : directory.upstreams()) {
+            if (loaded >= wanted || pendingLoads() >= MAX_CONCURRENT_LOADS) {
                 return;
             }
-            if (canLoad(row, body)) {
-                place(now, name, row.member.getAddress(), body);
-                // The order stands in the log only once it is committed; the next look sees it.
+            if (canLoad(upstream, body)) {
+                proposeOrder(now, name, upstream.member.getAddress(), body);
+                // The order counts as pending only once it is committed, so at most one is proposed per check.
                 return;
             }
         }
@@ -92,35 +96,35 @@
                 .count();
     }
 
-    private static boolean isEngine(SidecarDirectory.Row row) {
-        return row.member.getKind() == UpstreamKind.UPSTREAM_ENGINE
-                && !row.member.getGone()
-                && !row.member.getLeaving();
+    private static boolean isEngine(SidecarDirectory.AnnouncedUpstream upstream) {
+        return upstream.member.getKind() == UpstreamKind.UPSTREAM_ENGINE
+                && !upstream.member.getGone()
+                && !upstream.member.getLeaving();
     }
 
-    private static boolean holds(SidecarDirectory.Row row, OrderBody body) {
-        boolean held = body.hasLoadModel()
-                ? row.member.getModelsList().contains(body.getLoadModel())
-                : row.member.getAdaptersList().contains(body.getLoadAdapter());
-        return isEngine(row) && held;
+    private static boolean isLoaded(SidecarDirectory.AnnouncedUpstream upstream, OrderBody body) {
+        boolean listed = body.hasLoadModel()
+                ? upstream.member.getModelsList().contains(body.getLoadModel())
+                : upstream.member.getAdaptersList().contains(body.getLoadAdapter());
+        return isEngine(upstream) && listed;
     }
 
-    private boolean canLoad(SidecarDirectory.Row row, OrderBody body) {
-        return isEngine(row)
-                && !holds(row, body)
-                && machine.pendingOrder(row.member.getAddress()).isEmpty();
+    private boolean canLoad(SidecarDirectory.AnnouncedUpstream upstream, OrderBody body) {
+        return isEngine(upstream)
+                && !isLoaded(upstream, body)
+                && machine.pendingOrder(upstream.member.getAddress()).isEmpty();
     }
 
-    private void place(long now, String name, String engine, OrderBody body) {
+    private void proposeOrder(long now, String name, String engine, OrderBody body) {
         Optional<Long> incarnation = machine.incarnation(engine);
         if (incarnation.isPresent()) {
-            OrderPlaced placed = OrderPlaced.newBuilder()
+            OrderPlaced order = OrderPlaced.newBuilder()
                     .setEngine(engine)
                     .setIncarnation(incarnation.get())
                     .setBody(body)
                     .setAuthor(AUTHOR_PREFIX + name)
                     .build();
-            replica.propose(now, LogEntry.newBuilder().setOrder(placed));
+            replica.propose(now, LogEntry.newBuilder().setOrder(order));
         }
     }
 }
--- a/src/main/java/org/cuminshelf/control/GlobalStateMachine.java
+++ b/src/main/java/org/cuminshelf/control/GlobalStateMachine.java
@@ -20,24 +20,28 @@
 import org.cuminshelf.usage.CommittedUsage;
 
 /**
- * The accepted configuration: by compare-and-set, or, where authors give versions themselves, the highest given.
+ * State machine of the global group: the accepted configuration, direct orders, quarantined requests and settled usage.
  *
- * <p>Failure it guards against: two operators apply different configurations on the same version, or one resends after
- * losing the answer. The first on a version wins; a resend of the same content on the same version is given the first
- * answer; any other gets a conflict with the version that stands. Where authors give versions, an older change that
- * arrives late or again is acknowledged and changes nothing, so that what was accepted never goes back.
+ * <p>A configuration is accepted by compare-and-set on the base version or, where authors declare versions themselves,
+ * if its version is the highest.
+ *
+ * <p>Failure it guards against: two operators apply different configurations to the same base version, or one resends
+ * because the answer was lost. The first configuration for a base version is accepted. A resend of the same content for
+ * the same base version gets the first answer. Any other gets a conflict with the current version. Where authors
+ * declare versions, an older change that arrives late or again is acknowledged and ignored, so that an accepted
+ * configuration is never reverted.
  */
 final class GlobalStateMachine implements GroupMachine {
 
-    private static final int ANSWERS_REMEMBERED = 1_000;
+    private static final int MAX_RETAINED_ANSWERS = 1_000;
 
-    private record Key(long baseVersion, String hash) {}
+    private record ConfigSubmission(long baseVersion, String hash) {}
 
     private final LastDirectOrders orders = new LastDirectOrders();
     private final Quarantine quarantine = new Quarantine();
     private final CommittedUsage usage = CommittedUsage.create();
     private final Map<Long, AdminAnswer> answers = new HashMap<>();
-    private final Map<Key, Long> accepted = new HashMap<>();
+    private final Map<ConfigSubmission, Long> acceptedVersions = new HashMap<>();
     private final Deque<AcceptedConfig> acceptedInOrder = new ArrayDeque<>();
     private volatile long version;
     private volatile ByteString config = ByteString.EMPTY;
@@ -53,7 +57,7 @@
         return config;
     }
 
-    /** The accepted configuration as it is sent to those that ask for it; made once for each version. */
+    /** The accepted configuration in compressed form; compressed once per version. */
     ByteString deflated() {
         if (deflatedVersion != version) {
             deflated = Deflated.deflate(config);
@@ -70,17 +74,17 @@
         return orders;
     }
 
-    /** The requests that are refused as poison, as far as a quorum wrote them down. */
+    /** The requests that are rejected because they crash upstreams, as committed to the log. */
     Quarantine quarantine() {
         return quarantine;
     }
 
-    /** The usage that stands, as far as a quorum wrote it down. */
+    /** The settled usage, as committed to the log. */
     CommittedUsage usage() {
         return usage;
     }
 
-    /** The outcome of the entry at an index, once, on the replica that applied it. */
+    /** Removes and returns the outcome of the log entry at an index, if this replica applied it. */
     Optional<AdminAnswer> takeAnswer(long index) {
         return Optional.ofNullable(answers.remove(index));
     }
@@ -107,7 +111,7 @@
 
     private void answer(long index, AdminAnswer answer) {
         answers.put(index, answer);
-        answers.keySet().removeIf(older -> older < index - ANSWERS_REMEMBERED);
+        answers.keySet().removeIf(older -> older < index - MAX_RETAINED_ANSWERS);
     }
 
     private AdminAnswer accept(ConfigApply apply) {
@@ -124,10 +128,10 @@
     }
 
     private AdminAnswer acceptNext(ConfigApply apply) {
-        Key key = new Key(apply.getBaseVersion(), apply.getHash());
-        Long before = accepted.get(key);
-        if (before != null) {
-            return answer(AdminResult.ADMIN_DONE, before);
+        ConfigSubmission submission = new ConfigSubmission(apply.getBaseVersion(), apply.getHash());
+        Long previousVersion = acceptedVersions.get(submission);
+        if (previousVersion != null) {
+            return answer(AdminResult.ADMIN_DONE, previousVersion);
         }
         if (apply.getBaseVersion() != version) {
             return answer(AdminResult.ADMIN_CONFLICT, version).toBuilder()
@@ -137,7 +141,7 @@
         version++;
         config = apply.getConfig();
         hash = apply.getHash();
-        remember(AcceptedConfig.newBuilder()
+        retain(AcceptedConfig.newBuilder()
                 .setBaseVersion(apply.getBaseVersion())
                 .setHash(apply.getHash())
                 .setVersion(version)
@@ -145,12 +149,14 @@
         return answer(AdminResult.ADMIN_DONE, version);
     }
 
-    private void remember(AcceptedConfig row) {
-        accepted.put(new Key(row.getBaseVersion(), row.getHash()), row.getVersion());
-        acceptedInOrder.add(row);
-        if (acceptedInOrder.size() > ANSWERS_REMEMBERED) {
+    private void retain(AcceptedConfig acceptedConfig) {
+        acceptedVersions.put(
+                new ConfigSubmission(acceptedConfig.getBaseVersion(), acceptedConfig.getHash()),
+                acceptedConfig.getVersion());
+        acceptedInOrder.add(acceptedConfig);
+        if (acceptedInOrder.size() > MAX_RETAINED_ANSWERS) {
             AcceptedConfig oldest = acceptedInOrder.poll();
-            accepted.remove(new Key(oldest.getBaseVersion(), oldest.getHash()));
+            acceptedVersions.remove(new ConfigSubmission(oldest.getBaseVersion(), oldest.getHash()));
         }
     }
 
@@ -183,16 +189,17 @@
             version = state.getVersion();
             config = state.getConfig();
             hash = state.getHash();
-            accepted.clear();
+            acceptedVersions.clear();
             acceptedInOrder.clear();
             answers.clear();
-            state.getAcceptedList().forEach(this::remember);
+            state.getAcceptedList().forEach(this::retain);
             orders.load(state.getOrdersList());
             usage.restore(state.getUsageSettled(), state.getUsageDueList());
             quarantine.clear();
-            state.getQuarantinedList().forEach(row -> quarantine.merge(row, ChangeSequence.constant(0)));
+            state.getQuarantinedList()
+                    .forEach(acceptedConfig -> quarantine.merge(acceptedConfig, ChangeSequence.constant(0)));
         } catch (InvalidProtocolBufferException e) {
-            throw new IllegalStateException("A snapshot of the global group can't be read", e);
+            throw new IllegalStateException("Malformed snapshot of the global group", e);
         }
     }
 }
--- a/src/main/java/org/cuminshelf/control/LastDirectOrders.java
+++ b/src/main/java/org/cuminshelf/control/LastDirectOrders.java
@@ -8,13 +8,13 @@
 import org.cuminshelf.message.DirectOrder;
 import org.cuminshelf.message.LogEntry;
 
-/** The last committed order to each upstream that announces itself straight to control. Part of the global group. */
+/** The last committed order to each upstream without a sidecar. Part of the state machine of the global group. */
 final class LastDirectOrders {
 
-    /** Upstreams remembered; one that ended gets no further order, so the oldest can go. */
-    private static final int MOST_UPSTREAMS = 4_096;
+    /** Maximum number of upstreams; the one with the oldest order is evicted, as it has most likely ended. */
+    private static final int MAX_UPSTREAMS = 4_096;
 
-    private final LinkedHashMap<String, DirectOrder> last = new LinkedHashMap<>();
+    private final LinkedHashMap<String, DirectOrder> lastByUpstream = new LinkedHashMap<>();
     private final List<DirectOrder> applied = new ArrayList<>();
 
     void apply(LogEntry entry) {
@@ -24,7 +24,7 @@
         applied.add(order);
     }
 
-    /** Takes the orders committed since the last question. */
+    /** Removes and returns the orders applied since the last call. */
     List<DirectOrder> takeApplied() {
         List<DirectOrder> taken = List.copyOf(applied);
         applied.clear();
@@ -32,23 +32,24 @@
     }
 
     Collection<DirectOrder> all() {
-        return last.values();
+        return lastByUpstream.values();
     }
 
     void load(List<DirectOrder> saved) {
-        last.clear();
+        lastByUpstream.clear();
         applied.clear();
         saved.forEach(this::put);
-        // Whoever leads next must keep its distance from these too.
+        // A later leader must observe the order cooldown for the orders of the snapshot too.
         applied.addAll(saved);
     }
 
     private void put(DirectOrder order) {
-        last.remove(order.getUpstream());
-        last.put(order.getUpstream(), order);
-        if (last.size() > MOST_UPSTREAMS) {
-            Map.Entry<String, DirectOrder> oldest = last.entrySet().iterator().next();
-            last.remove(oldest.getKey());
+        lastByUpstream.remove(order.getUpstream());
+        lastByUpstream.put(order.getUpstream(), order);
+        if (lastByUpstream.size() > MAX_UPSTREAMS) {
+            Map.Entry<String, DirectOrder> oldest =
+                    lastByUpstream.entrySet().iterator().next();
+            lastByUpstream.remove(oldest.getKey());
         }
     }
 }
--- a/src/main/java/org/cuminshelf/control/QuarantineManager.java
+++ b/src/main/java/org/cuminshelf/control/QuarantineManager.java
@@ -16,100 +16,100 @@
 import org.tinylog.Logger;
 
 /**
- * What control knows of poison requests: it passes on what entries tell, and keeps the quarantine in the global group's
- * log.
+ * Collects the crash reports and quarantined requests that entries send, and stores the quarantine in the log of the
+ * global group. A quarantined (poison) request is one that crashes the upstreams that run it.
  *
- * <p>Failure it guards against: all processes lose power, nobody knows a quarantined request any more, and it ends
- * three more upstreams. The crashes themselves are kept in memory only: they matter for the seconds between the first
- * and the third, and each entry tells all it knows to a control process that started anew.
+ * <p>Failure it guards against: all processes lose power, the quarantine is lost, and a quarantined request crashes
+ * three more upstreams. Crash reports are kept in memory only: they matter for the seconds between the first and the
+ * third crash, and each entry sends all its reports to a restarted control process.
  */
 final class QuarantineManager {
 
-    /** Time after which an entry of the log that was not committed is proposed again. */
-    private static final long PROPOSED_AGAIN = Durations.nanos(2_000);
+    /** Time after which a log entry that was not committed is proposed again. */
+    private static final long REPROPOSE_INTERVAL_NANOS = Durations.nanos(2_000);
 
-    private static final long NOTHING_WRITTEN = -1;
+    private static final long NONE_PERSISTED = -1;
 
     private final Replica replica;
     private final Quarantine durable;
     private final PoisonRegistry register;
-    private final SidecarDirectory versions;
-    private final Map<Fingerprint, Long> proposed = new HashMap<>();
-    private long learnt;
-    /** Changes of the register of which all are in the log, on a leader. */
-    private long written = NOTHING_WRITTEN;
+    private final SidecarDirectory directory;
+    private final Map<Fingerprint, Long> proposedAt = new HashMap<>();
+    private long mergedDurableChanges;
+    /** On a leader, the change count of the register at which the log held all quarantined requests. */
+    private long persistedRegisterChanges = NONE_PERSISTED;
 
-    private volatile long quarantined;
+    private volatile long quarantinedCount;
 
-    QuarantineManager(Replica replica, Quarantine durable, PoisonRegistry register, SidecarDirectory versions) {
+    QuarantineManager(Replica replica, Quarantine durable, PoisonRegistry register, SidecarDirectory directory) {
         this.replica = replica;
         this.durable = durable;
         this.register = register;
-        this.versions = versions;
+        this.directory = directory;
     }
 
     void onSubscribe(long now, Subscribe subscribe) {
-        register.merge(now, subscribe.getCrashesList(), subscribe.getQuarantinedList(), versions::nextVersion);
+        register.merge(now, subscribe.getCrashesList(), subscribe.getQuarantinedList(), directory::nextVersion);
     }
 
-    /** Learns what the log holds, and, on the leader, writes down what it doesn't. */
+    /** Merges the log's quarantine into the register and, on the leader, proposes requests missing from the log. */
     void tick(long now, long wallMillis) {
-        if (learnt != durable.changeCount()) {
-            learnt = durable.changeCount();
-            durable.all().forEach(row -> register.merge(now, row, versions::nextVersion));
+        if (mergedDurableChanges != durable.changeCount()) {
+            mergedDurableChanges = durable.changeCount();
+            durable.all().forEach(request -> register.merge(now, request, directory::nextVersion));
         }
         register.takeChangedRows().forEach(QuarantineManager::log);
-        quarantined = register.quarantine().quarantinedCount();
+        quarantinedCount = register.quarantine().quarantinedCount();
         if (!replica.isLeader()) {
-            proposed.clear();
-            written = NOTHING_WRITTEN;
-        } else if (written != register.quarantine().changeCount()) {
-            writeDown(now, wallMillis);
+            proposedAt.clear();
+            persistedRegisterChanges = NONE_PERSISTED;
+        } else if (persistedRegisterChanges != register.quarantine().changeCount()) {
+            proposeMissing(now, wallMillis);
         }
     }
 
-    private void writeDown(long now, long wallMillis) {
+    private void proposeMissing(long now, long wallMillis) {
         List<QuarantinedRequest> missing = register.quarantine().all().stream()
-                .filter(row -> !durable.hasSameOrNewer(row))
+                .filter(request -> !durable.hasSameOrNewer(request))
                 .toList();
-        missing.forEach(row -> propose(now, wallMillis, row));
+        missing.forEach(request -> propose(now, wallMillis, request));
         if (missing.isEmpty()) {
-            written = register.quarantine().changeCount();
+            persistedRegisterChanges = register.quarantine().changeCount();
         }
     }
 
-    private static void log(QuarantinedRequest row) {
+    private static void log(QuarantinedRequest request) {
         Logger.info(
                 "control: event=poison id={} outcome={} generation={} upstreams={} found-by={} released-by={}"
                         + " reason=\"{}\"",
-                Quarantine.fingerprint(row),
-                row.getReleased() ? "released" : "quarantined",
-                row.getGeneration(),
-                row.getUpstreamsList(),
-                row.getFoundBy(),
-                row.getReleasedBy(),
-                row.getReason());
+                Quarantine.fingerprint(request),
+                request.getReleased() ? "released" : "quarantined",
+                request.getGeneration(),
+                request.getUpstreamsList(),
+                request.getFoundBy(),
+                request.getReleasedBy(),
+                request.getReason());
     }
 
-    private void propose(long now, long wallMillis, QuarantinedRequest row) {
-        Long before = proposed.get(Quarantine.fingerprint(row));
-        if (before != null && now - before < PROPOSED_AGAIN) {
+    private void propose(long now, long wallMillis, QuarantinedRequest request) {
+        Long previous = proposedAt.get(Quarantine.fingerprint(request));
+        if (previous != null && now - previous < REPROPOSE_INTERVAL_NANOS) {
             return;
         }
-        proposed.put(Quarantine.fingerprint(row), now);
-        long foundMillis = row.getFoundMs() == 0 ? wallMillis : row.getFoundMs();
+        proposedAt.put(Quarantine.fingerprint(request), now);
+        long foundMillis = request.getFoundMs() == 0 ? wallMillis : request.getFoundMs();
         replica.propose(
-                now, LogEntry.newBuilder().setQuarantined(row.toBuilder().setFoundMs(foundMillis)));
+                now, LogEntry.newBuilder().setQuarantined(request.toBuilder().setFoundMs(foundMillis)));
     }
 
-    /** Requests that are refused, for any thread to read. */
-    long quarantined() {
-        return quarantined;
+    /** Number of quarantined requests; callable from any thread. */
+    long quarantinedCount() {
+        return quarantinedCount;
     }
 
-    /** What releases a request, or nothing where it is not quarantined. */
+    /** Builds the released state of a request, or empty if the request is not quarantined. */
     Optional<QuarantinedRequest> release(long wallMillis, QuarantineRelease release) {
-        Fingerprint request = new Fingerprint(release.getHigh(), release.getLow());
-        return register.quarantine().releaseRow(request, release.getAuthor(), release.getReason(), wallMillis);
+        Fingerprint fingerprint = new Fingerprint(release.getHigh(), release.getLow());
+        return register.quarantine().releaseRow(fingerprint, release.getAuthor(), release.getReason(), wallMillis);
     }
 }
--- a/src/main/java/org/cuminshelf/control/RegionStateMachine.java
+++ b/src/main/java/org/cuminshelf/control/RegionStateMachine.java
@@ -28,36 +28,36 @@
 import org.cuminshelf.replica.GroupMachine;
 
 /**
- * The claims of idempotency keys and the orders to the engines of one region.
+ * State machine of a region group: the claims of idempotency keys and the orders to the engines of the region.
  *
- * <p>Promises kept here: a key is held by one attempt at a time and its answer, once recorded, never changes; an engine
- * has one order at a time, and an order names the incarnation of the sidecar it is meant for.
+ * <p>Guarantees: a key is held by one attempt at a time and its answer, once recorded, never changes. An engine has at
+ * most one pending order, and an order names the sidecar incarnation that it is addressed to.
  */
 final class RegionStateMachine implements GroupMachine {
 
-    /** How long a key is remembered: 24 hours of the group's clock. */
-    static final long CLAIM_KEPT_MILLIS = 24L * 60 * 60 * 1000;
+    /** Time for which a key is kept, by the group's clock: 24 hours. */
+    static final long CLAIM_RETENTION_MILLIS = 24L * 60 * 60 * 1000;
 
-    /** Claims held at most; more are refused, none is forgotten early. */
-    static final int MOST_CLAIMS = 200_000;
+    /** Maximum number of claims; further claims are rejected, and none is evicted before it expires. */
+    static final int MAX_CLAIMS = 200_000;
 
-    private static final int ANSWERS_REMEMBERED = 10_000;
-    private static final int SUPERSEDED_REMEMBERED = 8;
+    private static final int MAX_RETAINED_OUTCOMES = 10_000;
+    private static final int MAX_SUPERSEDED_INCARNATIONS = 8;
 
-    private record Key(String organisation, String service, String key) {
+    private record ClaimKey(String organisation, String service, String key) {
 
-        private static Key of(ClaimRequest request) {
-            return new Key(request.getOrganisation(), request.getService(), request.getKey());
+        private static ClaimKey of(ClaimRequest request) {
+            return new ClaimKey(request.getOrganisation(), request.getService(), request.getKey());
         }
     }
 
     private final Invariants invariants;
-    private final Map<Key, Claim> claims = new LinkedHashMap<>();
-    private final Map<String, Order> pending = new TreeMap<>();
-    private final Map<String, Long> engines = new TreeMap<>();
+    private final Map<ClaimKey, Claim> claims = new LinkedHashMap<>();
+    private final Map<String, Order> pendingByEngine = new TreeMap<>();
+    private final Map<String, Long> incarnationByEngine = new TreeMap<>();
     private final Map<String, java.util.ArrayDeque<Long>> superseded = new HashMap<>();
     private final Map<Long, ClaimAnswer> claimAnswers = new LinkedHashMap<>();
-    private final Map<Long, Optional<Order>> placed = new LinkedHashMap<>();
+    private final Map<Long, Optional<Order>> placementOutcomes = new LinkedHashMap<>();
     private long roleChanges;
 
     RegionStateMachine(Invariants invariants) {
@@ -65,11 +65,11 @@
     }
 
     Collection<Order> pendingOrders() {
-        return pending.values();
+        return pendingByEngine.values();
     }
 
     Optional<Order> pendingOrder(String engine) {
-        return Optional.ofNullable(pending.get(engine));
+        return Optional.ofNullable(pendingByEngine.get(engine));
     }
 
     int claimCount() {
@@ -80,45 +80,49 @@
         return roleChanges;
     }
 
-    /** Whether an incarnation of an engine's sidecar is still to be noted. */
+    /** Returns whether an incarnation of an engine's sidecar is neither the current one nor a superseded one. */
     boolean isNew(String engine, long incarnation) {
-        Long known = engines.get(engine);
-        boolean old = superseded.containsKey(engine) && superseded.get(engine).contains(incarnation);
-        return !old && (known == null || known != incarnation);
+        Long knownIncarnation = incarnationByEngine.get(engine);
+        boolean isSuperseded =
+                superseded.containsKey(engine) && superseded.get(engine).contains(incarnation);
+        return !isSuperseded && (knownIncarnation == null || knownIncarnation != incarnation);
     }
 
     Optional<Long> incarnation(String engine) {
-        return Optional.ofNullable(engines.get(engine));
+        return Optional.ofNullable(incarnationByEngine.get(engine));
     }
 
     Optional<ClaimAnswer> takeClaimAnswer(long index) {
         return Optional.ofNullable(claimAnswers.remove(index));
     }
 
-    /** The order placed by the entry at an index: absent where it was not applied here, empty where refused. */
-    Optional<Optional<Order>> takePlaced(long index) {
-        return Optional.ofNullable(placed.remove(index));
+    /**
+     * Removes and returns the outcome of the order at a log index. The outer result is empty if this replica did not
+     * apply the entry, the inner one if the order was rejected.
+     */
+    Optional<Optional<Order>> takePlacementOutcome(long index) {
+        return Optional.ofNullable(placementOutcomes.remove(index));
     }
 
     @Override
     public void apply(LogEntry entry) {
         switch (entry.getCommandCase()) {
             case CLAIM -> {
-                expire(entry.getClockMs());
-                remember(claimAnswers, entry.getIndex(), apply(entry, entry.getClaim()));
+                removeExpiredClaims(entry.getClockMs());
+                retain(claimAnswers, entry.getIndex(), apply(entry, entry.getClaim()));
             }
-            case ORDER -> remember(placed, entry.getIndex(), place(entry, entry.getOrder()));
-            case CLOSED -> close(entry.getClosed());
-            case SEEN -> see(entry.getSeen());
+            case ORDER -> retain(placementOutcomes, entry.getIndex(), placeOrder(entry, entry.getOrder()));
+            case CLOSED -> closeOrder(entry.getClosed());
+            case SEEN -> recordIncarnation(entry.getSeen());
             default -> {
-                // Not for this machine.
+                // Other commands do not concern the region group.
             }
         }
     }
 
-    private static <V> void remember(Map<Long, V> outcomes, long index, V outcome) {
+    private static <V> void retain(Map<Long, V> outcomes, long index, V outcome) {
         outcomes.put(index, outcome);
-        if (outcomes.size() > ANSWERS_REMEMBERED) {
+        if (outcomes.size() > MAX_RETAINED_OUTCOMES) {
             outcomes.remove(outcomes.keySet().iterator().next());
         }
     }
@@ -127,34 +131,34 @@
     // --------------------------------------------------------------------------------------------------
 
     private ClaimAnswer apply(LogEntry entry, ClaimRequest request) {
-        Key key = Key.of(request);
-        Claim held = claims.get(key);
+        ClaimKey key = ClaimKey.of(request);
+        Claim current = claims.get(key);
         return switch (request.getActionCase()) {
-            case TAKE -> take(entry, key, held, request.getTake());
-            case MOVE -> move(entry, key, held, request.getMove());
-            case END -> end(entry, key, held, request.getEnd());
+            case TAKE -> take(entry, key, current, request.getTake());
+            case MOVE -> move(entry, key, current, request.getMove());
+            case END -> end(entry, key, current, request.getEnd());
             case DROP -> {
-                boolean holder = held != null
-                        && !held.getAnswered()
-                        && held.getAttempt().equals(request.getDrop().getAttempt());
-                if (holder) {
+                boolean isHolder = current != null
+                        && !current.getAnswered()
+                        && current.getAttempt().equals(request.getDrop().getAttempt());
+                if (isHolder) {
                     claims.remove(key);
                 }
-                yield result(ClaimResult.CLAIM_DONE);
+                yield answerOf(ClaimResult.CLAIM_DONE);
             }
-            case ACTION_NOT_SET -> result(ClaimResult.CLAIM_UNAVAILABLE);
+            case ACTION_NOT_SET -> answerOf(ClaimResult.CLAIM_UNAVAILABLE);
         };
     }
 
-    private ClaimAnswer take(LogEntry entry, Key key, Claim held, ClaimTake take) {
-        if (held != null && held.getBodyHash() != take.getBodyHash()) {
-            return result(ClaimResult.CLAIM_CONFLICT);
+    private ClaimAnswer take(LogEntry entry, ClaimKey key, Claim current, ClaimTake take) {
+        if (current != null && current.getBodyHash() != take.getBodyHash()) {
+            return answerOf(ClaimResult.CLAIM_CONFLICT);
         }
-        if (held != null) {
-            return describe(entry, held, take.getAttempt());
+        if (current != null) {
+            return claimStatus(entry, current, take.getAttempt());
         }
-        if (claims.size() >= MOST_CLAIMS) {
-            return result(ClaimResult.CLAIM_FULL);
+        if (claims.size() >= MAX_CLAIMS) {
+            return answerOf(ClaimResult.CLAIM_FULL);
         }
         claims.put(
                 key,
@@ -166,73 +170,73 @@
                         .setAttempt(take.getAttempt())
                         .setTakenAtMs(entry.getClockMs())
                         .build());
-        return result(ClaimResult.CLAIM_GRANTED);
+        return answerOf(ClaimResult.CLAIM_GRANTED);
     }
 
-    private ClaimAnswer move(LogEntry entry, Key key, Claim held, ClaimMove move) {
-        if (held == null) {
-            return result(ClaimResult.CLAIM_UNAVAILABLE);
+    private ClaimAnswer move(LogEntry entry, ClaimKey key, Claim current, ClaimMove move) {
+        if (current == null) {
+            return answerOf(ClaimResult.CLAIM_UNAVAILABLE);
         }
-        boolean fromHolder = !held.getAnswered() && held.getAttempt().equals(move.getFrom());
-        if (fromHolder) {
+        boolean movesFromHolder = !current.getAnswered() && current.getAttempt().equals(move.getFrom());
+        if (movesFromHolder) {
             claims.put(
                     key,
-                    held.toBuilder()
+                    current.toBuilder()
                             .setAttempt(move.getTo())
-                            .setTakenAtMs(held.getTakenAtMs())
+                            .setTakenAtMs(current.getTakenAtMs())
                             .build());
-            return result(ClaimResult.CLAIM_GRANTED);
+            return answerOf(ClaimResult.CLAIM_GRANTED);
         }
-        return describe(entry, held, move.getTo());
+        return claimStatus(entry, current, move.getTo());
     }
 
-    private ClaimAnswer end(LogEntry entry, Key key, Claim held, ClaimEnd end) {
-        boolean holder = held != null && held.getAttempt().equals(end.getAttempt());
-        if (!holder) {
+    private ClaimAnswer end(LogEntry entry, ClaimKey key, Claim current, ClaimEnd end) {
+        boolean isHolder = current != null && current.getAttempt().equals(end.getAttempt());
+        if (!isHolder) {
             invariants.check(
-                    held == null || !held.getAnswered(),
+                    current == null || !current.getAnswered(),
                     "one-answer-for-each-key",
                     () -> "a second attempt ended under key " + key.key);
-            return held == null ? result(ClaimResult.CLAIM_DONE) : describe(entry, held, end.getAttempt());
+            return current == null ? answerOf(ClaimResult.CLAIM_DONE) : claimStatus(entry, current, end.getAttempt());
         }
-        if (!held.getAnswered()) {
+        if (!current.getAnswered()) {
             claims.put(
                     key,
-                    held.toBuilder()
+                    current.toBuilder()
                             .setAnswered(true)
                             .setHead(end.getHead())
                             .setBody(end.getBody())
                             .build());
         }
-        return result(ClaimResult.CLAIM_DONE);
+        return answerOf(ClaimResult.CLAIM_DONE);
     }
 
-    private static ClaimAnswer describe(LogEntry entry, Claim held, AttemptRef asker) {
-        if (held.getAnswered()) {
+    private static ClaimAnswer claimStatus(LogEntry entry, Claim current, AttemptRef requester) {
+        if (current.getAnswered()) {
             return ClaimAnswer.newBuilder()
                     .setResult(ClaimResult.CLAIM_ANSWERED)
-                    .setHead(held.getHead())
-                    .setBody(held.getBody())
+                    .setHead(current.getHead())
+                    .setBody(current.getBody())
                     .build();
         }
-        if (held.getAttempt().equals(asker)) {
-            return result(ClaimResult.CLAIM_GRANTED);
+        if (current.getAttempt().equals(requester)) {
+            return answerOf(ClaimResult.CLAIM_GRANTED);
         }
         return ClaimAnswer.newBuilder()
                 .setResult(ClaimResult.CLAIM_HELD)
-                .setHolder(held.getAttempt())
-                .setAgeMs(entry.getClockMs() - held.getTakenAtMs())
+                .setHolder(current.getAttempt())
+                .setAgeMs(entry.getClockMs() - current.getTakenAtMs())
                 .build();
     }
 
-    private static ClaimAnswer result(ClaimResult result) {
+    private static ClaimAnswer answerOf(ClaimResult result) {
         return ClaimAnswer.newBuilder().setResult(result).build();
     }
 
-    /** Drops the claims whose time is over; they stand in the order in which they were taken. */
-    private void expire(long clock) {
+    /** Removes expired claims. The map is ordered by the time at which claims were taken. */
+    private void removeExpiredClaims(long clockMillis) {
         Iterator<Claim> oldest = claims.values().iterator();
-        while (oldest.hasNext() && clock - oldest.next().getTakenAtMs() > CLAIM_KEPT_MILLIS) {
+        while (oldest.hasNext() && clockMillis - oldest.next().getTakenAtMs() > CLAIM_RETENTION_MILLIS) {
             oldest.remove();
         }
     }
@@ -240,50 +244,50 @@
     // ---- orders
     // --------------------------------------------------------------------------------------------------
 
-    private Optional<Order> place(LogEntry entry, OrderPlaced wanted) {
-        Long known = engines.get(wanted.getEngine());
-        boolean current = known != null && known == wanted.getIncarnation();
-        if (!current || pending.containsKey(wanted.getEngine())) {
+    private Optional<Order> placeOrder(LogEntry entry, OrderPlaced request) {
+        Long knownIncarnation = incarnationByEngine.get(request.getEngine());
+        boolean upToDate = knownIncarnation != null && knownIncarnation == request.getIncarnation();
+        if (!upToDate || pendingByEngine.containsKey(request.getEngine())) {
             return Optional.empty();
         }
         Order order = Order.newBuilder()
-                .setEngine(wanted.getEngine())
-                .setIncarnation(wanted.getIncarnation())
+                .setEngine(request.getEngine())
+                .setIncarnation(request.getIncarnation())
                 .setTerm(entry.getTerm())
                 .setNumber(entry.getIndex())
-                .setBody(wanted.getBody())
-                .setRequestedBy(wanted.getAuthor())
+                .setBody(request.getBody())
+                .setRequestedBy(request.getAuthor())
                 .build();
-        pending.put(wanted.getEngine(), order);
+        pendingByEngine.put(request.getEngine(), order);
         return Optional.of(order);
     }
 
-    private void close(OrderClosed closed) {
-        Order order = pending.get(closed.getEngine());
+    private void closeOrder(OrderClosed closed) {
+        Order order = pendingByEngine.get(closed.getEngine());
         if (order == null || order.getNumber() != closed.getNumber()) {
             return;
         }
-        pending.remove(closed.getEngine());
+        pendingByEngine.remove(closed.getEngine());
         if (closed.getApplied() && order.getBody().getKindCase() == OrderBody.KindCase.CHANGE_ROLE) {
             roleChanges++;
         }
     }
 
-    /** Notes a new incarnation. The order of the earlier one can't be carried out any more: the new one refuses it. */
-    private void see(UpstreamSeen seen) {
+    /** Records a new incarnation and discards the pending order of the previous one, which the new one would reject. */
+    private void recordIncarnation(UpstreamSeen seen) {
         if (!isNew(seen.getEngine(), seen.getIncarnation())) {
             return;
         }
-        Long before = engines.put(seen.getEngine(), seen.getIncarnation());
-        if (before != null) {
-            java.util.ArrayDeque<Long> old =
+        Long previous = incarnationByEngine.put(seen.getEngine(), seen.getIncarnation());
+        if (previous != null) {
+            java.util.ArrayDeque<Long> incarnations =
                     superseded.computeIfAbsent(seen.getEngine(), key -> new java.util.ArrayDeque<>());
-            old.add(before);
-            if (old.size() > SUPERSEDED_REMEMBERED) {
-                old.poll();
+            incarnations.add(previous);
+            if (incarnations.size() > MAX_SUPERSEDED_INCARNATIONS) {
+                incarnations.poll();
             }
         }
-        pending.remove(seen.getEngine());
+        pendingByEngine.remove(seen.getEngine());
     }
 
     // ---- snapshots
@@ -292,13 +296,14 @@
     @Override
     public ByteString save() {
         RegionMachineState.Builder state =
-                RegionMachineState.newBuilder().addAllClaims(claims.values()).addAllPending(pending.values());
-        superseded.forEach((engine, old) -> old.forEach(incarnation -> state.addEngines(seen(engine, incarnation))));
-        engines.forEach((engine, incarnation) -> state.addEngines(seen(engine, incarnation)));
+                RegionMachineState.newBuilder().addAllClaims(claims.values()).addAllPending(pendingByEngine.values());
+        superseded.forEach((engine, incarnations) ->
+                incarnations.forEach(incarnation -> state.addEngines(upstreamSeen(engine, incarnation))));
+        incarnationByEngine.forEach((engine, incarnation) -> state.addEngines(upstreamSeen(engine, incarnation)));
         return state.setRoleChanges(roleChanges).build().toByteString();
     }
 
-    private static UpstreamSeen seen(String engine, long incarnation) {
+    private static UpstreamSeen upstreamSeen(String engine, long incarnation) {
         return UpstreamSeen.newBuilder()
                 .setEngine(engine)
                 .setIncarnation(incarnation)
@@ -310,19 +315,19 @@
         try {
             RegionMachineState state = RegionMachineState.parseFrom(saved);
             claims.clear();
-            pending.clear();
-            engines.clear();
+            pendingByEngine.clear();
+            incarnationByEngine.clear();
             superseded.clear();
             claimAnswers.clear();
-            placed.clear();
+            placementOutcomes.clear();
             for (Claim claim : state.getClaimsList()) {
-                claims.put(new Key(claim.getOrganisation(), claim.getService(), claim.getKey()), claim);
+                claims.put(new ClaimKey(claim.getOrganisation(), claim.getService(), claim.getKey()), claim);
             }
-            state.getEnginesList().forEach(this::see);
-            state.getPendingList().forEach(order -> pending.put(order.getEngine(), order));
+            state.getEnginesList().forEach(this::recordIncarnation);
+            state.getPendingList().forEach(order -> pendingByEngine.put(order.getEngine(), order));
             roleChanges = state.getRoleChanges();
         } catch (InvalidProtocolBufferException e) {
-            throw new IllegalStateException("A snapshot of a region group can't be read", e);
+            throw new IllegalStateException("Malformed snapshot of a region group", e);
         }
     }
 }
--- a/src/main/java/org/cuminshelf/control/SidecarDirectory.java
+++ b/src/main/java/org/cuminshelf/control/SidecarDirectory.java
@@ -14,29 +14,30 @@
 import org.cuminshelf.message.Update;
 
 /**
- * The upstreams that announce themselves to this control process. It is not replicated: each sidecar announces to
- * every control process of its region, and each of them tells its subscribers only what changed.
+ * The upstreams whose sidecars announce themselves to this control process, and the version counter of the changes sent
+ * to subscribers. The directory is not replicated: each sidecar announces itself to every control process of its
+ * region, and each control process sends its subscribers only the changes.
  */
 final class SidecarDirectory {
 
-    private static final long LEASE = Durations.nanos(4_000);
-    private static final long GONE_KEPT = Durations.nanos(120_000);
+    private static final long LEASE_NANOS = Durations.nanos(4_000);
+    private static final long GONE_RETENTION_NANOS = Durations.nanos(120_000);
 
-    /** One upstream and what it said last. */
-    static final class Row {
+    /** An upstream and its last announcement. */
+    static final class AnnouncedUpstream {
         Member member;
         LoadReport load;
-        long heardAt;
+        long lastAnnouncedAt;
         long configVersion;
         boolean checksFence;
     }
 
     private final long incarnation;
-    private final Map<Address, Row> rows = new TreeMap<>();
+    private final Map<Address, AnnouncedUpstream> upstreamsByAddress = new TreeMap<>();
     private long version = 1;
     private long urgentVersion = 1;
-    /** Subscribers that hold an older version get the whole directory. */
-    private long oldestComplete = 1;
+    /** Subscribers that hold an older version get the complete directory, as removed upstreams have been forgotten. */
+    private long oldestIncrementalVersion = 1;
 
     SidecarDirectory(long incarnation) {
         this.incarnation = incarnation;
@@ -46,37 +47,37 @@
         return version;
     }
 
-    /** The version of a change of another list that is told together with this one. */
+    /** Assigns a version to an urgent change of another list that is published together with this one. */
     long nextVersion() {
         return nextVersion(true);
     }
 
-    /** The same, for a change that need not be told before subscribers next ask. */
+    /** Assigns a version to a change; one that is not urgent is published when subscribers next ask. */
     long nextVersion(boolean urgent) {
         version++;
         urgentVersion = urgent ? version : urgentVersion;
         return version;
     }
 
-    /** The version of the last change that subscribers hear of at once. */
+    /** The version of the last change that is published to subscribers at once. */
     long urgentVersion() {
         return urgentVersion;
     }
 
-    Collection<Row> rows() {
-        return rows.values();
+    Collection<AnnouncedUpstream> upstreams() {
+        return upstreamsByAddress.values();
     }
 
-    Optional<Row> row(Address address) {
-        return Optional.ofNullable(rows.get(address));
+    Optional<AnnouncedUpstream> find(Address address) {
+        return Optional.ofNullable(upstreamsByAddress.get(address));
     }
 
     void onAnnounce(long now, Address from, long sidecarIncarnation, Announce announce) {
-        Row row = rows.computeIfAbsent(from, key -> new Row());
-        row.heardAt = now;
-        row.load = announce.getLoad();
-        row.configVersion = announce.getConfigVersion();
-        row.checksFence = announce.getChecksFence();
+        AnnouncedUpstream upstream = upstreamsByAddress.computeIfAbsent(from, key -> new AnnouncedUpstream());
+        upstream.lastAnnouncedAt = now;
+        upstream.load = announce.getLoad();
+        upstream.configVersion = announce.getConfigVersion();
+        upstream.checksFence = announce.getChecksFence();
         Member member = Member.newBuilder()
                 .setAddress(from.value())
                 .setIncarnation(sidecarIncarnation)
@@ -90,48 +91,54 @@
                 .addAllAdapters(announce.getLoad().getAdaptersList())
                 .setLeaving(announce.getLeaving())
                 .build();
-        put(row, member);
+        update(upstream, member);
     }
 
-    private void put(Row row, Member member) {
-        boolean same = row.member != null
-                && row.member.toBuilder().setChangedAt(0).build().equals(member);
-        if (!same) {
-            row.member = member.toBuilder().setChangedAt(nextVersion()).build();
+    private void update(AnnouncedUpstream upstream, Member member) {
+        boolean unchanged = upstream.member != null
+                && upstream.member.toBuilder().setChangedAt(0).build().equals(member);
+        if (!unchanged) {
+            upstream.member = member.toBuilder().setChangedAt(nextVersion()).build();
         }
     }
 
-    /** Lapses the leases of sidecars that fell silent. */
+    /** Marks upstreams with silent sidecars as gone, and removes them after the retention time. */
     void tick(long now) {
-        Iterator<Map.Entry<Address, Row>> all = rows.entrySet().iterator();
-        while (all.hasNext()) {
-            Row row = all.next().getValue();
-            if (!row.member.getGone() && now - row.heardAt > LEASE) {
-                put(row, row.member.toBuilder().setGone(true).setChangedAt(0).build());
-            } else if (row.member.getGone() && now - row.heardAt > GONE_KEPT) {
-                oldestComplete = Math.max(oldestComplete, row.member.getChangedAt() + 1);
-                all.remove();
+        Iterator<Map.Entry<Address, AnnouncedUpstream>> upstreams =
+                upstreamsByAddress.entrySet().iterator();
+        while (upstreams.hasNext()) {
+            AnnouncedUpstream upstream = upstreams.next().getValue();
+            if (!upstream.member.getGone() && now - upstream.lastAnnouncedAt > LEASE_NANOS) {
+                update(
+                        upstream,
+                        upstream.member.toBuilder()
+                                .setGone(true)
+                                .setChangedAt(0)
+                                .build());
+            } else if (upstream.member.getGone() && now - upstream.lastAnnouncedAt > GONE_RETENTION_NANOS) {
+                oldestIncrementalVersion = Math.max(oldestIncrementalVersion, upstream.member.getChangedAt() + 1);
+                upstreams.remove();
             }
         }
     }
 
     long nextDue(long now) {
-        return rows.isEmpty() ? Core.NEVER : now + LEASE / 4;
+        return upstreamsByAddress.isEmpty() ? Core.NEVER : now + LEASE_NANOS / 4;
     }
 
-    /** Adds what a subscriber lacks to an update. Returns whether that is the whole list. */
-    boolean describe(long heldIncarnation, long heldVersion, Update.Builder update) {
-        boolean whole = heldIncarnation != incarnation || heldVersion < oldestComplete;
+    /** Adds the changes that a subscriber lacks to an update. Returns whether the update holds the complete list. */
+    boolean addMissing(long heldIncarnation, long heldVersion, Update.Builder update) {
+        boolean complete = heldIncarnation != incarnation || heldVersion < oldestIncrementalVersion;
         update.setDirectoryIncarnation(incarnation)
                 .setDirectoryVersion(version)
                 .setDirectorySince(heldVersion)
-                .setWholeDirectory(whole);
-        for (Row row : rows.values()) {
-            boolean news = row.member.getChangedAt() > heldVersion;
-            if (whole ? !row.member.getGone() : news) {
-                update.addMembers(row.member);
+                .setWholeDirectory(complete);
+        for (AnnouncedUpstream upstream : upstreamsByAddress.values()) {
+            boolean changed = upstream.member.getChangedAt() > heldVersion;
+            if (complete ? !upstream.member.getGone() : changed) {
+                update.addMembers(upstream.member);
             }
         }
-        return whole;
+        return complete;
     }
 }
--- a/src/main/java/org/cuminshelf/control/SidecarOrderDispatcher.java
+++ b/src/main/java/org/cuminshelf/control/SidecarOrderDispatcher.java
@@ -20,22 +20,23 @@
 import org.cuminshelf.replica.Replica;
 
 /**
- * Sends the committed orders of a region to their sidecars until each reports, and closes them in the log.
+ * Sends the committed orders of a region to their sidecars until each sidecar reports the outcome, and closes them in
+ * the log.
  *
- * <p>An order is sent only after it is committed and only under a lease. What a deposed leader may still have on its
- * way is the same order with the same number, which a sidecar carries out once.
+ * <p>An order is sent only after it is committed and only under a lease. A message of a deposed leader that is still in
+ * transit carries the same order with the same number, which a sidecar applies only once.
  */
 final class SidecarOrderDispatcher {
 
-    private static final long SEND_AGAIN = Durations.nanos(500);
-    private static final int START_WITHIN_MILLIS = 40_000;
+    private static final long RESEND_INTERVAL_NANOS = Durations.nanos(500);
+    private static final int MAX_START_DELAY_MILLIS = 40_000;
 
     private final String group;
     private final Replica replica;
     private final RegionStateMachine machine;
     private final Map<Long, Long> sentAt = new HashMap<>();
-    private final Set<Long> closing = new HashSet<>();
-    private final Map<String, Long> seeing = new HashMap<>();
+    private final Set<Long> proposedClosings = new HashSet<>();
+    private final Map<String, Long> proposedIncarnations = new HashMap<>();
     private long proposedTerm;
 
     SidecarOrderDispatcher(String group, Replica replica, RegionStateMachine machine) {
@@ -44,14 +45,14 @@
         this.machine = machine;
     }
 
-    /** Notes a sidecar's incarnation in the log before any order may be meant for it. */
+    /** Records a sidecar's incarnation in the log, which is required before orders can be addressed to it. */
     void onAnnounce(long now, Address from, long incarnation, Announce announce) {
-        forgetIfTermChanged();
-        boolean proposed = seeing.getOrDefault(from.value(), 0L) == incarnation;
-        if (!replica.isLeader() || proposed || !machine.isNew(from.value(), incarnation)) {
+        resetOnTermChange();
+        boolean alreadyProposed = proposedIncarnations.getOrDefault(from.value(), 0L) == incarnation;
+        if (!replica.isLeader() || alreadyProposed || !machine.isNew(from.value(), incarnation)) {
             return;
         }
-        seeing.put(from.value(), incarnation);
+        proposedIncarnations.put(from.value(), incarnation);
         replica.propose(
                 now,
                 LogEntry.newBuilder()
@@ -61,11 +62,11 @@
     }
 
     void onReport(long now, Address from, OrderReport report) {
-        forgetIfTermChanged();
-        boolean known = machine.pendingOrder(from.value())
+        resetOnTermChange();
+        boolean matchesPending = machine.pendingOrder(from.value())
                 .filter(order -> order.getNumber() == report.getNumber())
                 .isPresent();
-        if (!known || !replica.isLeader() || !closing.add(report.getNumber())) {
+        if (!matchesPending || !replica.isLeader() || !proposedClosings.add(report.getNumber())) {
             return;
         }
         replica.propose(
@@ -79,38 +80,38 @@
     }
 
     void tick(long now, Outbox out) {
-        forgetIfTermChanged();
+        resetOnTermChange();
         if (!replica.hasLease(now)) {
             return;
         }
         for (Order order : List.copyOf(machine.pendingOrders())) {
-            Long before = sentAt.get(order.getNumber());
-            if (before == null || now - before >= SEND_AGAIN) {
+            Long lastSentAt = sentAt.get(order.getNumber());
+            if (lastSentAt == null || now - lastSentAt >= RESEND_INTERVAL_NANOS) {
                 sentAt.put(order.getNumber(), now);
-                OrderSent sent = OrderSent.newBuilder()
+                OrderSent message = OrderSent.newBuilder()
                         .setOrder(order)
                         .setGroup(group)
-                        .setStartWithinMs(START_WITHIN_MILLIS)
+                        .setStartWithinMs(MAX_START_DELAY_MILLIS)
                         .build();
-                out.send(Address.of(order.getEngine()), Envelope.newBuilder().setOrderSent(sent));
+                out.send(Address.of(order.getEngine()), Envelope.newBuilder().setOrderSent(message));
             }
         }
         if (machine.pendingOrders().isEmpty()) {
             sentAt.clear();
-            closing.clear();
+            proposedClosings.clear();
         }
     }
 
     long nextDue(long now) {
-        return replica.isLeader() && !machine.pendingOrders().isEmpty() ? now + SEND_AGAIN / 2 : Core.NEVER;
+        return replica.isLeader() && !machine.pendingOrders().isEmpty() ? now + RESEND_INTERVAL_NANOS / 2 : Core.NEVER;
     }
 
-    /** What was proposed in an earlier term may be lost; it is proposed again where it is still wanting. */
-    private void forgetIfTermChanged() {
+    /** Proposals of an earlier term may be lost, so they are forgotten and made again where still needed. */
+    private void resetOnTermChange() {
         if (proposedTerm != replica.term()) {
             proposedTerm = replica.term();
-            seeing.clear();
-            closing.clear();
+            proposedIncarnations.clear();
+            proposedClosings.clear();
             sentAt.clear();
         }
     }
--- a/src/main/java/org/cuminshelf/control/SidecarRoleController.java
+++ b/src/main/java/org/cuminshelf/control/SidecarRoleController.java
@@ -20,12 +20,13 @@
 import org.cuminshelf.replica.Replica;
 
 /**
- * Plans the roles of a region's engines, where operators enabled it. Only the leader plans, under its lease; what it
- * decides goes into the log as orders, so that a leader that lost its authority decides nothing.
+ * Plans the roles of a region's engines that have sidecars, if planning is enabled in the configuration. Only the
+ * leader places orders, under its lease. Orders are proposed to the log, so that those of a deposed leader have no
+ * effect.
  */
 final class SidecarRoleController {
 
-    private static final long PLAN_EVERY = Durations.nanos(1_000);
+    private static final long PLAN_INTERVAL_NANOS = Durations.nanos(1_000);
     private static final String AUTHOR = "planner";
 
     private final Replica replica;
@@ -33,7 +34,7 @@
     private final SidecarDirectory directory;
     private final SubscriberTable subscribers;
     private final Map<String, RolePlanner> planners = new HashMap<>();
-    private long plannedVersion = -1;
+    private long plannedConfigVersion = -1;
     private long nextPlan;
 
     SidecarRoleController(
@@ -48,13 +49,13 @@
         if (now < nextPlan) {
             return;
         }
-        nextPlan = now + PLAN_EVERY;
+        nextPlan = now + PLAN_INTERVAL_NANOS;
         if (!config.planning().enabled().orElse(false)) {
             planners.clear();
             return;
         }
-        if (plannedVersion != configVersion) {
-            plannedVersion = configVersion;
+        if (plannedConfigVersion != configVersion) {
+            plannedConfigVersion = configVersion;
             planners.clear();
         }
         config.models().forEach((name, model) -> plan(now, config, name, model));
@@ -64,15 +65,15 @@
         RolePlanner planner = planners.computeIfAbsent(
                 name, key -> CostAwarePlanner.of(PlannerSettings.of(config.planning(), model)));
         List<EngineSnapshot> engines = new ArrayList<>();
-        for (SidecarDirectory.Row row : directory.rows()) {
-            if (serves(row.member, name)) {
-                engines.add(view(row));
+        for (SidecarDirectory.AnnouncedUpstream upstream : directory.upstreams()) {
+            if (serves(upstream.member, name)) {
+                engines.add(engineView(upstream));
             }
         }
-        // Every control process looks: a leader that began to when it began to lead would first have to learn the mix.
+        // Every control process observes the load, because a new leader would otherwise have to learn it first.
         List<RoleChange> changes = planner.plan(now, engines, subscribers.demand(name));
         if (replica.hasLease(now)) {
-            changes.forEach(change -> place(now, change));
+            changes.forEach(change -> proposeOrder(now, change));
         }
     }
 
@@ -83,14 +84,14 @@
                 && member.getModelsList().contains(model);
     }
 
-    private EngineSnapshot view(SidecarDirectory.Row row) {
-        String engine = row.member.getAddress();
+    private EngineSnapshot engineView(SidecarDirectory.AnnouncedUpstream upstream) {
+        String engine = upstream.member.getAddress();
         boolean changing =
-                row.load.getChanging() || machine.pendingOrder(engine).isPresent();
-        return new EngineSnapshot(engine, row.load.getRole(), changing, row.load.getRunning());
+                upstream.load.getChanging() || machine.pendingOrder(engine).isPresent();
+        return new EngineSnapshot(engine, upstream.load.getRole(), changing, upstream.load.getRunning());
     }
 
-    private void place(long now, RoleChange change) {
+    private void proposeOrder(long now, RoleChange change) {
         machine.incarnation(change.engine())
                 .ifPresent(incarnation -> replica.propose(
                         now,
--- a/src/main/java/org/cuminshelf/control/SubscriberTable.java
+++ b/src/main/java/org/cuminshelf/control/SubscriberTable.java
@@ -10,117 +10,123 @@
 import org.cuminshelf.message.Subscribe;
 import org.cuminshelf.planning.CumulativeDemand;
 
-/** The processes that hear of changes from this control process. */
+/** The processes that subscribe to this control process, and the work that entries were offered. */
 final class SubscriberTable {
 
-    private static final long LEASE = Durations.nanos(4_000);
+    private static final long LEASE_NANOS = Durations.nanos(4_000);
 
-    /** One subscriber and what it holds. */
-    static final class Row {
+    /** A subscriber, and the versions it holds according to its last request. */
+    static final class Subscriber {
         final Address address;
         long incarnation;
-        long heardAt;
+        long lastHeardAt;
         long configVersion;
         long directoryVersion;
         long directoryIncarnation;
         boolean wantsDirectory;
-        /** Whether it asks for the body of a configuration itself. */
+        /** Whether the subscriber fetches configuration bodies with a separate request. */
         boolean fetchesConfig;
-        /** Hash of the list of entries that it holds. */
+        /** Hash of the list of entry addresses that the subscriber holds. */
         long entriesHash;
-        /** Up to which of its own changes it has told what it knows of poison requests. */
-        long poisonHeard;
+        /** Version of the subscriber's own poison data up to which this process has received all changes. */
+        long receivedPoisonVersion;
 
-        /** Clock reading of its last question, and Unix microseconds at which that was taken in. */
-        long askedAt;
+        /** The subscriber's clock in nanoseconds when it sent its last request. */
+        long requestClockNanos;
 
-        long takenAt;
-        /** Version of what it counted of usage up to which nothing is missing here. */
-        long usageHeard;
+        /** Time in Unix microseconds at which the last request was received. */
+        long receivedAtUnixMicros;
+        /** Version of the subscriber's usage counts up to which this process has received all changes. */
+        long receivedUsageVersion;
 
-        List<OfferedWork> offered = List.of();
+        List<OfferedWork> lastOffered = List.of();
 
-        private Row(Address address) {
+        private Subscriber(Address address) {
             this.address = address;
         }
     }
 
-    private final Map<Address, Row> rows = new TreeMap<>();
-    private final Map<String, CumulativeDemand> demands = new TreeMap<>();
+    private final Map<Address, Subscriber> subscribers = new TreeMap<>();
+    private final Map<String, CumulativeDemand> demandByModel = new TreeMap<>();
 
-    Row onSubscribe(long now, Address from, long incarnation, Subscribe subscribe) {
-        boolean known = rows.containsKey(from);
-        Row row = rows.computeIfAbsent(from, Row::new);
-        if (row.incarnation != incarnation) {
-            // Its changes are numbered anew: what was heard of its former life says nothing of them.
-            row.incarnation = incarnation;
-            row.poisonHeard = 0;
+    Subscriber onSubscribe(long now, Address from, long incarnation, Subscribe subscribe) {
+        boolean known = subscribers.containsKey(from);
+        Subscriber subscriber = subscribers.computeIfAbsent(from, Subscriber::new);
+        if (subscriber.incarnation != incarnation) {
+            // A new incarnation restarts the numbering of its changes.
+            subscriber.incarnation = incarnation;
+            subscriber.receivedPoisonVersion = 0;
         }
-        row.heardAt = now;
-        row.askedAt = subscribe.getAskedAtNs();
-        row.configVersion = subscribe.getConfigVersion();
-        row.directoryVersion = subscribe.getDirectoryVersion();
-        row.directoryIncarnation = subscribe.getDirectoryIncarnation();
-        row.wantsDirectory = subscribe.getWantsDirectory();
-        row.fetchesConfig = subscribe.getFetchesConfig();
-        row.entriesHash = subscribe.getEntriesHash();
-        // One that tells only what is new to a former life of this process is asked for all.
-        if (subscribe.getPoisonSince() <= row.poisonHeard) {
-            row.poisonHeard = Math.max(row.poisonHeard, subscribe.getPoisonVersion());
+        subscriber.lastHeardAt = now;
+        subscriber.requestClockNanos = subscribe.getAskedAtNs();
+        subscriber.configVersion = subscribe.getConfigVersion();
+        subscriber.directoryVersion = subscribe.getDirectoryVersion();
+        subscriber.directoryIncarnation = subscribe.getDirectoryIncarnation();
+        subscriber.wantsDirectory = subscribe.getWantsDirectory();
+        subscriber.fetchesConfig = subscribe.getFetchesConfig();
+        subscriber.entriesHash = subscribe.getEntriesHash();
+        // If the request builds on changes that only a previous incarnation of this process received, the version
+        // stays, so that the subscriber sends all its changes again.
+        if (subscribe.getPoisonSince() <= subscriber.receivedPoisonVersion) {
+            subscriber.receivedPoisonVersion = Math.max(subscriber.receivedPoisonVersion, subscribe.getPoisonVersion());
         }
         if (known) {
-            note(row, subscribe.getOfferedList());
+            addOffered(subscriber, subscribe.getOfferedList());
         }
-        row.offered = subscribe.getOfferedList();
-        return row;
+        subscriber.lastOffered = subscribe.getOfferedList();
+        return subscriber;
     }
 
     /**
-     * Adds what an entry was offered since it last told. A restarted entry counts anew; the sum goes on rising.
+     * Adds the work that an entry was offered since its last request. The counters of an entry restart with it, while
+     * the sum never decreases.
      *
-     * <p>What an entry tells first is only where its count stands. Guards against a control process that was restarted,
-     * or that an entry could not reach for a while: all that the entry was ever offered would be the work of one
-     * moment, and for seconds a hundred engines would seem to be wanted.
+     * <p>The first counters of an entry only set the base. Otherwise, after a restart of this process or an interrupted
+     * connection, all work that the entry was ever offered would count as offered at once, and for seconds a hundred
+     * engines would appear to be needed.
      */
-    private void note(Row row, List<OfferedWork> told) {
-        for (OfferedWork work : told) {
-            OfferedWork before = row.offered.stream()
+    private void addOffered(Subscriber subscriber, List<OfferedWork> reported) {
+        for (OfferedWork work : reported) {
+            OfferedWork previous = subscriber.lastOffered.stream()
                     .filter(known -> known.getModel().equals(work.getModel()))
                     .filter(known -> known.getPrefill() <= work.getPrefill())
                     .findFirst()
                     .orElse(OfferedWork.getDefaultInstance());
-            CumulativeDemand sum = demands.getOrDefault(work.getModel(), new CumulativeDemand(0, 0));
-            demands.put(
+            CumulativeDemand sum = demandByModel.getOrDefault(work.getModel(), new CumulativeDemand(0, 0));
+            demandByModel.put(
                     work.getModel(),
                     new CumulativeDemand(
-                            sum.prefill() + work.getPrefill() - before.getPrefill(),
-                            sum.decode() + Math.max(0, work.getDecode() - before.getDecode())));
+                            sum.prefill() + work.getPrefill() - previous.getPrefill(),
+                            sum.decode() + Math.max(0, work.getDecode() - previous.getDecode())));
         }
     }
 
-    /** Work that all entries were offered for a model, as far as this process was told. */
+    /** The cumulative work that entries were offered for a model, as reported to this process. */
     CumulativeDemand demand(String model) {
-        return demands.getOrDefault(model, new CumulativeDemand(0, 0));
+        return demandByModel.getOrDefault(model, new CumulativeDemand(0, 0));
     }
 
-    Collection<Row> rows() {
-        return rows.values();
+    Collection<Subscriber> all() {
+        return subscribers.values();
     }
 
-    /** Addresses of the entries, in order. */
-    List<String> entries() {
-        return rows.values().stream()
-                .filter(row -> row.wantsDirectory)
-                .map(row -> row.address.value())
+    /** The addresses of the entries, sorted. */
+    List<String> entryAddresses() {
+        return subscribers.values().stream()
+                .filter(subscriber -> subscriber.wantsDirectory)
+                .map(subscriber -> subscriber.address.value())
                 .toList();
     }
 
     void tick(long now) {
-        rows.values().removeIf(row -> now - row.heardAt > LEASE);
+        subscribers.values().removeIf(subscriber -> now - subscriber.lastHeardAt > LEASE_NANOS);
     }
 
-    /** The lowest version of the configuration in force at any subscriber. */
+    /** The lowest configuration version in force at any subscriber, or {@code highest} if there are no subscribers. */
     long lowestVersion(long highest) {
-        return rows.values().stream().mapToLong(row -> row.configVersion).min().orElse(highest);
+        return subscribers.values().stream()
+                .mapToLong(subscriber -> subscriber.configVersion)
+                .min()
+                .orElse(highest);
     }
 }
--- a/src/main/java/org/cuminshelf/control/UpdatePublisher.java
+++ b/src/main/java/org/cuminshelf/control/UpdatePublisher.java
@@ -16,19 +16,19 @@
 import org.cuminshelf.replica.Replica;
 
 /**
- * Tells subscribers what they lack: the version of the configuration, what changed in the directory, the control
- * processes and the entries. Changes are told at once; those lost on the way are made up for when a subscriber asks.
+ * Sends subscribers the updates they lack: the version of the configuration, changes of the directory, the control
+ * processes and the entries. Changes are broadcast at once; lost updates are repeated when a subscriber next asks.
  */
 final class UpdatePublisher {
 
-    /** Least time between two rounds of changes: short against the seconds in which a change must be in force. */
-    private static final long SPREAD_EVERY = Durations.nanos(20);
+    /** Minimum interval between two broadcasts, short compared to the seconds in which a change must be in force. */
+    private static final long MIN_BROADCAST_INTERVAL_NANOS = Durations.nanos(20);
 
     /**
-     * The entries as all of them are told.
+     * The list of entries that is sent to every entry.
      *
-     * @param addresses in order
-     * @param hash      of the addresses, by which a subscriber's list is compared
+     * @param addresses the addresses, sorted
+     * @param hash      hash of the addresses, compared with that of the subscriber's list
      */
     private record EntryList(List<String> addresses, long hash) {
         private static EntryList of(List<String> addresses) {
@@ -43,9 +43,9 @@
     private final DirectUpstreamRegistry registry;
     private final SubscriberTable subscribers;
     private final PoisonRegistry poison;
-    private long nextSpread;
-    private long spreadConfigVersion;
-    private long spreadDirectoryVersion;
+    private long nextBroadcast;
+    private long broadcastConfigVersion;
+    private long broadcastDirectoryVersion;
 
     UpdatePublisher(
             String region,
@@ -63,10 +63,10 @@
         this.registry = registry;
         this.subscribers = subscribers;
         this.poison = poison;
-        this.nextSpread = now;
+        this.nextBroadcast = now;
     }
 
-    /** Gives an entry the body of the configuration, which it asks one control process for at a time. */
+    /** Sends an entry the body of the configuration if it is newer than the version the entry holds. */
     void onConfigFetch(Address from, ConfigFetch fetch, Outbox out) {
         boolean newer = isSettledVoter() && config.version() > fetch.getHeldVersion();
         ConfigBody.Builder body = ConfigBody.newBuilder();
@@ -76,12 +76,12 @@
         out.send(from, Envelope.newBuilder().setConfigBody(body));
     }
 
-    /** Tells one subscriber what it lacks; {@code confirmed} says that a quorum confirmed the version told. */
-    void send(SubscriberTable.Row row, boolean confirmed, Outbox out) {
-        send(row, confirmed, EntryList.of(subscribers.entries()), out);
+    /** Sends one subscriber what it lacks; {@code confirmed} states that a quorum confirmed the config version. */
+    void send(SubscriberTable.Subscriber subscriber, boolean confirmed, Outbox out) {
+        send(subscriber, confirmed, EntryList.of(subscribers.entryAddresses()), out);
     }
 
-    private void send(SubscriberTable.Row row, boolean confirmed, EntryList entries, Outbox out) {
+    private void send(SubscriberTable.Subscriber subscriber, boolean confirmed, EntryList entries, Outbox out) {
         boolean voter = isSettledVoter();
         Update.Builder update = Update.newBuilder()
                 .setVoter(voter)
@@ -89,36 +89,36 @@
                 .setConfirmed(confirmed)
                 .setRegion(region)
                 .setEntries(entries.addresses.size());
-        if (voter && !row.fetchesConfig && row.configVersion < config.version()) {
+        if (voter && !subscriber.fetchesConfig && subscriber.configVersion < config.version()) {
             update.setConfig(config.config());
         }
-        if (row.wantsDirectory) {
-            describeDirectory(row, entries, update);
+        if (subscriber.wantsDirectory) {
+            addDirectory(subscriber, entries, update);
         }
         if (voter) {
             replicas.get(ControlSettings.GLOBAL_GROUP).members().forEach(member -> update.addControl(member.value()));
         }
-        update.setAskedAtNs(row.askedAt)
-                .setTakenAtUs(row.takenAt)
-                .setUsageHeard(row.usageHeard)
+        update.setAskedAtNs(subscriber.requestClockNanos)
+                .setTakenAtUs(subscriber.receivedAtUnixMicros)
+                .setUsageHeard(subscriber.receivedUsageVersion)
                 .setUsageSettled(config.usage().lastWindow());
         replicas.forEach((group, replica) -> replica.leader()
                 .ifPresent(leader -> update.addLeaders(
                         GroupLeader.newBuilder().setGroup(group).setAddress(leader.value()))));
-        out.send(row.address, Envelope.newBuilder().setUpdate(update));
+        out.send(subscriber.address, Envelope.newBuilder().setUpdate(update));
     }
 
-    private void describeDirectory(SubscriberTable.Row row, EntryList entries, Update.Builder update) {
-        boolean whole = directory.describe(row.directoryIncarnation, row.directoryVersion, update);
-        registry.describe(whole, row.directoryVersion, update);
-        describePoison(whole ? 0 : row.directoryVersion, update);
-        update.setPoisonHeard(row.poisonHeard).setEntriesHash(entries.hash);
-        if (row.entriesHash != entries.hash) {
+    private void addDirectory(SubscriberTable.Subscriber subscriber, EntryList entries, Update.Builder update) {
+        boolean complete = directory.addMissing(subscriber.directoryIncarnation, subscriber.directoryVersion, update);
+        registry.addMissing(complete, subscriber.directoryVersion, update);
+        addPoison(complete ? 0 : subscriber.directoryVersion, update);
+        update.setPoisonHeard(subscriber.receivedPoisonVersion).setEntriesHash(entries.hash);
+        if (subscriber.entriesHash != entries.hash) {
             update.addAllEntryAddresses(entries.addresses);
         }
     }
 
-    private void describePoison(long since, Update.Builder update) {
+    private void addPoison(long since, Update.Builder update) {
         update.addAllCrashes(poison.crashesChangedSince(since))
                 .addAllQuarantined(poison.quarantine().changedSince(since));
     }
@@ -127,28 +127,28 @@
         return replicas.get(ControlSettings.GLOBAL_GROUP).isSettledVoter();
     }
 
-    /** Tells all subscribers of changes. */
+    /** Broadcasts changes: configuration changes to all subscribers, directory changes to those that want them. */
     void tick(long now, Outbox out) {
-        if (!isDue() || now < nextSpread) {
+        if (!hasChanges() || now < nextBroadcast) {
             return;
         }
-        nextSpread = now + SPREAD_EVERY;
-        boolean configChanged = spreadConfigVersion != config.version();
-        spreadConfigVersion = config.version();
-        spreadDirectoryVersion = directory.urgentVersion();
-        EntryList entries = EntryList.of(subscribers.entries());
-        for (SubscriberTable.Row row : subscribers.rows()) {
-            if (configChanged || row.wantsDirectory) {
-                send(row, false, entries, out);
+        nextBroadcast = now + MIN_BROADCAST_INTERVAL_NANOS;
+        boolean configChanged = broadcastConfigVersion != config.version();
+        broadcastConfigVersion = config.version();
+        broadcastDirectoryVersion = directory.urgentVersion();
+        EntryList entries = EntryList.of(subscribers.entryAddresses());
+        for (SubscriberTable.Subscriber subscriber : subscribers.all()) {
+            if (configChanged || subscriber.wantsDirectory) {
+                send(subscriber, false, entries, out);
             }
         }
     }
 
     long nextDue() {
-        return isDue() ? nextSpread : Core.NEVER;
+        return hasChanges() ? nextBroadcast : Core.NEVER;
     }
 
-    private boolean isDue() {
-        return spreadConfigVersion != config.version() || spreadDirectoryVersion != directory.urgentVersion();
+    private boolean hasChanges() {
+        return broadcastConfigVersion != config.version() || broadcastDirectoryVersion != directory.urgentVersion();
     }
 }
--- a/src/main/java/org/cuminshelf/control/UsageReporter.java
+++ b/src/main/java/org/cuminshelf/control/UsageReporter.java
@@ -19,140 +19,141 @@
 import org.tinylog.Logger;
 
 /**
- * Reports to the platform what organisations used in each window.
+ * Reports the usage of organisations in each window to the platform.
  *
  * <p>Failures it guards against:
  * <ul>
- *   <li>Two reports of a window differ: its counts are committed to the log first, and only committed ones are sent, by
- *       any holder.</li>
- *   <li>An entry that is lost, cut off or whose clock is off holds up all reports: it is waited for only as long as
- *       {@link #PATIENCE_SHARE} of the time that is left.</li>
- *   <li>A report waits in a socket while the way is cut, and arrives after the next holder's: each is written under
- *       the lease or not at all, and thrown away {@link #TRY_PATIENCE} later or when the lease ends.</li>
+ *   <li>Two reports of a window differ. The counts are committed to the log first, and every holder sends only
+ *       committed counts.</li>
+ *   <li>An entry that is lost, disconnected or has a wrong clock delays all reports. Missing entries are awaited only
+ *       for {@link #WAIT_SHARE_OF_DEADLINE} of the time until the deadline.</li>
+ *   <li>A report waits in a socket during a network outage and arrives after the report of the next holder. A report is
+ *       written only under the lease, and abandoned after {@link #ANSWER_TIMEOUT_NANOS} or when the lease ends.</li>
  * </ul>
  */
 final class UsageReporter {
 
     private static final String LOG = "control: ";
-    /** Part of the time for a report after which a window is settled without those that have not told all of it. */
-    private static final double PATIENCE_SHARE = 0.4;
-    /** Time after which a report without an answer is sent again. */
-    private static final long TRY_PATIENCE = Durations.nanos(1_000);
-    /** Pause after an answer that is no acknowledgement. */
-    private static final long TRY_AGAIN = Durations.nanos(500);
-    /** Time after which an entry of the log that was not committed is proposed again. */
-    private static final long PROPOSED_AGAIN = Durations.nanos(2_000);
+    /** Fraction of the deadline after which a window is settled without the entries that are still missing. */
+    private static final double WAIT_SHARE_OF_DEADLINE = 0.4;
+    /** Time after which an unanswered report is abandoned and sent again. */
+    private static final long ANSWER_TIMEOUT_NANOS = Durations.nanos(1_000);
+    /** Delay before the next attempt after an answer that is not an acknowledgement. */
+    private static final long RETRY_DELAY_NANOS = Durations.nanos(500);
+    /** Time after which a log entry that was not committed is proposed again. */
+    private static final long REPROPOSE_INTERVAL_NANOS = Durations.nanos(2_000);
 
     private static final double NANOS_PER_SECOND = Durations.nanos(1_000);
-    /** Windows that are made up for after an outage; entries remember no more. */
-    private static final long MOST_BEHIND = 24;
+    /** Maximum number of past windows that are reported after an outage; entries keep no more. */
+    private static final long MAX_WINDOWS_BEHIND = 24;
 
     private final Replica replica;
     private final CommittedUsage settled;
-    private final DutyLease holder;
-    private final long patience;
-    /** Nanoseconds between two calls at the least, as the platform states what it takes. */
-    private final long leastGap;
+    private final DutyLease dutyLease;
+    private final long maxWaitNanos;
+    /** Minimum interval between two calls in nanoseconds, from the platform's rate limit. */
+    private final long minCallIntervalNanos;
 
     private final UsageAggregator tally = UsageAggregator.create();
 
-    private long awaited;
-    private long awaitedSince;
+    private long windowToSettle;
+    private long windowEndSeenAt;
     private long proposedAt = Long.MIN_VALUE / 2;
-    private long proposed;
-    private long acknowledged;
-    private long writtenDown;
-    private long writtenDownAt;
-    private long nextTry = Long.MIN_VALUE;
-    private long reportedAt = Long.MIN_VALUE / 2;
-    private boolean underWay;
-
-    UsageReporter(Replica replica, CommittedUsage settled, DutyLease holder, DutySettings duties) {
+    private long proposedWindow;
+    private long acknowledgedWindow;
+    private long recordedWindow;
+    private long recordProposedAt;
+    private long nextSendAt = Long.MIN_VALUE;
+    private long lastSentAt = Long.MIN_VALUE / 2;
+    private boolean inFlight;
+
+    UsageReporter(Replica replica, CommittedUsage settled, DutyLease dutyLease, DutySettings duties) {
         this.replica = replica;
         this.settled = settled;
-        this.holder = holder;
-        this.patience = (long)
-                (PATIENCE_SHARE * Durations.nanos(duties.usageDeadlineMillis().orElseThrow()));
-        this.leastGap = (long) (NANOS_PER_SECOND / duties.maxCallsPerSecond().orElse(Double.POSITIVE_INFINITY));
+        this.dutyLease = dutyLease;
+        this.maxWaitNanos = (long) (WAIT_SHARE_OF_DEADLINE
+                * Durations.nanos(duties.usageDeadlineMillis().orElseThrow()));
+        this.minCallIntervalNanos =
+                (long) (NANOS_PER_SECOND / duties.maxCallsPerSecond().orElse(Double.POSITIVE_INFINITY));
     }
 
-    /** Takes what an entry tells; what it tells again from here on follows from the version in its row. */
-    void onSubscribe(long now, SubscriberTable.Row row, Subscribe subscribe) {
-        row.usageHeard = tally.onReport(now, row.address, row.incarnation, subscribe);
+    /** Adds the counts of an entry; the version set on the subscriber determines which counts the entry sends next. */
+    void onSubscribe(long now, SubscriberTable.Subscriber subscriber, Subscribe subscribe) {
+        subscriber.receivedUsageVersion = tally.onReport(now, subscriber.address, subscriber.incarnation, subscribe);
     }
 
     void tick(long now, Outbox out) {
         tally.discardThrough(now, settled.lastWindow());
         OptionalLong current = tally.currentWindow(now);
-        current.ifPresent(window -> await(now, window));
-        if (underWay && (now >= nextTry || !holder.holds(now))) {
-            underWay = false;
+        current.ifPresent(window -> selectWindowToSettle(now, window));
+        if (inFlight && (now >= nextSendAt || !dutyLease.isHeld(now))) {
+            inFlight = false;
             out.send(Address.ORDERS, Envelope.newBuilder().setGiveUpUsageReport(UsageGiveUp.getDefaultInstance()));
         }
-        if (!holder.mayAct(now)) {
+        if (!dutyLease.mayAct(now)) {
             return;
         }
-        if (current.isPresent() && awaited < current.getAsLong() && isDue(now)) {
-            settle(now);
+        if (current.isPresent() && windowToSettle < current.getAsLong() && isDue(now)) {
+            proposeSettlement(now);
         }
         Optional<UsageWindow> next = settled.nextToReport();
-        if (next.isPresent() && next.get().getWindow() == acknowledged) {
-            writeDown(now, next.get());
-        } else if (next.isPresent() && now >= nextTry && now - reportedAt >= leastGap) {
-            report(now, next.get(), out);
+        if (next.isPresent() && next.get().getWindow() == acknowledgedWindow) {
+            proposeAcknowledgement(now, next.get());
+        } else if (next.isPresent() && now >= nextSendAt && now - lastSentAt >= minCallIntervalNanos) {
+            send(now, next.get(), out);
         }
     }
 
-    /** Notes which window is to be settled next, and since when it is over. */
-    private void await(long now, long current) {
+    /** Selects the window to settle next, and records when its end was first observed. */
+    private void selectWindowToSettle(long now, long current) {
         long next = settled.lastWindow() == 0
                 ? Math.min(tally.firstWindow().orElse(current), current)
                 : settled.lastWindow() + 1;
-        next = Math.max(next, current - MOST_BEHIND);
-        if (next != awaited) {
-            awaited = next;
-            awaitedSince = Core.NEVER;
+        next = Math.max(next, current - MAX_WINDOWS_BEHIND);
+        if (next != windowToSettle) {
+            windowToSettle = next;
+            windowEndSeenAt = Core.NEVER;
         }
-        if (awaitedSince == Core.NEVER && awaited < current) {
-            awaitedSince = now;
+        if (windowEndSeenAt == Core.NEVER && windowToSettle < current) {
+            windowEndSeenAt = now;
         }
     }
 
     private boolean isDue(long now) {
-        return tally.isComplete(now, awaited) || now - awaitedSince >= patience;
+        return tally.isComplete(now, windowToSettle) || now - windowEndSeenAt >= maxWaitNanos;
     }
 
-    private void settle(long now) {
-        if (awaited == proposed && now - proposedAt < PROPOSED_AGAIN) {
+    private void proposeSettlement(long now) {
+        if (windowToSettle == proposedWindow && now - proposedAt < REPROPOSE_INTERVAL_NANOS) {
             return;
         }
-        proposed = awaited;
+        proposedWindow = windowToSettle;
         proposedAt = now;
-        UsageWindow sum = tally.sum(awaited);
+        UsageWindow sum = tally.sum(windowToSettle);
         replica.propose(now, LogEntry.newBuilder().setUsageSettled(sum));
         Logger.info(
                 LOG + "event=usage window={} outcome=settled organisations={} calls={} whole={} waited-ms={}",
-                awaited,
+                windowToSettle,
                 sum.getCountsCount(),
-                sum.getCountsList().stream().mapToInt(row -> row.getCount()).sum(),
-                tally.isComplete(now, awaited),
-                Durations.millis(now - awaitedSince));
+                sum.getCountsList().stream().mapToInt(count -> count.getCount()).sum(),
+                tally.isComplete(now, windowToSettle),
+                Durations.millis(now - windowEndSeenAt));
     }
 
-    private void report(long now, UsageWindow window, Outbox out) {
-        underWay = true;
-        reportedAt = now;
-        nextTry = now + TRY_PATIENCE;
+    private void send(long now, UsageWindow window, Outbox out) {
+        inFlight = true;
+        lastSentAt = now;
+        nextSendAt = now + ANSWER_TIMEOUT_NANOS;
         out.send(
                 Address.ORDERS,
                 Envelope.newBuilder()
                         .setSendUsageReport(UsageReport.newBuilder()
                                 .setUsage(window)
-                                .setNumber(holder.number())
-                                .setWriteUntilNs(holder.until(now))));
+                                .setNumber(dutyLease.fencingNumber())
+                                .setWriteUntilNs(dutyLease.expiresAt(now))));
     }
 
-    /** Takes the platform's answer. */
+    /** Handles the platform's answer to a report. */
     void onReported(long now, UsageReported outcome) {
         Logger.info(
                 LOG + "event=usage window={} outcome={} status={} reason=\"{}\" number={}",
@@ -160,23 +161,23 @@
                 outcome.getAccepted() ? "reported" : "not-acknowledged",
                 outcome.getStatus(),
                 outcome.getReason(),
-                holder.number());
-        underWay = false;
+                dutyLease.fencingNumber());
+        inFlight = false;
         if (outcome.getAccepted()) {
-            acknowledged = outcome.getWindow();
-            nextTry = now;
+            acknowledgedWindow = outcome.getWindow();
+            nextSendAt = now;
         } else {
-            nextTry = now + TRY_AGAIN;
+            nextSendAt = now + RETRY_DELAY_NANOS;
         }
     }
 
-    /** Has the group remember an acknowledgement, so that no later holder reports the window again. */
-    private void writeDown(long now, UsageWindow window) {
-        if (acknowledged == writtenDown && now - writtenDownAt < PROPOSED_AGAIN) {
+    /** Records an acknowledgement in the log, so that no later holder reports the window again. */
+    private void proposeAcknowledgement(long now, UsageWindow window) {
+        if (acknowledgedWindow == recordedWindow && now - recordProposedAt < REPROPOSE_INTERVAL_NANOS) {
             return;
         }
-        writtenDown = acknowledged;
-        writtenDownAt = now;
+        recordedWindow = acknowledgedWindow;
+        recordProposedAt = now;
         replica.propose(now, LogEntry.newBuilder().setUsageReported(window.getWindow()));
     }
 }
--- a/src/test/java/org/cuminshelf/control/ControlClusterFixture.java
+++ b/src/test/java/org/cuminshelf/control/ControlClusterFixture.java
@@ -24,49 +24,49 @@
 import org.cuminshelf.replica.MembershipPolicy;
 import org.cuminshelf.replica.ReplicaSettings;
 
-/** Three control processes that pass messages to each other at once, driven by hand in virtual time. */
+/** Three control processes that exchange messages without delay, driven in virtual time by the test. */
 final class ControlClusterFixture {
 
-    /** Name of the region's group. */
-    static final String REGION = "region";
+    /** Name of the group of the region. */
+    static final String REGION_GROUP = "region";
 
     static final long LEASE_MILLIS = 3_000;
     private static final int PROCESSES = 3;
     private static final long STEP_MILLIS = 10;
 
-    /** An order that was sent to an engine, and when. */
-    record SentOrder(DirectOrder order, long at) {}
+    /** An order that was sent to an engine, with its time in nanoseconds. */
+    record SentOrder(DirectOrder order, long sentAt) {}
 
-    /** A report of usage that a process was to send, and when. */
-    record SentReport(Address holder, UsageReport report, long at) {}
+    /** A usage report that a process sent, with its time in nanoseconds. */
+    record SentReport(Address holder, UsageReport report, long sentAt) {}
 
-    private record Message(Address from, Address to, Envelope body) {}
+    private record Message(Address from, Address to, Envelope envelope) {}
 
     private final DutySettings duties;
     private final Map<Address, ControlCore> running = new TreeMap<>();
-    private final List<Message> underWay = new ArrayList<>();
-    /** What was sent to others than these processes. */
-    private final List<Message> sentOut = new ArrayList<>();
+    private final List<Message> inTransit = new ArrayList<>();
+    /** Messages sent to addresses other than those of the running processes. */
+    private final List<Message> sentOutside = new ArrayList<>();
 
     final List<SentReport> reports = new ArrayList<>();
     final List<SentOrder> orders = new ArrayList<>();
-    /** Orders that were sent to sidecars. */
+    /** Orders sent to sidecars. */
     final List<OrderSent> sidecarOrders = new ArrayList<>();
 
     long now = Durations.nanos(10_000);
 
-    /** Processes for upstreams that announce themselves straight to control. */
+    /** Creates processes for upstreams that announce themselves directly to control. */
     ControlClusterFixture() {
         this(MembershipPolicy.OPEN, DutySettings.NONE);
     }
 
-    /** Processes one of which reports usage, due 10 s after each window; holders may take turns after 3 s. */
-    static ControlClusterFixture withUsage() {
-        return withUsage(OptionalDouble.empty());
+    /** Creates processes that report usage, with a deadline of 10 s after each window and a duty lease of 3 s. */
+    static ControlClusterFixture withUsageReports() {
+        return withUsageReports(OptionalDouble.empty());
     }
 
-    /** The same, with a platform that takes so many calls a second. */
-    static ControlClusterFixture withUsage(OptionalDouble callsPerSecond) {
+    /** Creates processes that report usage to a platform with a limit of calls per second. */
+    static ControlClusterFixture withUsageReports(OptionalDouble callsPerSecond) {
         return new ControlClusterFixture(
                 MembershipPolicy.OPEN, new DutySettings(LEASE_MILLIS, OptionalLong.of(10_000), callsPerSecond));
     }
@@ -82,8 +82,8 @@
         }
     }
 
-    /** Processes with a group for the region {@code r}, whose upstreams have sidecars. */
-    static ControlClusterFixture withRegion() {
+    /** Creates processes with a group for the region {@code r}, whose upstreams have sidecars. */
+    static ControlClusterFixture withRegionGroup() {
         return new ControlClusterFixture(MembershipPolicy.FIXED, DutySettings.NONE);
     }
 
@@ -94,8 +94,8 @@
         Map<String, DurableState> durable = new TreeMap<>();
         durable.put(ControlSettings.GLOBAL_GROUP, DurableState.fresh(number));
         if (policy == MembershipPolicy.FIXED) {
-            groups.add(new ReplicaSettings(REGION, self, seeds, false, policy));
-            durable.put(REGION, DurableState.fresh(PROCESSES + number));
+            groups.add(new ReplicaSettings(REGION_GROUP, self, seeds, false, policy));
+            durable.put(REGION_GROUP, DurableState.fresh(PROCESSES + number));
         }
         ControlSettings settings = policy == MembershipPolicy.FIXED
                 ? new ControlSettings("r", groups)
@@ -110,12 +110,12 @@
                 Invariants.throwing());
     }
 
-    /** The process that leads the global group under a lease. */
+    /** Returns the process that leads the global group under a lease. */
     Optional<Address> leader() {
         return leader(ControlSettings.GLOBAL_GROUP);
     }
 
-    /** The process that leads a group under a lease. */
+    /** Returns the process that leads a group under a lease. */
     Optional<Address> leader(String group) {
         return running.entrySet().stream()
                 .filter(process ->
@@ -128,47 +128,47 @@
         return List.copyOf(running.keySet());
     }
 
-    /** Takes what was sent to somebody outside since the last question. */
+    /** Returns the messages sent to an outside address, and discards all messages sent outside. */
     List<Envelope> takeSent(Address to) {
-        List<Envelope> taken = sentOut.stream()
+        List<Envelope> taken = sentOutside.stream()
                 .filter(message -> message.to.equals(to))
-                .map(Message::body)
+                .map(Message::envelope)
                 .toList();
-        sentOut.clear();
+        sentOutside.clear();
         return taken;
     }
 
-    /** The quarantine as each process has it from the log. */
-    List<Collection<QuarantinedRequest>> quarantineWrittenDown() {
+    /** Returns the quarantine in the log of each running process. */
+    List<Collection<QuarantinedRequest>> persistedQuarantines() {
         return running.values().stream()
                 .map(core -> core.durableQuarantine().all())
                 .toList();
     }
 
-    /** Ends a process for good. */
+    /** Stops a process permanently. */
     void kill(Address process) {
         running.remove(process);
     }
 
-    /** Gives a message to all processes that run. */
-    void giveAll(Address from, Envelope.Builder message) {
-        Envelope body = message.setFrom(from.value()).build();
-        running.keySet().forEach(process -> underWay.add(new Message(from, process, body)));
+    /** Sends a message to all running processes. */
+    void sendToAll(Address from, Envelope.Builder message) {
+        Envelope envelope = message.setFrom(from.value()).build();
+        running.keySet().forEach(process -> inTransit.add(new Message(from, process, envelope)));
     }
 
-    /** Gives a message to one process. */
-    void give(Address process, Address from, Envelope.Builder message) {
-        underWay.add(new Message(from, process, message.setFrom(from.value()).build()));
+    /** Sends a message to one process. */
+    void sendTo(Address process, Address from, Envelope.Builder message) {
+        inTransit.add(new Message(from, process, message.setFrom(from.value()).build()));
     }
 
-    /** Gives a message to one of the processes that run. */
-    void giveOne(Address from, Envelope.Builder message) {
+    /** Sends a message to the first running process. */
+    void sendToAny(Address from, Envelope.Builder message) {
         Address process = running.keySet().iterator().next();
-        underWay.add(new Message(from, process, message.setFrom(from.value()).build()));
+        inTransit.add(new Message(from, process, message.setFrom(from.value()).build()));
     }
 
-    void pass(long millis) {
-        for (long passed = 0; passed < millis; passed += STEP_MILLIS) {
+    void advance(long millis) {
+        for (long elapsed = 0; elapsed < millis; elapsed += STEP_MILLIS) {
             now += Durations.nanos(STEP_MILLIS);
             deliver();
             running.forEach(this::tick);
@@ -176,14 +176,14 @@
     }
 
     private void deliver() {
-        List<Message> due = List.copyOf(underWay);
-        underWay.clear();
-        for (Message message : due) {
+        List<Message> delivered = List.copyOf(inTransit);
+        inTransit.clear();
+        for (Message message : delivered) {
             ControlCore core = running.get(message.to);
             if (core != null) {
                 RecordingOutbox out = new RecordingOutbox();
-                core.accept(now, message.body, out);
-                take(message.to, out);
+                core.accept(now, message.envelope, out);
+                collect(message.to, out);
             }
         }
     }
@@ -191,10 +191,10 @@
     private void tick(Address process, ControlCore core) {
         RecordingOutbox out = new RecordingOutbox();
         core.tick(now, out);
-        take(process, out);
+        collect(process, out);
     }
 
-    private void take(Address process, RecordingOutbox out) {
+    private void collect(Address process, RecordingOutbox out) {
         for (RecordingOutbox.Sent sent : out.takeSent()) {
             Envelope message = sent.message();
             if (message.hasSendDirectOrder()) {
@@ -204,26 +204,26 @@
             } else if (message.hasOrderSent()) {
                 sidecarOrders.add(message.getOrderSent());
             } else if (message.hasPersist()) {
-                persisted(process, message.getPersist());
+                confirmPersisted(process, message.getPersist());
             } else {
-                Envelope body = message.toBuilder().setFrom(process.value()).build();
-                underWay.add(new Message(process, sent.to(), body));
+                Envelope envelope = message.toBuilder().setFrom(process.value()).build();
+                inTransit.add(new Message(process, sent.to(), envelope));
                 if (!running.containsKey(sent.to())) {
-                    sentOut.add(new Message(process, sent.to(), body));
+                    sentOutside.add(new Message(process, sent.to(), envelope));
                 }
             }
         }
     }
 
-    private void persisted(Address process, Persist persist) {
-        Persisted done = Persisted.newBuilder()
+    private void confirmPersisted(Address process, Persist persist) {
+        Persisted confirmation = Persisted.newBuilder()
                 .setGroup(persist.getGroup())
                 .setSequence(persist.getSequence())
                 .build();
-        Envelope body = Envelope.newBuilder()
+        Envelope envelope = Envelope.newBuilder()
                 .setFrom(Address.STORAGE.value())
-                .setPersisted(done)
+                .setPersisted(confirmation)
                 .build();
-        underWay.add(new Message(Address.STORAGE, process, body));
+        inTransit.add(new Message(Address.STORAGE, process, envelope));
     }
 }
--- a/src/test/java/org/cuminshelf/control/ControlCoreTest.java
+++ b/src/test/java/org/cuminshelf/control/ControlCoreTest.java
@@ -36,59 +36,59 @@
 import org.cuminshelf.replica.DurableState;
 import org.cuminshelf.replica.ReplicaSettings;
 
-/** A control process that is its own quorum, driven by hand. */
+/** A single control process that forms a quorum by itself. */
 class ControlCoreTest {
 
     private static final Address SELF = Address.of("10.0.0.1:7000");
     private static final Address ENTRY = Address.of("10.0.1.1:7000");
-    private static final long START = 1_800_000_000_000L;
+    private static final long EVENT_START_UNIX_MILLIS = 1_800_000_000_000L;
     private final RecordingOutbox out = new RecordingOutbox();
     private final ControlCore core;
     private long now = Durations.nanos(10_000);
-    private long nextQuestion = 1;
-    private final Set<String> loaded = new HashSet<>();
+    private long nextRequestId = 1;
+    private final Set<String> enginesWithAdapter = new HashSet<>();
 
     ControlCoreTest() {
-        List<Address> alone = List.of(SELF);
+        List<Address> members = List.of(SELF);
         ControlSettings settings = new ControlSettings(
                 "r",
                 List.of(
-                        new ReplicaSettings(ControlSettings.GLOBAL_GROUP, SELF, alone, true),
-                        new ReplicaSettings("region", SELF, alone, false)));
+                        new ReplicaSettings(ControlSettings.GLOBAL_GROUP, SELF, members, true),
+                        new ReplicaSettings("region", SELF, members, false)));
         Map<String, DurableState> durable =
                 Map.of(ControlSettings.GLOBAL_GROUP, DurableState.fresh(1), "region", DurableState.fresh(2));
         core = ControlCore.start(
                 settings, SELF, 1, durable, now, RandomSource.XO_RO_SHI_RO_128_PP.create(1), Invariants.throwing());
         for (int i = 0; i < 30; i++) {
-            pass(200);
+            advance(200);
         }
     }
 
     /*
-     * Two operators change the configuration at once, and one resends because its answer was lost. The second change is
-     * refused with what stands now; the resend is given the version it was given before. Cause: equal base versions.
+     * Two operators apply different changes to the same base version, and one resends because its answer was lost. The
+     * second change must be rejected with the current version; the resend must get the version of the first answer.
      */
     @Example
-    void operatorsOnEqualNumbersAreToldApartAndAResendGetsItsFirstAnswer() {
+    void aConflictingChangeIsRejectedAndAResendGetsItsFirstAnswer() {
         AdminAnswer first = apply(0, 1);
         AdminAnswer other = apply(0, 2);
-        AdminAnswer again = apply(0, 1);
+        AdminAnswer resend = apply(0, 1);
         assertThat(first.getResult()).isEqualTo(AdminResult.ADMIN_DONE);
         assertThat(other.getResult()).isEqualTo(AdminResult.ADMIN_CONFLICT);
         assertThat(other.getVersion()).isEqualTo(1);
-        assertThat(again.getResult()).isEqualTo(AdminResult.ADMIN_DONE);
-        assertThat(again.getVersion()).isEqualTo(first.getVersion());
+        assertThat(resend.getResult()).isEqualTo(AdminResult.ADMIN_DONE);
+        assertThat(resend.getVersion()).isEqualTo(first.getVersion());
     }
 
     @Example
-    void aConfigurationThatCanNotBeReadIsRefusedBeforeItIsAccepted() {
+    void aMalformedConfigurationIsRejected() {
         AdminAnswer answer = apply(0, "{\"modles\":{}}");
         assertThat(answer.getResult()).isEqualTo(AdminResult.ADMIN_BAD);
         assertThat(core.configVersion()).isZero();
     }
 
     @Example
-    void aKeyIsHeldByOneAttemptAndItsAnswerStays() {
+    void aKeyIsHeldByOneAttemptAndItsAnswerIsKept() {
         assertThat(take("k", 5, attempt(1)).getResult()).isEqualTo(ClaimResult.CLAIM_GRANTED);
         assertThat(take("k", 5, attempt(1)).getResult()).isEqualTo(ClaimResult.CLAIM_GRANTED);
         assertThat(take("k", 5, attempt(2)).getResult()).isEqualTo(ClaimResult.CLAIM_HELD);
@@ -106,59 +106,61 @@
     }
 
     /*
-     * One book gets two numbers. Two entries learn that the first attempt did not run and both want to run the next.
-     * Only one of the moves may be granted. Cause: two resends at once.
+     * A request runs twice under one key: after two concurrent resends, two entries learn that the first attempt did
+     * not run, and both start the next. Only one of the moves may be granted.
      */
     @Example
-    void aClaimMovesOnce() {
+    void aClaimIsMovedOnlyOnce() {
         take("k", 5, attempt(1));
         assertThat(move("k", attempt(1), attempt(2)).getResult()).isEqualTo(ClaimResult.CLAIM_GRANTED);
         assertThat(move("k", attempt(1), attempt(3)).getResult()).isEqualTo(ClaimResult.CLAIM_HELD);
     }
 
     /*
-     * The book fair opens and no engine has its adapter. Loads are ordered before the start, few at a time, because the
-     * weight store gives only so much at once. Cause: loads asked for when the first caller comes.
+     * An event starts and no engine has its adapter, because loads were ordered only for the first request. Loads must
+     * be ordered before the start, and only a few at a time, as the bandwidth of the weight store is limited.
      */
     @Example
-    void anEventsAdaptersAreLoadedBeforeItsStartAndFewAtATime() {
+    void theAdaptersOfAnEventAreLoadedBeforeItsStartAFewAtATime() {
         apply(
                 0,
                 "{\"models\":{\"m\":{}},\"events\":{\"fair\":{\"start\":\"2027-01-15T08:00:00Z\","
                         + "\"adapters\":[\"a\"],\"engines\":3}}}");
         announceAll();
-        give(
+        receive(
                 Address.PROCESS,
-                Envelope.newBuilder().setWallClock(WallClock.newBuilder().setEpochMs(START - 3_600_000)));
-        assertThat(ordersOver(3)).isEmpty();
-        give(
+                Envelope.newBuilder()
+                        .setWallClock(WallClock.newBuilder().setEpochMs(EVENT_START_UNIX_MILLIS - 3_600_000)));
+        assertThat(ordersWithin(3)).isEmpty();
+        receive(
                 Address.PROCESS,
-                Envelope.newBuilder().setWallClock(WallClock.newBuilder().setEpochMs(START - 60_000)));
-        List<OrderSent> first = ordersOver(5);
+                Envelope.newBuilder()
+                        .setWallClock(WallClock.newBuilder().setEpochMs(EVENT_START_UNIX_MILLIS - 60_000)));
+        List<OrderSent> first = ordersWithin(5);
         assertThat(first.stream().map(sent -> sent.getOrder().getEngine()).distinct())
                 .hasSize(2);
         assertThat(first)
                 .allMatch(sent -> sent.getOrder().getBody().getLoadAdapter().equals("a"));
         long number = first.getFirst().getOrder().getNumber();
-        OrderReport done = OrderReport.newBuilder()
+        OrderReport report = OrderReport.newBuilder()
                 .setNumber(number)
                 .setApplied(true)
                 .setGroup("region")
                 .build();
-        give(
+        receive(
                 Address.of(first.getFirst().getOrder().getEngine()),
-                Envelope.newBuilder().setOrderReport(done));
-        loaded.add(first.getFirst().getOrder().getEngine());
-        assertThat(ordersOver(5).stream()
+                Envelope.newBuilder().setOrderReport(report));
+        enginesWithAdapter.add(first.getFirst().getOrder().getEngine());
+        assertThat(ordersWithin(5).stream()
                         .map(sent -> sent.getOrder().getEngine())
                         .distinct())
                 .hasSize(2);
     }
 
-    private List<OrderSent> ordersOver(int seconds) {
+    private List<OrderSent> ordersWithin(int seconds) {
         out.take(message -> true);
         for (int i = 0; i < seconds; i++) {
-            pass(1_000);
+            advance(1_000);
             announceAll();
         }
         return out.take(Envelope::hasOrderSent).stream()
@@ -170,7 +172,7 @@
         for (int engine = 1; engine <= 4; engine++) {
             Address address = Address.of("10.0.2." + engine + ":7000");
             LoadReport.Builder load = LoadReport.newBuilder().addModels("m");
-            if (loaded.contains(address.value())) {
+            if (enginesWithAdapter.contains(address.value())) {
                 load.addAdapters("a");
             }
             Announce announce = Announce.newBuilder()
@@ -178,7 +180,7 @@
                     .setVm("engine-" + engine)
                     .setLoad(load)
                     .build();
-            give(address, Envelope.newBuilder().setAnnounce(announce));
+            receive(address, Envelope.newBuilder().setAnnounce(announce));
         }
     }
 
@@ -193,11 +195,11 @@
                 .setConfig(config)
                 .setHash(MergedConfig.hash(config.toByteArray()))
                 .build();
-        give(
+        receive(
                 Address.ADMINISTRATORS,
                 Envelope.newBuilder()
                         .setAdminRequest(AdminRequest.newBuilder()
-                                .setQuestion(nextQuestion++)
+                                .setQuestion(nextRequestId++)
                                 .setConfigApply(apply)));
         return out.take(Envelope::hasAdminAnswer).getFirst().getAdminAnswer();
     }
@@ -208,7 +210,7 @@
 
     private ClaimRequest.Builder request(String key) {
         return ClaimRequest.newBuilder()
-                .setQuestion(nextQuestion++)
+                .setQuestion(nextRequestId++)
                 .setGroup("region")
                 .setKey(key);
     }
@@ -226,26 +228,26 @@
     }
 
     private ClaimAnswer claim(ClaimRequest request) {
-        give(ENTRY, Envelope.newBuilder().setClaimRequest(request));
+        receive(ENTRY, Envelope.newBuilder().setClaimRequest(request));
         return out.take(Envelope::hasClaimAnswer).getFirst().getClaimAnswer();
     }
 
-    private void give(Address from, Envelope.Builder message) {
+    private void receive(Address from, Envelope.Builder message) {
         core.accept(now, message.setFrom(from.value()).setIncarnation(9).build(), out);
         settle();
     }
 
-    private void pass(long millis) {
+    private void advance(long millis) {
         now += Durations.nanos(millis);
         settle();
     }
 
-    /** Ticks and syncs until nothing more is to be synced. */
+    /** Ticks the core and confirms its writes until no write is pending. */
     private void settle() {
         for (int i = 0; i < 4; i++) {
             core.tick(now, out);
             for (String group : core.groups()) {
-                Persisted all = Persisted.newBuilder()
+                Persisted confirmation = Persisted.newBuilder()
                         .setGroup(group)
                         .setSequence(Long.MAX_VALUE)
                         .build();
@@ -253,7 +255,7 @@
                         now,
                         Envelope.newBuilder()
                                 .setFrom(Address.STORAGE.value())
-                                .setPersisted(all)
+                                .setPersisted(confirmation)
                                 .build(),
                         out);
             }
