--- a/src/test/java/org/cuminshelf/control/DirectControlTest.java
+++ b/src/test/java/org/cuminshelf/control/DirectControlTest.java
@@ -36,7 +36,7 @@
 import org.cuminshelf.replica.MembershipPolicy;
 import org.cuminshelf.replica.ReplicaSettings;
 
-/** A control process for upstreams that announce themselves straight to it, alone and driven by hand. */
+/** A single control process for upstreams that announce themselves directly to it. */
 class DirectControlTest {
 
     private static final Address SELF = Address.of("10.0.0.1:7000");
@@ -45,8 +45,8 @@
     private final List<Envelope> sent = new ArrayList<>();
     private final ControlCore core;
     private long now = Durations.nanos(10_000);
-    private long nextQuestion = 1;
-    private long offered;
+    private long nextRequestId = 1;
+    private long offeredMicros;
 
     DirectControlTest() {
         ControlSettings settings = new ControlSettings(
@@ -62,63 +62,63 @@
                 now,
                 RandomSource.XO_RO_SHI_RO_128_PP.create(1),
                 Invariants.throwing());
-        pass(4_000);
+        advance(4_000);
     }
 
     /*
-     * A change that was accepted is undone: an operator's older change, sent before it, arrives after it. Both are
-     * acknowledged, the higher version stands.
+     * An accepted change is reverted by an older change that was sent before it and arrives after it. Both must be
+     * acknowledged, and the higher version must be kept.
      */
     @Example
-    void theHighestVersionStandsInWhateverOrderChangesArrive() {
+    void theHighestDeclaredVersionIsKeptWhateverTheOrderOfArrival() {
         assertThat(apply(7, "seven").getResult()).isEqualTo(AdminResult.ADMIN_DONE);
         assertThat(apply(5, "five").getResult()).isEqualTo(AdminResult.ADMIN_DONE);
         assertThat(apply(7, "other seven").getResult()).isEqualTo(AdminResult.ADMIN_DONE);
-        AdminAnswer read = ask(
+        AdminAnswer read = sendAdminRequest(
                 AdminRequest.newBuilder().setConfigRead(ConfigRead.newBuilder().setConfirmed(true)));
         assertThat(read.getVersion()).isEqualTo(7);
         assertThat(read.getConfig().toStringUtf8()).isEqualTo("seven");
     }
 
     @Example
-    void whatTheCheckRefusesIsNotAccepted() {
+    void aConfigurationRejectedByTheCheckIsNotAccepted() {
         assertThat(apply(7, "").getResult()).isEqualTo(AdminResult.ADMIN_BAD);
         assertThat(core.configVersion()).isZero();
     }
 
     @Example
-    void entriesAreToldAtOnceThatAnUpstreamIsLeaving() {
-        beat(upstream("u", Role.ROLE_DECODE).setSequence(1));
+    void entriesAreNotifiedAtOnceThatAnUpstreamIsLeaving() {
+        sendHeartbeat(upstream("u", Role.ROLE_DECODE).setSequence(1));
         subscribe();
-        pass(50);
+        advance(50);
         sent.clear();
-        beat(upstream("u", Role.ROLE_DECODE).setSequence(2).setLeaving(true));
-        pass(50);
-        assertThat(told("u").getLeaving()).isTrue();
+        sendHeartbeat(upstream("u", Role.ROLE_DECODE).setSequence(2).setLeaving(true));
+        advance(50);
+        assertThat(lastPublished("u").getLeaving()).isTrue();
     }
 
     /*
-     * Nothing is served for seconds after a large configuration, as each answer to an entry carries the whole of it. An
-     * entry that asks for the body itself is told the version only, and gets the body once for each time it asks.
+     * No requests are served for seconds after a large configuration, as each update to an entry contains all of it. An
+     * entry that fetches configurations must be sent only the version, and the body once per fetch.
      */
     @Example
-    void anEntryThatFetchesTheConfigurationIsToldItsVersionOnly() throws IOException {
+    void anEntryThatFetchesConfigurationsIsSentOnlyTheVersion() throws IOException {
         apply(7, "a large document");
         sent.clear();
-        give(
+        receive(
                 ENTRY,
                 Envelope.newBuilder()
                         .setSubscribe(
                                 Subscribe.newBuilder().setWantsDirectory(true).setFetchesConfig(true)));
-        pass(50);
+        advance(50);
         assertThat(lastUpdate().getConfigVersion()).isEqualTo(7);
         assertThat(lastUpdate().getConfig().isEmpty()).isTrue();
-        give(ENTRY, Envelope.newBuilder().setConfigFetch(ConfigFetch.getDefaultInstance()));
-        ConfigBody body = lastBody();
-        assertThat(body.getVersion()).isEqualTo(7);
-        assertThat(new String(Deflated.inflate(body.getDeflated().toByteArray()), StandardCharsets.UTF_8))
+        receive(ENTRY, Envelope.newBuilder().setConfigFetch(ConfigFetch.getDefaultInstance()));
+        ConfigBody fetched = lastBody();
+        assertThat(fetched.getVersion()).isEqualTo(7);
+        assertThat(new String(Deflated.inflate(fetched.getDeflated().toByteArray()), StandardCharsets.UTF_8))
                 .isEqualTo("a large document");
-        give(
+        receive(
                 ENTRY,
                 Envelope.newBuilder().setConfigFetch(ConfigFetch.newBuilder().setHeldVersion(7)));
         assertThat(lastBody().getDeflated().isEmpty()).isTrue();
@@ -132,13 +132,13 @@
                 .orElseThrow();
     }
 
-    /* Each answer to an entry carries the addresses of all entries: at 330 entries 60 KB/s for each of them. */
+    /* If each update to an entry held the addresses of all entries, 330 entries would receive 60 KB/s each. */
     @Example
-    void theListOfEntriesIsToldOnlyWhereItDiffers() {
+    void theListOfEntriesIsSentOnlyIfItDiffers() {
         subscribe();
         Update first = lastUpdate();
         assertThat(first.getEntryAddressesList()).containsExactly(ENTRY.value());
-        give(
+        receive(
                 ENTRY,
                 Envelope.newBuilder()
                         .setSubscribe(
@@ -148,139 +148,139 @@
     }
 
     /*
-     * A restarted entry never learns the upstreams: it is told a change without the version that the change builds on,
-     * and can't see that it lacks what came before.
+     * A restarted entry never learns the upstreams: it receives an incremental update without its base version, and
+     * cannot detect that earlier changes are missing.
      */
     @Example
-    void anIncompleteListNamesTheVersionItBuildsOn() {
-        beat(upstream("u", Role.ROLE_DECODE).setSequence(1));
+    void anIncrementalUpdateNamesItsBaseVersion() {
+        sendHeartbeat(upstream("u", Role.ROLE_DECODE).setSequence(1));
         subscribe();
-        pass(50);
-        Update whole = lastUpdate();
-        assertThat(whole.getWholeDirectory()).isTrue();
-        give(
+        advance(50);
+        Update first = lastUpdate();
+        assertThat(first.getWholeDirectory()).isTrue();
+        receive(
                 ENTRY,
                 Envelope.newBuilder()
                         .setSubscribe(Subscribe.newBuilder()
                                 .setWantsDirectory(true)
-                                .setDirectoryIncarnation(whole.getDirectoryIncarnation())
-                                .setDirectoryVersion(whole.getDirectoryVersion())));
-        beat(upstream("v", Role.ROLE_DECODE).setSequence(1));
-        pass(50);
+                                .setDirectoryIncarnation(first.getDirectoryIncarnation())
+                                .setDirectoryVersion(first.getDirectoryVersion())));
+        sendHeartbeat(upstream("v", Role.ROLE_DECODE).setSequence(1));
+        advance(50);
         assertThat(lastUpdate().getWholeDirectory()).isFalse();
-        assertThat(lastUpdate().getDirectorySince()).isEqualTo(whole.getDirectoryVersion());
+        assertThat(lastUpdate().getDirectorySince()).isEqualTo(first.getDirectoryVersion());
     }
 
     /*
-     * An upstream that is gone gets requests again: a heartbeat it sent before was held up and arrives after its last
-     * word.
+     * A deleted upstream is sent requests again, because a delayed heartbeat arrives after its deletion.
      */
     @Example
-    void aHeartbeatThatComesAfterTheLastWordChangesNothing() {
-        beat(upstream("u", Role.ROLE_DECODE).setSequence(1));
+    void aHeartbeatThatArrivesAfterTheDeletionIsIgnored() {
+        sendHeartbeat(upstream("u", Role.ROLE_DECODE).setSequence(1));
         subscribe();
-        beat(UpstreamBeat.newBuilder().setName("u").setDeleted(true));
-        beat(upstream("u", Role.ROLE_DECODE).setSequence(9));
-        pass(50);
-        assertThat(told("u").getDeleted()).isTrue();
+        sendHeartbeat(UpstreamBeat.newBuilder().setName("u").setDeleted(true));
+        sendHeartbeat(upstream("u", Role.ROLE_DECODE).setSequence(9));
+        advance(50);
+        assertThat(lastPublished("u").getDeleted()).isTrue();
     }
 
     /*
-     * An engine crashes, starts again under its name and gets no request until it has sent as many heartbeats as its
-     * former self: its count began anew, and was taken for that of a delayed heartbeat.
+     * An engine crashes, restarts under its name and gets no request until it has sent as many heartbeats as before:
+     * its sequence restarted, and its heartbeats were mistaken for delayed ones.
      */
     @Example
-    void anUpstreamThatStartsAgainUnderItsNameIsHeardAtOnce() {
-        beat(upstream("u", Role.ROLE_DECODE).setBornMs(1_000).setSequence(50).setLeaving(true));
+    void anUpstreamRestartedUnderItsNameIsRecognisedAtOnce() {
+        sendHeartbeat(
+                upstream("u", Role.ROLE_DECODE).setBornMs(1_000).setSequence(50).setLeaving(true));
         subscribe();
-        beat(upstream("u", Role.ROLE_PREFILL).setBornMs(9_000).setSequence(1));
-        pass(50);
-        assertThat(told("u").getRole()).isEqualTo(Role.ROLE_PREFILL);
-        assertThat(told("u").getLeaving()).isFalse();
-        assertThat(told("u").getDeleted()).isFalse();
-        beat(upstream("u", Role.ROLE_DECODE).setBornMs(1_000).setSequence(51));
-        pass(50);
-        assertThat(told("u").getBornMs()).isEqualTo(9_000);
+        sendHeartbeat(upstream("u", Role.ROLE_PREFILL).setBornMs(9_000).setSequence(1));
+        advance(50);
+        assertThat(lastPublished("u").getRole()).isEqualTo(Role.ROLE_PREFILL);
+        assertThat(lastPublished("u").getLeaving()).isFalse();
+        assertThat(lastPublished("u").getDeleted()).isFalse();
+        sendHeartbeat(upstream("u", Role.ROLE_DECODE).setBornMs(1_000).setSequence(51));
+        advance(50);
+        assertThat(lastPublished("u").getBornMs()).isEqualTo(9_000);
     }
 
     /*
-     * An engine said that it is gone, and starts again under its name. It gets no request for a minute, as the word
-     * that it is gone stands; a heartbeat of the start that is gone must still change nothing.
+     * An engine that announced its deletion restarts under its name and gets no request for a minute, as it still
+     * counts as deleted. A heartbeat of the deleted incarnation must still be ignored.
      */
     @Example
-    void anUpstreamThatIsGoneComesBackWithALaterStartOnly() {
-        beat(upstream("u", Role.ROLE_DECODE).setBornMs(1_000).setSequence(1));
+    void aDeletedUpstreamReturnsOnlyWithALaterIncarnation() {
+        sendHeartbeat(upstream("u", Role.ROLE_DECODE).setBornMs(1_000).setSequence(1));
         subscribe();
-        beat(UpstreamBeat.newBuilder().setName("u").setDeleted(true));
-        beat(upstream("u", Role.ROLE_DECODE).setBornMs(1_000).setSequence(9));
-        pass(50);
-        assertThat(told("u").getDeleted()).isTrue();
-        beat(upstream("u", Role.ROLE_DECODE).setBornMs(9_000).setSequence(1));
-        pass(50);
-        assertThat(told("u").getDeleted()).isFalse();
+        sendHeartbeat(UpstreamBeat.newBuilder().setName("u").setDeleted(true));
+        sendHeartbeat(upstream("u", Role.ROLE_DECODE).setBornMs(1_000).setSequence(9));
+        advance(50);
+        assertThat(lastPublished("u").getDeleted()).isTrue();
+        sendHeartbeat(upstream("u", Role.ROLE_DECODE).setBornMs(9_000).setSequence(1));
+        advance(50);
+        assertThat(lastPublished("u").getDeleted()).isFalse();
     }
 
     /*
-     * A control process that was just restarted acknowledges that an engine is gone, then hears a heartbeat that the
-     * engine had sent before, and has it given requests again. It never heard of the engine, so that it can't tell the
-     * start that is gone: any that began before the word counts as gone.
+     * A restarted control process acknowledges the deletion of an engine, then receives an earlier heartbeat of the
+     * engine, and requests are sent to it again. The process does not know which incarnation was deleted, so every
+     * incarnation that started before the deletion must count as deleted.
      */
     @Example
-    void theWordThatAnUnknownUpstreamIsGoneHoldsForAllStartsBeforeIt() {
-        give(
+    void theDeletionOfAnUnknownUpstreamCoversAllEarlierIncarnations() {
+        receive(
                 Address.PROCESS,
                 Envelope.newBuilder().setWallClock(WallClock.newBuilder().setEpochMs(5_000)));
         subscribe();
-        beat(UpstreamBeat.newBuilder().setName("u").setDeleted(true));
-        beat(upstream("u", Role.ROLE_DECODE).setBornMs(4_000).setSequence(9));
-        pass(50);
-        assertThat(told("u").getDeleted()).isTrue();
-        beat(upstream("u", Role.ROLE_DECODE).setBornMs(6_000).setSequence(1));
-        pass(50);
-        assertThat(told("u").getDeleted()).isFalse();
+        sendHeartbeat(UpstreamBeat.newBuilder().setName("u").setDeleted(true));
+        sendHeartbeat(upstream("u", Role.ROLE_DECODE).setBornMs(4_000).setSequence(9));
+        advance(50);
+        assertThat(lastPublished("u").getDeleted()).isTrue();
+        sendHeartbeat(upstream("u", Role.ROLE_DECODE).setBornMs(6_000).setSequence(1));
+        advance(50);
+        assertThat(lastPublished("u").getDeleted()).isFalse();
     }
 
-    /* The word that a former start is gone reaches another control process after the new start announced itself. */
+    /* The deletion of a former incarnation reaches another control process after the new one announced itself. */
     @Example
-    void aLateWordThatAFormerStartIsGoneDoesNotEndTheNewOne() {
+    void aLateDeletionOfAFormerIncarnationDoesNotDeleteTheNewOne() {
         subscribe();
-        beat(upstream("u", Role.ROLE_DECODE).setBornMs(9_000).setSequence(1));
-        beat(UpstreamBeat.newBuilder()
+        sendHeartbeat(upstream("u", Role.ROLE_DECODE).setBornMs(9_000).setSequence(1));
+        sendHeartbeat(UpstreamBeat.newBuilder()
                 .setName("u")
                 .setBornMs(1_000)
                 .setDeleted(true)
                 .setPassedOn(true));
-        pass(50);
-        assertThat(told("u").getDeleted()).isFalse();
+        advance(50);
+        assertThat(lastPublished("u").getDeleted()).isFalse();
     }
 
     @Example
-    void anUpstreamThatFellSilentLapsesAndComesBackWithItsNextHeartbeat() {
-        beat(upstream("u", Role.ROLE_DECODE).setSequence(1));
-        passSubscribed(6_000);
-        assertThat(told("u").getLapsed()).isTrue();
-        beat(upstream("u", Role.ROLE_DECODE).setSequence(2));
-        passSubscribed(50);
-        assertThat(told("u").getLapsed()).isFalse();
+    void aSilentUpstreamLapsesAndReturnsWithItsNextHeartbeat() {
+        sendHeartbeat(upstream("u", Role.ROLE_DECODE).setSequence(1));
+        advanceSubscribed(6_000);
+        assertThat(lastPublished("u").getLapsed()).isTrue();
+        sendHeartbeat(upstream("u", Role.ROLE_DECODE).setSequence(2));
+        advanceSubscribed(50);
+        assertThat(lastPublished("u").getLapsed()).isFalse();
     }
 
     /*
-     * Prompts wait while engines that generate are idle: more prompt work is offered than the engines in the prefill
-     * role can take, and for longer than a swing. The leader moves engines, each once, and leaves each
-     * alone for as long as a late order may live.
+     * Prompts wait while decode engines are idle: the offered prompt work exceeds the capacity of the prefill engines
+     * for longer than a fluctuation. The leader must change roles of engines, and order each engine only once within
+     * the time for which a late order may still be applied.
      */
     @Example
-    void rolesFollowTheWorkOfferedAndNoEngineIsOrderedTwiceInARow() {
+    void rolesFollowTheOfferedWorkAndNoEngineIsOrderedTwiceInARow() {
         List<DirectOrder> orders = new ArrayList<>();
         for (int second = 0; second < 26; second++) {
             for (int engine = 0; engine < 6; engine++) {
                 Role role = engine < 2 ? Role.ROLE_PREFILL : Role.ROLE_DECODE;
-                beat(upstream("u" + engine, role).setSequence(second + 1));
+                sendHeartbeat(upstream("u" + engine, role).setSequence(second + 1));
             }
-            // Microseconds: in each second 3.5 engines' time, where two read prompts.
-            offered += second < 4 ? 0 : 3_500_000;
+            // In each second, prompt work for 3.5 engines, where two engines have the prefill role.
+            offeredMicros += second < 4 ? 0 : 3_500_000;
             subscribe();
-            pass(1_000);
+            advance(1_000);
             sent.stream()
                     .filter(Envelope::hasSendDirectOrder)
                     .map(Envelope::getSendDirectOrder)
@@ -302,8 +302,8 @@
                 .setRole(role);
     }
 
-    private void beat(UpstreamBeat.Builder beat) {
-        give(Address.ADMINISTRATORS, Envelope.newBuilder().setUpstreamBeat(beat));
+    private void sendHeartbeat(UpstreamBeat.Builder heartbeat) {
+        receive(Address.ADMINISTRATORS, Envelope.newBuilder().setUpstreamBeat(heartbeat));
     }
 
     private void subscribe() {
@@ -311,10 +311,10 @@
                 .setWantsDirectory(true)
                 .addOffered(OfferedWork.newBuilder()
                         .setModel("s")
-                        .setPrefill(offered)
-                        .setDecode(offered / 50))
+                        .setPrefill(offeredMicros)
+                        .setDecode(offeredMicros / 50))
                 .build();
-        give(ENTRY, Envelope.newBuilder().setSubscribe(subscribe));
+        receive(ENTRY, Envelope.newBuilder().setSubscribe(subscribe));
     }
 
     private Update lastUpdate() {
@@ -325,27 +325,27 @@
                 .orElseThrow();
     }
 
-    private UpstreamBeat told(String name) {
+    private UpstreamBeat lastPublished(String name) {
         return sent.stream()
                 .filter(Envelope::hasUpdate)
                 .map(Envelope::getUpdate)
                 .map(Update::getUpstreamsList)
                 .flatMap(List::stream)
-                .filter(beat -> beat.getName().equals(name))
+                .filter(heartbeat -> heartbeat.getName().equals(name))
                 .reduce((first, second) -> second)
                 .orElseThrow();
     }
 
     private AdminAnswer apply(long version, String text) {
-        return ask(AdminRequest.newBuilder()
+        return sendAdminRequest(AdminRequest.newBuilder()
                 .setConfigApply(
                         ConfigApply.newBuilder().setDeclaredVersion(version).setConfig(ByteString.copyFromUtf8(text))));
     }
 
-    private AdminAnswer ask(AdminRequest.Builder request) {
+    private AdminAnswer sendAdminRequest(AdminRequest.Builder request) {
         sent.clear();
-        give(Address.ADMINISTRATORS, Envelope.newBuilder().setAdminRequest(request.setQuestion(nextQuestion++)));
-        pass(300);
+        receive(Address.ADMINISTRATORS, Envelope.newBuilder().setAdminRequest(request.setQuestion(nextRequestId++)));
+        advance(300);
         return sent.stream()
                 .filter(Envelope::hasAdminAnswer)
                 .findFirst()
@@ -353,20 +353,20 @@
                 .getAdminAnswer();
     }
 
-    private void give(Address from, Envelope.Builder message) {
+    private void receive(Address from, Envelope.Builder message) {
         core.accept(now, message.setFrom(from.value()).build(), out);
         settle();
     }
 
-    private void passSubscribed(long millis) {
-        for (long passed = 0; passed < millis; passed += 500) {
+    private void advanceSubscribed(long millis) {
+        for (long elapsed = 0; elapsed < millis; elapsed += 500) {
             subscribe();
-            pass(Math.min(500, millis - passed));
+            advance(Math.min(500, millis - elapsed));
         }
     }
 
-    private void pass(long millis) {
-        for (long passed = 0; passed < millis; passed += 10) {
+    private void advance(long millis) {
+        for (long elapsed = 0; elapsed < millis; elapsed += 10) {
             now += Durations.nanos(10);
             settle();
         }
@@ -374,7 +374,7 @@
 
     private void settle() {
         core.tick(now, out);
-        for (Envelope message : out.take(any -> true)) {
+        for (Envelope message : out.take(message -> true)) {
             sent.add(message);
             if (message.hasPersist()) {
                 Persisted done = Persisted.newBuilder()
--- a/src/test/java/org/cuminshelf/control/DirectRoleControllerTest.java
+++ b/src/test/java/org/cuminshelf/control/DirectRoleControllerTest.java
@@ -15,119 +15,120 @@
 import org.cuminshelf.message.UpstreamBeat;
 
 /**
- * Roles after engines were lost for good: three engines read prompts and three generate, and the work offered, two and
- * a half engines' worth of reading and two of generating, has been the same for half a minute.
+ * Role changes after engines left permanently. Three engines have the prefill role and three the decode role, and the
+ * offered work has been constant for half a minute: prefill work for 2.5 engines and decode work for two.
  */
 class DirectRoleControllerTest {
 
     private static final Address ENTRY = Address.of("10.0.1.1:7000");
     private static final long STEP_MILLIS = 500;
-    /** Microseconds of one engine's reading in a step. */
-    private static final double READING = 1_000 * STEP_MILLIS;
-    /** Microseconds of one engine's places in a step: 85 of 100 of 64 can be used. */
-    private static final double GENERATING = 54.4 * 1_000 * STEP_MILLIS;
-    /** An order is decided within two looks at the engines, half a second apart, and sent 0.12 s later. */
-    private static final long SOON_MILLIS = 2_000;
+    /** Prefill time of one engine in a step, in microseconds. */
+    private static final double PREFILL_MICROS_PER_STEP = 1_000 * STEP_MILLIS;
+    /** Time of one engine's decode slots in a step, in microseconds: 85 % of 64 slots are usable. */
+    private static final double DECODE_MICROS_PER_STEP = 54.4 * 1_000 * STEP_MILLIS;
+    /** An order is decided within two planning rounds, half a second apart, and sent 0.12 s later. */
+    private static final long MAX_REACTION_MILLIS = 2_000;
 
     private final ControlClusterFixture control = new ControlClusterFixture();
     private final Map<String, Role> engines = new LinkedHashMap<>();
-    /** Engines' worth of work that is offered to each role. */
-    private double readers = 2.5;
+    /** Offered work in multiples of the capacity of one engine. */
+    private double offeredPrefillEngines = 2.5;
 
-    private double generators = 2;
-    private long reading;
-    private long generating;
+    private double offeredDecodeEngines = 2;
+    private long prefillMicros;
+    private long decodeMicros;
     private long sequence;
 
     DirectRoleControllerTest() {
         for (int number = 0; number < 6; number++) {
             engines.put("e" + number, number < 3 ? Role.ROLE_PREFILL : Role.ROLE_DECODE);
         }
-        pass(30_000);
+        advance(30_000);
         assertThat(control.orders).isEmpty();
     }
 
     /*
-     * Callers were refused for 11 s for want of a place, while engines that read prompts had room: two of three engines
-     * that generate had said that they leave. The planner waited, as it does for a mix that may swing back, until all
-     * its waits were over; what says that it leaves doesn't come back.
+     * Two of three decode engines announce that they leave, and callers are rejected for 11 s for lack of decode slots
+     * while prefill engines have spare capacity. The planner waited as it does for a load that may fluctuate back, but
+     * an engine that announced its departure does not return.
      */
     @Example
-    void anEngineMovesAtOnceWhereEnginesSaidThatTheyLeave() {
-        long left = leave("e3", "e4");
-        pass(SOON_MILLIS);
-        assertThat(firstOrderAfter(left).getRole()).isEqualTo(Role.ROLE_DECODE);
+    void aRoleChangesAtOnceIfEnginesAnnouncedThatTheyLeave() {
+        long leftAt = leave("e3", "e4");
+        advance(MAX_REACTION_MILLIS);
+        assertThat(firstOrderAfter(leftAt).getRole()).isEqualTo(Role.ROLE_DECODE);
     }
 
     /*
-     * The same after the leader was killed: its successor had heard of all the work offered, yet began to count when it
-     * began to lead, and moved an engine 18 s later.
+     * The same after the leader was killed: its successor received all reports of offered work, but evaluated them only
+     * from its election on, and changed the role of an engine 18 s later.
      */
     @Example
-    void aNewLeaderKnowsWhatWasOfferedBeforeItLed() {
+    void aNewLeaderKnowsTheWorkOfferedBeforeItsElection() {
         control.kill(control.leader().orElseThrow());
-        pass(4_000);
+        advance(4_000);
         assertThat(control.leader()).isPresent();
-        long left = leave("e3", "e4");
-        pass(SOON_MILLIS);
-        assertThat(firstOrderAfter(left).getRole()).isEqualTo(Role.ROLE_DECODE);
+        long leftAt = leave("e3", "e4");
+        advance(MAX_REACTION_MILLIS);
+        assertThat(firstOrderAfter(leftAt).getRole()).isEqualTo(Role.ROLE_DECODE);
     }
 
     /*
-     * An engine is moved while another is only restarting, and is missed when that one is back: what falls silent may
-     * be back within seconds, so only a word that it leaves is acted on at once.
+     * An engine changes its role while another is only restarting, and is missing in its old role afterwards. A silent
+     * engine may return within seconds, so only an announced departure may cause an immediate change.
      */
     @Example
-    void noEngineMovesAtOnceWhereOthersFellSilent() {
+    void noRoleChangesAtOnceIfEnginesAreSilent() {
         engines.remove("e3");
         engines.remove("e4");
-        pass(10_000);
+        advance(10_000);
         assertThat(control.orders).isEmpty();
     }
 
     /*
-     * Two engines are away at once where one was to follow the other: the leader is lost after it ordered a change, and
-     * its successor orders the next at once, as if none had been ordered for the engines that left.
+     * Two engines change their roles at the same time instead of one after the other: the leader is lost after it
+     * ordered a change, and its successor orders the next at once, as if none had been ordered for the departed
+     * engines.
      */
     @Example
-    void aNewLeaderLeavesTimeAfterAChangeThatAnotherOrdered() {
-        readers = 1;
-        generators = 2.9;
-        pass(30_000);
-        long left = leave("e3", "e4");
-        pass(SOON_MILLIS);
-        assertThat(firstOrderAfter(left).getRole()).isEqualTo(Role.ROLE_DECODE);
-        engines.replace(firstOrderAfter(left).getUpstream(), Role.ROLE_DECODE);
+    void aNewLeaderObservesTheDelayAfterAChangeOrderedByThePreviousLeader() {
+        offeredPrefillEngines = 1;
+        offeredDecodeEngines = 2.9;
+        advance(30_000);
+        long leftAt = leave("e3", "e4");
+        advance(MAX_REACTION_MILLIS);
+        assertThat(firstOrderAfter(leftAt).getRole()).isEqualTo(Role.ROLE_DECODE);
+        engines.replace(firstOrderAfter(leftAt).getUpstream(), Role.ROLE_DECODE);
         control.kill(control.leader().orElseThrow());
-        pass(6_000);
+        advance(6_000);
         assertThat(control.leader()).isPresent();
         assertThat(control.orders).hasSize(1);
     }
 
-    /** Engines say that they leave; returns when. */
+    /** Lets engines announce that they leave, and returns the time in nanoseconds. */
     private long leave(String... names) {
         for (String name : names) {
-            control.giveOne(Address.ADMINISTRATORS, beat(name, engines.remove(name), true));
+            control.sendToAny(Address.ADMINISTRATORS, heartbeat(name, engines.remove(name), true));
         }
         return control.now;
     }
 
     private DirectOrder firstOrderAfter(long since) {
         return control.orders.stream()
-                .filter(order -> order.at() >= since)
+                .filter(order -> order.sentAt() >= since)
                 .findFirst()
-                .orElseThrow(() -> new AssertionError("no order within " + SOON_MILLIS + " ms"))
+                .orElseThrow(() -> new AssertionError("no order within " + MAX_REACTION_MILLIS + " ms"))
                 .order();
     }
 
-    private void pass(long millis) {
-        for (long passed = 0; passed < millis; passed += STEP_MILLIS) {
-            reading += (long) (readers * READING);
-            generating += (long) (generators * GENERATING);
+    private void advance(long millis) {
+        for (long elapsed = 0; elapsed < millis; elapsed += STEP_MILLIS) {
+            prefillMicros += (long) (offeredPrefillEngines * PREFILL_MICROS_PER_STEP);
+            decodeMicros += (long) (offeredDecodeEngines * DECODE_MICROS_PER_STEP);
             sequence++;
-            engines.forEach((name, role) -> control.giveOne(Address.ADMINISTRATORS, beat(name, role, false)));
-            control.giveAll(ENTRY, Envelope.newBuilder().setSubscribe(subscribe()));
-            control.pass(STEP_MILLIS);
+            engines.forEach((name, role) -> control.sendToAny(Address.ADMINISTRATORS, heartbeat(name, role, false)));
+            control.sendToAll(ENTRY, Envelope.newBuilder().setSubscribe(subscribe()));
+            control.advance(STEP_MILLIS);
         }
     }
 
@@ -136,13 +137,13 @@
                 .setWantsDirectory(true)
                 .addAllOffered(List.of(OfferedWork.newBuilder()
                         .setModel("s")
-                        .setPrefill(reading)
-                        .setDecode(generating)
+                        .setPrefill(prefillMicros)
+                        .setDecode(decodeMicros)
                         .build()))
                 .build();
     }
 
-    private Envelope.Builder beat(String name, Role role, boolean leaving) {
+    private Envelope.Builder heartbeat(String name, Role role, boolean leaving) {
         return Envelope.newBuilder()
                 .setUpstreamBeat(UpstreamBeat.newBuilder()
                         .setId(name)
--- a/src/test/java/org/cuminshelf/control/DirectUpstreamRegistryTest.java
+++ b/src/test/java/org/cuminshelf/control/DirectUpstreamRegistryTest.java
@@ -9,68 +9,68 @@
 import org.cuminshelf.message.Role;
 import org.cuminshelf.message.UpstreamBeat;
 
-/** Engines that change their roles while control is not there. */
+/** Engines that change their roles while no control process is running. */
 class DirectUpstreamRegistryTest {
 
-    private static final long CHANGE_TAKES = Durations.nanos(6_000);
+    private static final long CHANGE_TIMEOUT_NANOS = Durations.nanos(6_000);
 
     private final DirectUpstreamRegistry registry = new DirectUpstreamRegistry(new SidecarDirectory(1));
     private long now = Durations.nanos(10_000);
     private long sequence;
 
     /*
-     * Everything loses power while an engine changes its role, and half of what is asked for in the two seconds after
-     * is refused: control reads the order in its log before it hears the engine again, forgets it, and entries send
-     * whatever comes to an engine that looks idle and takes nothing.
+     * All processes lose power while an engine changes its role, and half of the requests in the two seconds after are
+     * rejected: control reads the order from its log before it receives a heartbeat of the engine, discards the pending
+     * change, and entries send requests to an engine that appears idle but accepts none.
      */
     @Example
-    void anEngineThatIsHeardAfterItsOrderWasReadIsChangingStill() {
-        registry.changing("u", Role.ROLE_PREFILL, now + CHANGE_TAKES);
-        beat(Role.ROLE_DECODE, 1_000);
+    void anEngineIsStillChangingIfItsHeartbeatArrivesAfterTheOrder() {
+        registry.markChanging("u", Role.ROLE_PREFILL, now + CHANGE_TIMEOUT_NANOS);
+        sendHeartbeat(Role.ROLE_DECODE, 1_000);
         assertThat(isChanging()).isTrue();
-        pass(1_000);
-        beat(Role.ROLE_DECODE, 1_000);
+        advance(1_000);
+        sendHeartbeat(Role.ROLE_DECODE, 1_000);
         assertThat(isChanging()).isTrue();
-        beat(Role.ROLE_PREFILL, 1_000);
+        sendHeartbeat(Role.ROLE_PREFILL, 1_000);
         assertThat(isChanging()).isFalse();
     }
 
     @Example
-    void anOrderThatIsNeverCarriedOutIsGivenUp() {
-        registry.changing("u", Role.ROLE_PREFILL, now + CHANGE_TAKES);
-        beat(Role.ROLE_DECODE, 1_000);
+    void aChangeThatNeverCompletesExpires() {
+        registry.markChanging("u", Role.ROLE_PREFILL, now + CHANGE_TIMEOUT_NANOS);
+        sendHeartbeat(Role.ROLE_DECODE, 1_000);
         for (int second = 0; second < 7; second++) {
-            pass(1_000);
-            beat(Role.ROLE_DECODE, 1_000);
+            advance(1_000);
+            sendHeartbeat(Role.ROLE_DECODE, 1_000);
         }
         assertThat(isChanging()).isFalse();
     }
 
     @Example
-    void aLaterStartDoesNotWaitForTheOrderOfTheFormer() {
-        beat(Role.ROLE_DECODE, 1_000);
-        registry.changing("u", Role.ROLE_PREFILL, now + CHANGE_TAKES);
+    void aNewIncarnationIsNotChangingByAnOrderToThePreviousOne() {
+        sendHeartbeat(Role.ROLE_DECODE, 1_000);
+        registry.markChanging("u", Role.ROLE_PREFILL, now + CHANGE_TIMEOUT_NANOS);
         assertThat(isChanging()).isTrue();
-        beat(Role.ROLE_DECODE, 9_000);
+        sendHeartbeat(Role.ROLE_DECODE, 9_000);
         assertThat(isChanging()).isFalse();
     }
 
-    private void beat(Role role, long bornMillis) {
-        UpstreamBeat beat = UpstreamBeat.newBuilder()
+    private void sendHeartbeat(Role role, long bornMillis) {
+        UpstreamBeat heartbeat = UpstreamBeat.newBuilder()
                 .setName("u")
                 .setBornMs(bornMillis)
                 .setService("s")
                 .setSequence(++sequence)
                 .setRole(role)
                 .build();
-        registry.onBeat(now, 0, beat, List.of(), new RecordingOutbox());
+        registry.onHeartbeat(now, 0, heartbeat, List.of(), new RecordingOutbox());
     }
 
     private boolean isChanging() {
-        return registry.row("u").orElseThrow().getChanging();
+        return registry.find("u").orElseThrow().getChanging();
     }
 
-    private void pass(long millis) {
+    private void advance(long millis) {
         now += Durations.nanos(millis);
         registry.tick(now);
     }
--- a/src/test/java/org/cuminshelf/control/QuarantineManagerTest.java
+++ b/src/test/java/org/cuminshelf/control/QuarantineManagerTest.java
@@ -19,12 +19,12 @@
 import org.cuminshelf.message.Update;
 import org.cuminshelf.message.UpstreamCrash;
 
-/** What control does with poison requests that entries tell of. */
+/** Crash reports and quarantined requests that entries send to control. */
 class QuarantineManagerTest {
 
-    private static final Address FINDER = Address.of("10.0.1.1:7000");
+    private static final Address REPORTER = Address.of("10.0.1.1:7000");
     private static final Address OTHER = Address.of("10.0.1.2:7000");
-    private static final Address LATE = Address.of("10.0.1.3:7000");
+    private static final Address LATE_SUBSCRIBER = Address.of("10.0.1.3:7000");
 
     private final ControlClusterFixture control = new ControlClusterFixture();
 
@@ -49,8 +49,8 @@
                 .build();
     }
 
-    private void settle() {
-        control.pass(3_000);
+    private void electLeader() {
+        control.advance(3_000);
         assertThat(control.leader()).isPresent();
     }
 
@@ -61,58 +61,60 @@
                 .toList();
     }
 
-    private AdminAnswer ask(Address process, AdminRequest.Builder request) {
-        control.give(process, Address.ADMINISTRATORS, Envelope.newBuilder().setAdminRequest(request.setQuestion(5)));
-        control.pass(500);
+    private AdminAnswer sendAdminRequest(Address process, AdminRequest.Builder request) {
+        control.sendTo(process, Address.ADMINISTRATORS, Envelope.newBuilder().setAdminRequest(request.setQuestion(5)));
+        control.advance(500);
         return control.takeSent(Address.ADMINISTRATORS).getLast().getAdminAnswer();
     }
 
     @Example
-    void aCrashThatOneEntryTellsOfIsToldToTheOthersAtOnce() {
-        settle();
-        control.giveAll(OTHER, Envelope.newBuilder().setSubscribe(subscribe()));
-        control.pass(100);
+    void aCrashReportedByOneEntryIsSentToTheOthersAtOnce() {
+        electLeader();
+        control.sendToAll(OTHER, Envelope.newBuilder().setSubscribe(subscribe()));
+        control.advance(100);
         updates(OTHER);
-        control.giveAll(FINDER, Envelope.newBuilder().setSubscribe(subscribe().addCrashes(crash())));
-        control.pass(50);
+        control.sendToAll(
+                REPORTER, Envelope.newBuilder().setSubscribe(subscribe().addCrashes(crash())));
+        control.advance(50);
         assertThat(updates(OTHER)).anyMatch(update -> update.getCrashesList().contains(crash()));
     }
 
     /*
-     * A poison request is known to some entries only: the control process that had heard of it restarted, and nobody
-     * told it again, as all had told it once.
+     * A poison request is known to some entries only: the control process that received its report restarted, and no
+     * entry sent the report again, as each had already sent it once.
      */
     @Example
-    void whatAnEntryToldAFormerLifeIsAskedForAgain() {
-        settle();
-        control.giveAll(
-                FINDER,
+    void reportsSentToAPreviousIncarnationAreRequestedAgain() {
+        electLeader();
+        control.sendToAll(
+                REPORTER,
                 Envelope.newBuilder().setSubscribe(subscribe().setPoisonSince(7).setPoisonVersion(9)));
-        control.pass(50);
-        assertThat(updates(FINDER)).isNotEmpty().allMatch(update -> update.getPoisonHeard() == 0);
-        control.giveAll(
-                FINDER,
+        control.advance(50);
+        assertThat(updates(REPORTER)).isNotEmpty().allMatch(update -> update.getPoisonHeard() == 0);
+        control.sendToAll(
+                REPORTER,
                 Envelope.newBuilder().setSubscribe(subscribe().setPoisonSince(0).setPoisonVersion(9)));
-        control.pass(50);
-        assertThat(updates(FINDER)).isNotEmpty().allMatch(update -> update.getPoisonHeard() == 9);
+        control.advance(50);
+        assertThat(updates(REPORTER)).isNotEmpty().allMatch(update -> update.getPoisonHeard() == 9);
     }
 
     @Example
-    void aQuarantinedRequestIsWrittenDownAndToldToEntriesThatComeLater() {
-        settle();
-        control.giveAll(FINDER, Envelope.newBuilder().setSubscribe(subscribe().addQuarantined(quarantined())));
-        control.pass(500);
-        control.giveOne(LATE, Envelope.newBuilder().setSubscribe(subscribe()));
-        control.pass(50);
-        assertThat(updates(LATE).getFirst().getQuarantinedList()).hasSize(1);
-        assertThat(control.quarantineWrittenDown()).hasSize(3).allMatch(rows -> rows.size() == 1);
+    void aQuarantinedRequestIsPersistedAndSentToLaterSubscribers() {
+        electLeader();
+        control.sendToAll(
+                REPORTER, Envelope.newBuilder().setSubscribe(subscribe().addQuarantined(quarantined())));
+        control.advance(500);
+        control.sendToAny(LATE_SUBSCRIBER, Envelope.newBuilder().setSubscribe(subscribe()));
+        control.advance(50);
+        assertThat(updates(LATE_SUBSCRIBER).getFirst().getQuarantinedList()).hasSize(1);
+        assertThat(control.persistedQuarantines()).hasSize(3).allMatch(requests -> requests.size() == 1);
     }
 
     /*
-     * A poison request ends three more upstreams: control came back from a snapshot, which had left the quarantine out.
+     * A poison request crashes three more upstreams, because control restarted from a snapshot without the quarantine.
      */
     @Example
-    void aSnapshotHoldsTheQuarantine() {
+    void aSnapshotContainsTheQuarantine() {
         GlobalStateMachine machine = new GlobalStateMachine();
         machine.apply(
                 LogEntry.newBuilder().setIndex(4).setQuarantined(quarantined()).build());
@@ -123,11 +125,13 @@
 
     @Example
     void anOperatorReleasesARequestThroughAnyControlProcess() {
-        settle();
-        control.giveAll(FINDER, Envelope.newBuilder().setSubscribe(subscribe().addQuarantined(quarantined())));
-        control.pass(500);
+        electLeader();
+        control.sendToAll(
+                REPORTER, Envelope.newBuilder().setSubscribe(subscribe().addQuarantined(quarantined())));
+        control.advance(500);
         for (Address process : control.processes()) {
-            AdminAnswer list = ask(process, AdminRequest.newBuilder().setQuarantineList(QuarantineList.newBuilder()));
+            AdminAnswer list =
+                    sendAdminRequest(process, AdminRequest.newBuilder().setQuarantineList(QuarantineList.newBuilder()));
             assertThat(list.getQuarantinedList()).hasSize(1);
         }
         Address follower = control.processes().stream()
@@ -140,13 +144,13 @@
                         .setLow(2)
                         .setAuthor("ada")
                         .setReason("engine mended"));
-        assertThat(ask(follower, release).getResult()).isEqualTo(AdminResult.ADMIN_DONE);
-        control.giveOne(LATE, Envelope.newBuilder().setSubscribe(subscribe()));
-        control.pass(50);
-        QuarantinedRequest told = updates(LATE).getFirst().getQuarantined(0);
-        assertThat(told.getReleased()).isTrue();
-        assertThat(told.getReleasedBy()).isEqualTo("ada");
-        assertThat(told.getReason()).isEqualTo("engine mended");
-        assertThat(ask(follower, release).getResult()).isEqualTo(AdminResult.ADMIN_UNKNOWN);
+        assertThat(sendAdminRequest(follower, release).getResult()).isEqualTo(AdminResult.ADMIN_DONE);
+        control.sendToAny(LATE_SUBSCRIBER, Envelope.newBuilder().setSubscribe(subscribe()));
+        control.advance(50);
+        QuarantinedRequest published = updates(LATE_SUBSCRIBER).getFirst().getQuarantined(0);
+        assertThat(published.getReleased()).isTrue();
+        assertThat(published.getReleasedBy()).isEqualTo("ada");
+        assertThat(published.getReason()).isEqualTo("engine mended");
+        assertThat(sendAdminRequest(follower, release).getResult()).isEqualTo(AdminResult.ADMIN_UNKNOWN);
     }
 }
--- a/src/test/java/org/cuminshelf/control/SidecarRoleControllerTest.java
+++ b/src/test/java/org/cuminshelf/control/SidecarRoleControllerTest.java
@@ -16,7 +16,7 @@
 import org.cuminshelf.message.Role;
 import org.cuminshelf.message.Subscribe;
 
-/** Roles of engines that have sidecars, planned by three control processes. */
+/** Role changes of engines that have sidecars, planned by three control processes. */
 class SidecarRoleControllerTest {
 
     private static final Address ENTRY = Address.of("10.0.1.1:7000");
@@ -25,27 +25,27 @@
     private static final String CONFIG = "{\"models\":{\"m\":{\"prefill-per-second\":1000,\"decode-per-second\":1000}},"
             + "\"planning\":{\"enabled\":true}}";
 
-    private final ControlClusterFixture control = ControlClusterFixture.withRegion();
-    private long prompts;
-    private long outputs;
+    private final ControlClusterFixture control = ControlClusterFixture.withRegionGroup();
+    private long promptTokenCount;
+    private long outputTokenCount;
 
     /*
-     * Prompts wait for each other at two engines while four have next to nothing to do. The leader is lost just as the
-     * mix has moved, and its successor begins to look at the mix when it begins to lead: for 5 s it plans nothing.
+     * Prompts queue at two engines while four are almost idle. The leader is lost just after the load changed, and its
+     * successor observes the load only from its election on, so that it plans nothing for 5 s.
      */
     @Example
-    void aNewLeaderKnowsTheMixBeforeItLed() {
-        pass(4_000, 0, 0);
+    void aNewLeaderKnowsTheLoadFromBeforeItsElection() {
+        advance(4_000, 0, 0);
         apply();
-        pass(12_000, 1_000, 1_000);
+        advance(12_000, 1_000, 1_000);
         assertThat(control.sidecarOrders).isEmpty();
-        control.kill(control.leader(ControlClusterFixture.REGION).orElseThrow());
-        int waited = 0;
-        while (control.leader(ControlClusterFixture.REGION).isEmpty() && waited < 10_000) {
-            pass(STEP_MILLIS, 4_000, 0);
-            waited += STEP_MILLIS;
+        control.kill(control.leader(ControlClusterFixture.REGION_GROUP).orElseThrow());
+        int waitedMillis = 0;
+        while (control.leader(ControlClusterFixture.REGION_GROUP).isEmpty() && waitedMillis < 10_000) {
+            advance(STEP_MILLIS, 4_000, 0);
+            waitedMillis += STEP_MILLIS;
         }
-        pass(4_000, 4_000, 0);
+        advance(4_000, 4_000, 0);
         assertThat(control.sidecarOrders).isNotEmpty();
         assertThat(control.sidecarOrders.getFirst().getOrder().getBody().getChangeRole())
                 .isEqualTo(Role.ROLE_PREFILL);
@@ -57,7 +57,7 @@
                 .setConfig(config)
                 .setHash(MergedConfig.hash(config.toByteArray()))
                 .build();
-        control.give(
+        control.sendTo(
                 control.leader().orElseThrow(),
                 Address.ADMINISTRATORS,
                 Envelope.newBuilder()
@@ -65,23 +65,23 @@
                                 AdminRequest.newBuilder().setQuestion(1).setConfigApply(apply)));
     }
 
-    /** Lets time pass in which so many tokens of prompts and of output are offered in a second. */
-    private void pass(int millis, long promptTokens, long outputTokens) {
-        for (int passed = 0; passed < millis; passed += STEP_MILLIS) {
-            prompts += promptTokens * STEP_MILLIS / 1_000;
-            outputs += outputTokens * STEP_MILLIS / 1_000;
+    /** Advances the time while prompt and output tokens are offered at the given rates. */
+    private void advance(int millis, long promptTokensPerSecond, long outputTokensPerSecond) {
+        for (int elapsed = 0; elapsed < millis; elapsed += STEP_MILLIS) {
+            promptTokenCount += promptTokensPerSecond * STEP_MILLIS / 1_000;
+            outputTokenCount += outputTokensPerSecond * STEP_MILLIS / 1_000;
             for (int engine = 1; engine <= ENGINES; engine++) {
                 announce(engine);
             }
             OfferedWork offered = OfferedWork.newBuilder()
                     .setModel("m")
-                    .setPrefill(prompts)
-                    .setDecode(outputs)
+                    .setPrefill(promptTokenCount)
+                    .setDecode(outputTokenCount)
                     .build();
             Subscribe subscribe =
                     Subscribe.newBuilder().addAllOffered(List.of(offered)).build();
-            control.giveAll(ENTRY, Envelope.newBuilder().setSubscribe(subscribe));
-            control.pass(STEP_MILLIS);
+            control.sendToAll(ENTRY, Envelope.newBuilder().setSubscribe(subscribe));
+            control.advance(STEP_MILLIS);
         }
     }
 
@@ -95,7 +95,7 @@
                 .setVm("engine-" + engine)
                 .setLoad(load)
                 .build();
-        control.giveAll(
+        control.sendToAll(
                 Address.of("10.0.2." + engine + ":7000"),
                 Envelope.newBuilder().setIncarnation(9).setAnnounce(announce));
     }
--- a/src/test/java/org/cuminshelf/control/SubscriberTableTest.java
+++ b/src/test/java/org/cuminshelf/control/SubscriberTableTest.java
@@ -8,14 +8,14 @@
 import org.cuminshelf.message.OfferedWork;
 import org.cuminshelf.message.Subscribe;
 
-/** The sum of what entries were offered, as one control process keeps it. */
+/** The sums of offered work and the versions that one control process keeps of its subscribers. */
 class SubscriberTableTest {
 
     private static final Address ENTRY = Address.of("10.0.1.1:7000");
     private final SubscriberTable subscribers = new SubscriberTable();
     private long now;
 
-    private void tell(long prefill) {
+    private void report(long prefill) {
         now += Durations.nanos(500);
         Subscribe subscribe = Subscribe.newBuilder()
                 .addOffered(OfferedWork.newBuilder().setModel("m").setPrefill(prefill))
@@ -25,37 +25,39 @@
     }
 
     /*
-     * A control process that was killed comes back and takes all that its entries were offered in the last hour for the
-     * work of one moment: a hundred engines seem to be wanted, for as long as its forecast remembers.
+     * A restarted control process counts all work that entries were offered in the last hour as offered at once: a
+     * hundred engines appear to be needed for as long as the forecast covers that moment.
      */
     @Example
-    void whatAnEntryWasOfferedBeforeItWasHeardOfIsNoWorkOfThisMoment() {
-        tell(3_600_000_000L);
+    void workOfferedBeforeTheFirstReportIsNotCounted() {
+        report(3_600_000_000L);
         assertThat(subscribers.demand("m").prefill()).isZero();
-        tell(3_601_000_000L);
+        report(3_601_000_000L);
         assertThat(subscribers.demand("m").prefill()).isEqualTo(1_000_000L);
     }
 
     /*
-     * A poison request ends more upstreams than it must: what an entry saw after its restart was never heard. It comes
-     * back at its address within the lease of its former life, control says that it has heard far more changes than the
-     * entry ever made, and the entry tells only what comes after those. Cause: the count of changes heard belonged to
-     * the address, not to the start.
+     * A poison request crashes more upstreams than necessary, because the crash reports of a restarted entry are lost.
+     * The entry returns at its address within the lease of its previous incarnation. Control confirms a higher version
+     * than the entry has reached, because it kept the version by address and not by incarnation, and the entry sends
+     * only later changes.
      */
     @Example
-    void ofAnEntryThatWasRestartedNothingIsHeardYet() {
+    void thePoisonVersionOfARestartedEntryStartsAnew() {
         now += Durations.nanos(500);
         Subscribe before = Subscribe.newBuilder().setPoisonVersion(40).build();
-        assertThat(subscribers.onSubscribe(now, ENTRY, 1, before).poisonHeard).isEqualTo(40);
+        assertThat(subscribers.onSubscribe(now, ENTRY, 1, before).receivedPoisonVersion)
+                .isEqualTo(40);
         Subscribe after = Subscribe.newBuilder().setPoisonVersion(1).build();
-        assertThat(subscribers.onSubscribe(now, ENTRY, 2, after).poisonHeard).isEqualTo(1);
+        assertThat(subscribers.onSubscribe(now, ENTRY, 2, after).receivedPoisonVersion)
+                .isEqualTo(1);
     }
 
     @Example
-    void anEntryThatWasRestartedCountsAnew() {
-        tell(0);
-        tell(5_000_000);
-        tell(1_000_000);
+    void theCountersOfARestartedEntryStartAnew() {
+        report(0);
+        report(5_000_000);
+        report(1_000_000);
         assertThat(subscribers.demand("m").prefill()).isEqualTo(6_000_000L);
     }
 }
--- a/src/test/java/org/cuminshelf/control/UsageReporterTest.java
+++ b/src/test/java/org/cuminshelf/control/UsageReporterTest.java
@@ -14,30 +14,34 @@
 import org.cuminshelf.message.UsageWindow;
 import org.cuminshelf.message.WallClock;
 
-/** Who reports usage to the platform, when, and what. */
+/** Which process reports usage to the platform, when, and with which counts. */
 class UsageReporterTest {
 
     private static final List<Address> ENTRIES =
             List.of(Address.of("10.0.1.1:7000"), Address.of("10.0.1.2:7000"), Address.of("10.0.1.3:7000"));
 
-    private ControlClusterFixture control = ControlClusterFixture.withUsage();
+    private ControlClusterFixture control = ControlClusterFixture.withUsageReports();
     private long version;
 
-    /** All entries tell their counts of a window, for as long as entries do; the lists say up to where each is. */
-    private void tell(long millis, long window, int count, long... until) {
-        for (long passed = 0; passed < millis; passed += 500) {
+    /**
+     * Lets entries send their counts of a window for some time.
+     *
+     * @param usageUntil for each sending entry, the first window whose counts are not complete yet
+     */
+    private void subscribe(long millis, long window, int count, long... usageUntil) {
+        for (long elapsed = 0; elapsed < millis; elapsed += 500) {
             version++;
-            for (int index = 0; index < until.length; index++) {
-                control.giveAll(
+            for (int index = 0; index < usageUntil.length; index++) {
+                control.sendToAll(
                         ENTRIES.get(index),
                         Envelope.newBuilder()
                                 .setSubscribe(Subscribe.newBuilder()
                                         .setWantsDirectory(true)
                                         .setUsageVersion(version)
-                                        .setUsageUntil(until[index])
+                                        .setUsageUntil(usageUntil[index])
                                         .addUsage(counts(window, count))));
             }
-            control.pass(500);
+            control.advance(500);
         }
     }
 
@@ -49,7 +53,7 @@
     }
 
     private void acknowledge(Address holder, long window) {
-        control.give(
+        control.sendTo(
                 holder,
                 Address.ORDERS,
                 Envelope.newBuilder()
@@ -58,134 +62,136 @@
     }
 
     @Example
-    void aWindowIsReportedOnceAllEntriesHaveToldAllOfIt() {
-        tell(5_000, 5, 2, 5, 5);
+    void aWindowIsReportedOnceItsCountsAreComplete() {
+        subscribe(5_000, 5, 2, 5, 5);
         assertThat(control.reports).isEmpty();
-        tell(1_000, 5, 3, 6, 6);
+        subscribe(1_000, 5, 3, 6, 6);
         ControlClusterFixture.SentReport first = control.reports.getFirst();
         assertThat(first.report().getUsage()).isEqualTo(counts(5, 6));
         assertThat(control.leader()).hasValue(first.holder());
         acknowledge(first.holder(), 5);
-        control.pass(100);
+        control.advance(100);
         control.reports.clear();
-        tell(5_000, 6, 1, 6, 6);
+        subscribe(5_000, 6, 1, 6, 6);
         assertThat(control.reports).isEmpty();
     }
 
-    /* Usage is never reported: one entry was cut off, and control waits for its word for good. */
+    /* Usage is never reported, because one entry is disconnected and control waits for its counts forever. */
     @Example
-    void anEntryThatTellsNothingMoreIsWaitedForOnlySoLong() {
-        tell(5_000, 5, 2, 6, 6, 5);
-        tell(3_000, 5, 2, 6, 6, 5);
+    void aSilentEntryIsAwaitedOnlyForALimitedTime() {
+        subscribe(5_000, 5, 2, 6, 6, 5);
+        subscribe(3_000, 5, 2, 6, 6, 5);
         assertThat(control.reports).isNotEmpty();
     }
 
     /*
-     * Usage of a window is reported twice with different counts: the holder ends after it sent the report, more words
-     * of entries arrive, and the next holder reports what it has heard by then.
+     * Usage of a window is reported twice with different counts: the holder stops after it sent the report, further
+     * counts of entries arrive, and the next holder reports the counts it has received by then.
      */
     @Example
-    void theNextHolderReportsTheSameCountsUnderAHigherNumberAndNotAtOnce() {
-        tell(5_000, 5, 2, 5, 5);
-        tell(1_000, 5, 2, 6, 6);
+    void theNextHolderReportsTheSameCountsWithAHigherNumberAfterTheLease() {
+        subscribe(5_000, 5, 2, 5, 5);
+        subscribe(1_000, 5, 2, 6, 6);
         ControlClusterFixture.SentReport first = control.reports.getLast();
         control.kill(first.holder());
         control.reports.clear();
-        tell(8_000, 5, 9, 6, 6);
+        subscribe(8_000, 5, 9, 6, 6);
         ControlClusterFixture.SentReport next = control.reports.getFirst();
         assertThat(next.holder()).isNotEqualTo(first.holder());
         assertThat(next.report().getUsage()).isEqualTo(first.report().getUsage());
         assertThat(next.report().getNumber()).isGreaterThan(first.report().getNumber());
-        assertThat(next.at() - first.at()).isGreaterThan(Durations.nanos(ControlClusterFixture.LEASE_MILLIS));
+        assertThat(next.sentAt() - first.sentAt()).isGreaterThan(Durations.nanos(ControlClusterFixture.LEASE_MILLIS));
     }
 
-    /* The platform's answer is lost, or it is busy: the same is sent again, and no window is left out. */
+    /* The platform is busy or its answer is lost. The same report must be sent again, and no window omitted. */
     @Example
-    void aReportWithoutAnAcknowledgementIsSentAgainUnchanged() {
-        tell(5_000, 5, 2, 5, 5);
-        tell(4_000, 5, 2, 6, 6);
+    void anUnacknowledgedReportIsSentAgainUnchanged() {
+        subscribe(5_000, 5, 2, 5, 5);
+        subscribe(4_000, 5, 2, 6, 6);
         assertThat(control.reports).hasSizeGreaterThan(2);
         assertThat(control.reports)
                 .allSatisfy(sent -> assertThat(sent.report().getUsage()).isEqualTo(counts(5, 4)));
     }
 
-    /* After an outage windows are reported one after the other, without a pause once one is acknowledged. */
+    /* After an outage, the next window must be reported as soon as the previous one is acknowledged. */
     @Example
-    void windowsThatWaitFollowEachOtherAtOnce() {
-        tell(5_000, 5, 2, 5, 5);
-        tell(500, 6, 1, 7, 7);
+    void pendingWindowsAreReportedWithoutDelay() {
+        subscribe(5_000, 5, 2, 5, 5);
+        subscribe(500, 6, 1, 7, 7);
         ControlClusterFixture.SentReport first = control.reports.getLast();
         control.reports.clear();
         acknowledge(first.holder(), 5);
-        control.pass(200);
+        control.advance(200);
         assertThat(control.reports).hasSize(1);
         assertThat(control.reports.getFirst().report().getUsage()).isEqualTo(counts(6, 2));
     }
 
-    /** Guards against calls beyond what the platform states to take, when windows are made up for after an outage. */
+    /* Reporting the missed windows after an outage must not exceed the platform's rate limit. */
     @Example
-    void windowsThatWaitFollowEachOtherNoFasterThanThePlatformTakesCalls() {
-        control = ControlClusterFixture.withUsage(OptionalDouble.of(0.5));
-        tell(5_000, 5, 2, 5, 5);
-        tell(500, 6, 1, 7, 7);
+    void pendingWindowsAreReportedWithinThePlatformsRateLimit() {
+        control = ControlClusterFixture.withUsageReports(OptionalDouble.of(0.5));
+        subscribe(5_000, 5, 2, 5, 5);
+        subscribe(500, 6, 1, 7, 7);
         ControlClusterFixture.SentReport first = control.reports.getLast();
         control.reports.clear();
         acknowledge(first.holder(), 5);
-        control.pass(2_100);
+        control.advance(2_100);
         assertThat(control.reports).isNotEmpty();
-        assertThat(control.reports.getFirst().at() - first.at()).isGreaterThanOrEqualTo(Durations.nanos(2_000));
+        assertThat(control.reports.getFirst().sentAt() - first.sentAt()).isGreaterThanOrEqualTo(Durations.nanos(2_000));
     }
 
-    /* The next holder need not report what was acknowledged: that is in the log. */
+    /* An acknowledgement is in the log, so the next holder must not report the window again. */
     @Example
-    void whatWasAcknowledgedIsNotReportedByTheNextHolder() {
-        tell(5_000, 5, 2, 5, 5);
-        tell(500, 5, 2, 6, 6);
+    void anAcknowledgedWindowIsNotReportedByTheNextHolder() {
+        subscribe(5_000, 5, 2, 5, 5);
+        subscribe(500, 5, 2, 6, 6);
         Address holder = control.reports.getFirst().holder();
         acknowledge(holder, 5);
-        control.pass(200);
+        control.advance(200);
         control.kill(holder);
         control.reports.clear();
-        tell(8_000, 6, 1, 6, 6);
+        subscribe(8_000, 6, 1, 6, 6);
         assertThat(control.reports).isEmpty();
     }
 
     /*
-     * A holder was suspended and its monotonic clock with it. It believes in its lease, and sends a report after its
-     * successor did. Its clocks no longer agree, which voids the lease until others answer it again.
+     * The VM of a holder is suspended, and its monotonic clock stops. The holder still considers its lease valid, and
+     * sends a report after its successor did. As its clocks have diverged, the lease must be invalid until the other
+     * processes answer again.
      */
     @Example
-    void aHolderWhoseVmStoodStillReportsNothingUntilItIsHeardAgain() {
-        assertThat(reportsWithin(false)).as("its lease holds").isNotEmpty();
-        assertThat(reportsWithin(true)).as("its clocks moved apart").isEmpty();
+    void aHolderWhoseVmWasSuspendedReportsNothingUntilItsLeaseIsRenewed() {
+        assertThat(reportsWithinLease(false)).as("the lease is valid").isNotEmpty();
+        assertThat(reportsWithinLease(true)).as("the clocks have diverged").isEmpty();
     }
 
-    /** What a holder sends again within its lease, once the others are gone and its clocks moved apart or not. */
-    private List<ControlClusterFixture.SentReport> reportsWithin(boolean jumped) {
-        control = ControlClusterFixture.withUsage();
-        tell(5_000, 5, 2, 5, 5);
-        tell(500, 5, 2, 6, 6);
+    /** Returns the reports that a holder resends within its lease after the others stopped. */
+    private List<ControlClusterFixture.SentReport> reportsWithinLease(boolean jumped) {
+        control = ControlClusterFixture.withUsageReports();
+        subscribe(5_000, 5, 2, 5, 5);
+        subscribe(500, 5, 2, 6, 6);
         ControlClusterFixture.SentReport first = control.reports.getLast();
-        long justBeforeTheNextTry = first.at() + Durations.nanos(900);
-        control.pass(Durations.millis(justBeforeTheNextTry - control.now));
+        long justBeforeNextSend = first.sentAt() + Durations.nanos(900);
+        control.advance(Durations.millis(justBeforeNextSend - control.now));
         control.reports.clear();
         control.processes().stream()
                 .filter(process -> !process.equals(first.holder()))
                 .forEach(control::kill);
         if (jumped) {
             WallClock.Builder clock = WallClock.newBuilder().setEpochMs(9_000).setJumped(true);
-            control.give(first.holder(), Address.PROCESS, Envelope.newBuilder().setWallClock(clock));
+            control.sendTo(
+                    first.holder(), Address.PROCESS, Envelope.newBuilder().setWallClock(clock));
         }
-        control.pass(200);
+        control.advance(200);
         return control.reports;
     }
 
-    /** What a report may be written until is the end of the lease under which it was decided. */
+    /* The write deadline of a report must be the end of the lease under which it was sent. */
     @Example
     void aReportMayBeWrittenOnlyUnderTheLease() {
-        tell(5_000, 5, 2, 5, 5);
-        tell(1_000, 5, 2, 6, 6);
+        subscribe(5_000, 5, 2, 5, 5);
+        subscribe(1_000, 5, 2, 6, 6);
         ControlClusterFixture.SentReport first = control.reports.getFirst();
-        assertThat(first.report().getWriteUntilNs() - first.at()).isBetween(1L, Durations.nanos(450));
+        assertThat(first.report().getWriteUntilNs() - first.sentAt()).isBetween(1L, Durations.nanos(450));
     }
 }
