--- a/src/main/java/org/cuminshelf/control/ControlCore.java
+++ b/src/main/java/org/cuminshelf/control/ControlCore.java
@@ -57,6 +57,7 @@
      */
     private record PendingRequest(Address requester, long requestId, long term, long receivedAt) {}
 
+    /** The replica of a region group and the components that work with it. */
     private record RegionGroup(
             Replica replica,
             RegionStateMachine machine,
@@ -79,15 +80,21 @@
     private final PoisonRegistry poison = new PoisonRegistry();
     private final SubscriberTable subscribers = new SubscriberTable();
     private final UpdatePublisher updatePublisher;
+    /** Administrators' changes proposed to the global group, by log index. */
     private final Map<Long, PendingRequest> pendingProposals = new HashMap<>();
+    /** Claim requests by region group and log index. */
     private final Map<String, Map<Long, PendingRequest>> pendingClaims = new HashMap<>();
+    /** Administrators' orders by region group and log index. */
     private final Map<String, Map<Long, PendingRequest>> pendingOrders = new HashMap<>();
+    /** Subscribers that wait for a confirmed read, by token. */
     private final Map<Long, Address> pendingSubscriberReads = new HashMap<>();
+    /** Administrators' confirmed reads of the configuration, by token. */
     private final Map<Long, PendingRequest> pendingConfigReads = new HashMap<>();
+    /** Requests forwarded to the leader, by token. */
     private final Map<Long, PendingRequest> forwardedRequests = new HashMap<>();
     /**
-     * Number of the next forwarded request or confirmed read. The numbers start at a value derived from the
-     * incarnation, so that a late answer to a previous incarnation matches no pending request.
+     * Token of the next forwarded request or confirmed read. Tokens start at a value derived from the incarnation, so
+     * that a late answer to a previous incarnation matches no pending request.
      */
     private long nextToken;
 
@@ -95,7 +102,9 @@
     private boolean stopping;
     private FleetConfig parsedConfig = FleetConfig.empty();
     private long parsedVersion;
+    /** The last reading of the wall clock in Unix milliseconds, 0 before the first. */
     private long wallMillis;
+    /** The monotonic time of that reading in nanoseconds. */
     private long wallReadAt;
 
     private ControlCore(ControlSettings settings, Address self, long incarnation, long now, Invariants invariants) {
--- a/src/main/java/org/cuminshelf/control/DirectUpstreamRegistry.java
+++ b/src/main/java/org/cuminshelf/control/DirectUpstreamRegistry.java
@@ -39,12 +39,12 @@
     /** Silence after which an upstream has lapsed: four heartbeat intervals of 1.2 s, so that one may be lost. */
     private static final long LEASE_NANOS = Durations.nanos(5_000);
     /** Time for which a deleted or lapsed upstream is kept; delayed heartbeats arrive within seconds. */
-    private static final long GONE_RETENTION_NANOS = Durations.nanos(60_000);
+    private static final long ENDED_RETENTION_NANOS = Durations.nanos(60_000);
 
     /** One run of an upstream, from its start to its end. */
     private static final class Incarnation {
         private UpstreamBeat heartbeat;
-        private long lastHeardAt;
+        private long lastReceivedAt;
     }
 
     /**
@@ -57,8 +57,11 @@
 
     /** The incarnations of one upstream name, oldest first; start times are Unix milliseconds, -1 if none. */
     private static final class Incarnations {
+        /** Start time of the newest incarnation that sent a heartbeat. */
         private long newestBornMillis = -1;
-        private long goneUpToBornMillis = -1;
+        /** Incarnations that started up to this time are deleted. */
+        private long deletedUpToBornMillis = -1;
+
         private final List<Incarnation> all = new ArrayList<>();
     }
 
@@ -81,7 +84,8 @@
      * @param out           receives the forwarded messages
      */
     void onHeartbeat(long now, long wallMillis, UpstreamBeat heartbeat, List<Address> otherControls, Outbox out) {
-        UpstreamBeat merged = heartbeat.getDeleted() ? onGone(now, wallMillis, heartbeat) : onRunning(now, heartbeat);
+        UpstreamBeat merged =
+                heartbeat.getDeleted() ? onDeleted(now, wallMillis, heartbeat) : onRunning(now, heartbeat);
         if (!merged.getName().isEmpty() && !heartbeat.getPassedOn()) {
             UpstreamBeat forwarded = merged.toBuilder().setPassedOn(true).build();
             otherControls.forEach(
@@ -92,13 +96,13 @@
     /** Applies a heartbeat. Returns the resulting state, or an empty message if the heartbeat was outdated. */
     private UpstreamBeat onRunning(long now, UpstreamBeat heartbeat) {
         Incarnations incarnations = incarnationsByName.computeIfAbsent(heartbeat.getName(), key -> new Incarnations());
-        if (heartbeat.getBornMs() <= incarnations.goneUpToBornMillis
+        if (heartbeat.getBornMs() <= incarnations.deletedUpToBornMillis
                 || heartbeat.getBornMs() < incarnations.newestBornMillis) {
             return UpstreamBeat.getDefaultInstance();
         }
         if (heartbeat.getBornMs() > incarnations.newestBornMillis) {
             if (incarnations.newestBornMillis >= 0) {
-                // The pending change was ordered from the previous incarnation.
+                // The pending change was addressed to the previous incarnation.
                 pendingChanges.remove(heartbeat.getName());
             }
             incarnations.all.forEach(this::markDeleted);
@@ -109,7 +113,7 @@
         if (incarnation.heartbeat != null && heartbeat.getSequence() < incarnation.heartbeat.getSequence()) {
             return UpstreamBeat.getDefaultInstance();
         }
-        incarnation.lastHeardAt = now;
+        incarnation.lastReceivedAt = now;
         update(incarnation, merge(incarnation.heartbeat, heartbeat));
         return incarnation.heartbeat;
     }
@@ -118,11 +122,11 @@
      * Applies a deletion. If it does not name an incarnation, it applies to the newest known one, or, if the upstream
      * is unknown, to every incarnation started up to now.
      */
-    private UpstreamBeat onGone(long now, long wallMillis, UpstreamBeat heartbeat) {
+    private UpstreamBeat onDeleted(long now, long wallMillis, UpstreamBeat heartbeat) {
         Incarnations incarnations = incarnationsByName.computeIfAbsent(heartbeat.getName(), key -> new Incarnations());
         long defaultBornMillis = incarnations.newestBornMillis >= 0 ? incarnations.newestBornMillis : wallMillis;
         long bornMillis = heartbeat.getBornMs() > 0 ? heartbeat.getBornMs() : defaultBornMillis;
-        incarnations.goneUpToBornMillis = Math.max(incarnations.goneUpToBornMillis, bornMillis);
+        incarnations.deletedUpToBornMillis = Math.max(incarnations.deletedUpToBornMillis, bornMillis);
         if (incarnations.newestBornMillis < 0) {
             Incarnation incarnation = new Incarnation();
             update(
@@ -134,14 +138,14 @@
             incarnations.all.add(incarnation);
         }
         for (Incarnation incarnation : incarnations.all) {
-            incarnation.lastHeardAt = now;
-            if (incarnation.heartbeat.getBornMs() <= incarnations.goneUpToBornMillis) {
+            incarnation.lastReceivedAt = now;
+            if (incarnation.heartbeat.getBornMs() <= incarnations.deletedUpToBornMillis) {
                 markDeleted(incarnation);
             }
         }
         return UpstreamBeat.newBuilder()
                 .setName(heartbeat.getName())
-                .setBornMs(incarnations.goneUpToBornMillis)
+                .setBornMs(incarnations.deletedUpToBornMillis)
                 .setDeleted(true)
                 .build();
     }
@@ -188,7 +192,7 @@
         }
     }
 
-    /** The fields whose change must be published to subscribers at once, which excludes the sequence number. */
+    /** Clears the fields whose change alone need not be published to subscribers, such as the sequence number. */
     private static UpstreamBeat withoutVolatileFields(UpstreamBeat heartbeat) {
         return heartbeat.toBuilder()
                 .clearSequence()
@@ -246,7 +250,7 @@
     private void tick(long now, Incarnation incarnation) {
         updateChanging(incarnation);
         boolean ended = incarnation.heartbeat.getDeleted() || incarnation.heartbeat.getLapsed();
-        if (!ended && now - incarnation.lastHeardAt > LEASE_NANOS) {
+        if (!ended && now - incarnation.lastReceivedAt > LEASE_NANOS) {
             update(
                     incarnation,
                     incarnation.heartbeat.toBuilder().setLapsed(true).build());
@@ -255,7 +259,7 @@
 
     private static boolean isExpired(long now, Incarnation incarnation) {
         boolean ended = incarnation.heartbeat.getDeleted() || incarnation.heartbeat.getLapsed();
-        return ended && now - incarnation.lastHeardAt > GONE_RETENTION_NANOS;
+        return ended && now - incarnation.lastReceivedAt > ENDED_RETENTION_NANOS;
     }
 
     /** Adds the upstreams that changed after {@code heldVersion}, or all if {@code complete}, to an update. */
--- a/src/main/java/org/cuminshelf/control/GlobalStateMachine.java
+++ b/src/main/java/org/cuminshelf/control/GlobalStateMachine.java
@@ -33,8 +33,10 @@
  */
 final class GlobalStateMachine implements GroupMachine {
 
+    /** Number of log entries for which answers are kept, and of accepted configurations for which resends are known. */
     private static final int MAX_RETAINED_ANSWERS = 1_000;
 
+    /** Identifies the submission of a configuration, so that a resend is recognised. */
     private record ConfigSubmission(long baseVersion, String hash) {}
 
     private final LastDirectOrders orders = new LastDirectOrders();
--- a/src/main/java/org/cuminshelf/control/RegionStateMachine.java
+++ b/src/main/java/org/cuminshelf/control/RegionStateMachine.java
@@ -41,7 +41,9 @@
     /** Maximum number of claims; further claims are rejected, and none is evicted before it expires. */
     static final int MAX_CLAIMS = 200_000;
 
+    /** Maximum number of outcomes kept; those of requests to other processes are never taken here. */
     private static final int MAX_RETAINED_OUTCOMES = 10_000;
+    /** Maximum number of former incarnations kept per engine. */
     private static final int MAX_SUPERSEDED_INCARNATIONS = 8;
 
     private record ClaimKey(String organisation, String service, String key) {
--- a/src/main/java/org/cuminshelf/control/SidecarDirectory.java
+++ b/src/main/java/org/cuminshelf/control/SidecarDirectory.java
@@ -20,7 +20,9 @@
  */
 final class SidecarDirectory {
 
+    /** Time without an announcement after which an upstream is marked as gone. */
     private static final long LEASE_NANOS = Durations.nanos(4_000);
+    /** Time since the last announcement after which an upstream is removed. */
     private static final long GONE_RETENTION_NANOS = Durations.nanos(120_000);
 
     /** An upstream and its last announcement. */
@@ -36,7 +38,7 @@
     private final Map<Address, AnnouncedUpstream> upstreamsByAddress = new TreeMap<>();
     private long version = 1;
     private long urgentVersion = 1;
-    /** Subscribers that hold an older version get the complete directory, as removed upstreams have been forgotten. */
+    /** Subscribers that hold an older version get the complete directory, because upstreams were removed since. */
     private long oldestIncrementalVersion = 1;
 
     SidecarDirectory(long incarnation) {
@@ -52,7 +54,7 @@
         return nextVersion(true);
     }
 
-    /** Assigns a version to a change; one that is not urgent is published when subscribers next ask. */
+    /** Assigns a version to a change; one that is not urgent is sent in reply to a subscriber's next request. */
     long nextVersion(boolean urgent) {
         version++;
         urgentVersion = urgent ? version : urgentVersion;
--- a/src/main/java/org/cuminshelf/control/SidecarOrderDispatcher.java
+++ b/src/main/java/org/cuminshelf/control/SidecarOrderDispatcher.java
@@ -29,14 +29,19 @@
 final class SidecarOrderDispatcher {
 
     private static final long RESEND_INTERVAL_NANOS = Durations.nanos(500);
+    /** Time after the receipt of an order within which the sidecar may start to apply it. */
     private static final int MAX_START_DELAY_MILLIS = 40_000;
 
     private final String group;
     private final Replica replica;
     private final RegionStateMachine machine;
+    /** Time in nanoseconds at which an order was last sent, by order number. */
     private final Map<Long, Long> sentAt = new HashMap<>();
+    /** Numbers of the orders whose closing was proposed in this term. */
     private final Set<Long> proposedClosings = new HashSet<>();
+    /** Sidecar incarnations proposed in this term, by address. */
     private final Map<String, Long> proposedIncarnations = new HashMap<>();
+
     private long proposedTerm;
 
     SidecarOrderDispatcher(String group, Replica replica, RegionStateMachine machine) {
--- a/src/main/java/org/cuminshelf/control/SubscriberTable.java
+++ b/src/main/java/org/cuminshelf/control/SubscriberTable.java
@@ -19,7 +19,7 @@
     static final class Subscriber {
         final Address address;
         long incarnation;
-        long lastHeardAt;
+        long lastReceivedAt;
         long configVersion;
         long directoryVersion;
         long directoryIncarnation;
@@ -57,7 +57,7 @@
             subscriber.incarnation = incarnation;
             subscriber.receivedPoisonVersion = 0;
         }
-        subscriber.lastHeardAt = now;
+        subscriber.lastReceivedAt = now;
         subscriber.requestClockNanos = subscribe.getAskedAtNs();
         subscriber.configVersion = subscribe.getConfigVersion();
         subscriber.directoryVersion = subscribe.getDirectoryVersion();
@@ -119,7 +119,7 @@
     }
 
     void tick(long now) {
-        subscribers.values().removeIf(subscriber -> now - subscriber.lastHeardAt > LEASE_NANOS);
+        subscribers.values().removeIf(subscriber -> now - subscriber.lastReceivedAt > LEASE_NANOS);
     }
 
     /** The lowest configuration version in force at any subscriber, or {@code highest} if there are no subscribers. */
--- a/src/main/java/org/cuminshelf/control/UpdatePublisher.java
+++ b/src/main/java/org/cuminshelf/control/UpdatePublisher.java
@@ -17,7 +17,7 @@
 
 /**
  * Sends subscribers the updates they lack: the version of the configuration, changes of the directory, the control
- * processes and the entries. Changes are broadcast at once; lost updates are repeated when a subscriber next asks.
+ * processes and the entries. Changes are broadcast at once; lost updates are repeated in reply to the next request.
  */
 final class UpdatePublisher {
 
--- a/src/main/java/org/cuminshelf/control/UsageReporter.java
+++ b/src/main/java/org/cuminshelf/control/UsageReporter.java
@@ -58,10 +58,14 @@
 
     private long windowToSettle;
     private long windowEndSeenAt;
-    private long proposedAt = Long.MIN_VALUE / 2;
+    private long settlementProposedAt = Long.MIN_VALUE / 2;
+    /** The window whose settlement was last proposed to the log. */
     private long proposedWindow;
+    /** The last window that the platform acknowledged to this process. */
     private long acknowledgedWindow;
+    /** The window whose acknowledgement was last proposed to the log. */
     private long recordedWindow;
+
     private long recordProposedAt;
     private long nextSendAt = Long.MIN_VALUE;
     private long lastSentAt = Long.MIN_VALUE / 2;
@@ -124,11 +128,11 @@
     }
 
     private void proposeSettlement(long now) {
-        if (windowToSettle == proposedWindow && now - proposedAt < REPROPOSE_INTERVAL_NANOS) {
+        if (windowToSettle == proposedWindow && now - settlementProposedAt < REPROPOSE_INTERVAL_NANOS) {
             return;
         }
         proposedWindow = windowToSettle;
-        proposedAt = now;
+        settlementProposedAt = now;
         UsageWindow sum = tally.sum(windowToSettle);
         replica.propose(now, LogEntry.newBuilder().setUsageSettled(sum));
         Logger.info(
--- a/src/test/java/org/cuminshelf/control/DirectRoleControllerTest.java
+++ b/src/test/java/org/cuminshelf/control/DirectRoleControllerTest.java
@@ -24,7 +24,7 @@
     private static final long STEP_MILLIS = 500;
     /** Prefill time of one engine in a step, in microseconds. */
     private static final double PREFILL_MICROS_PER_STEP = 1_000 * STEP_MILLIS;
-    /** Time of one engine's decode slots in a step, in microseconds: 85 % of 64 slots are usable. */
+    /** Time of one engine's decode slots in a step, in microseconds: of 64 slots, 85 in 100 are usable. */
     private static final double DECODE_MICROS_PER_STEP = 54.4 * 1_000 * STEP_MILLIS;
     /** An order is decided within two planning rounds, half a second apart, and sent 0.12 s later. */
     private static final long MAX_REACTION_MILLIS = 2_000;
--- a/src/test/java/org/cuminshelf/control/UsageReporterTest.java
+++ b/src/test/java/org/cuminshelf/control/UsageReporterTest.java
@@ -28,7 +28,7 @@
      *
      * @param usageUntil for each sending entry, the first window whose counts are not complete yet
      */
-    private void subscribe(long millis, long window, int count, long... usageUntil) {
+    private void sendCounts(long millis, long window, int count, long... usageUntil) {
         for (long elapsed = 0; elapsed < millis; elapsed += 500) {
             version++;
             for (int index = 0; index < usageUntil.length; index++) {
@@ -63,24 +63,24 @@
 
     @Example
     void aWindowIsReportedOnceItsCountsAreComplete() {
-        subscribe(5_000, 5, 2, 5, 5);
+        sendCounts(5_000, 5, 2, 5, 5);
         assertThat(control.reports).isEmpty();
-        subscribe(1_000, 5, 3, 6, 6);
+        sendCounts(1_000, 5, 3, 6, 6);
         ControlClusterFixture.SentReport first = control.reports.getFirst();
         assertThat(first.report().getUsage()).isEqualTo(counts(5, 6));
         assertThat(control.leader()).hasValue(first.holder());
         acknowledge(first.holder(), 5);
         control.advance(100);
         control.reports.clear();
-        subscribe(5_000, 6, 1, 6, 6);
+        sendCounts(5_000, 6, 1, 6, 6);
         assertThat(control.reports).isEmpty();
     }
 
     /* Usage is never reported, because one entry is disconnected and control waits for its counts forever. */
     @Example
     void aSilentEntryIsAwaitedOnlyForALimitedTime() {
-        subscribe(5_000, 5, 2, 6, 6, 5);
-        subscribe(3_000, 5, 2, 6, 6, 5);
+        sendCounts(5_000, 5, 2, 6, 6, 5);
+        sendCounts(3_000, 5, 2, 6, 6, 5);
         assertThat(control.reports).isNotEmpty();
     }
 
@@ -90,12 +90,12 @@
      */
     @Example
     void theNextHolderReportsTheSameCountsWithAHigherNumberAfterTheLease() {
-        subscribe(5_000, 5, 2, 5, 5);
-        subscribe(1_000, 5, 2, 6, 6);
+        sendCounts(5_000, 5, 2, 5, 5);
+        sendCounts(1_000, 5, 2, 6, 6);
         ControlClusterFixture.SentReport first = control.reports.getLast();
         control.kill(first.holder());
         control.reports.clear();
-        subscribe(8_000, 5, 9, 6, 6);
+        sendCounts(8_000, 5, 9, 6, 6);
         ControlClusterFixture.SentReport next = control.reports.getFirst();
         assertThat(next.holder()).isNotEqualTo(first.holder());
         assertThat(next.report().getUsage()).isEqualTo(first.report().getUsage());
@@ -106,8 +106,8 @@
     /* The platform is busy or its answer is lost. The same report must be sent again, and no window omitted. */
     @Example
     void anUnacknowledgedReportIsSentAgainUnchanged() {
-        subscribe(5_000, 5, 2, 5, 5);
-        subscribe(4_000, 5, 2, 6, 6);
+        sendCounts(5_000, 5, 2, 5, 5);
+        sendCounts(4_000, 5, 2, 6, 6);
         assertThat(control.reports).hasSizeGreaterThan(2);
         assertThat(control.reports)
                 .allSatisfy(sent -> assertThat(sent.report().getUsage()).isEqualTo(counts(5, 4)));
@@ -116,8 +116,8 @@
     /* After an outage, the next window must be reported as soon as the previous one is acknowledged. */
     @Example
     void pendingWindowsAreReportedWithoutDelay() {
-        subscribe(5_000, 5, 2, 5, 5);
-        subscribe(500, 6, 1, 7, 7);
+        sendCounts(5_000, 5, 2, 5, 5);
+        sendCounts(500, 6, 1, 7, 7);
         ControlClusterFixture.SentReport first = control.reports.getLast();
         control.reports.clear();
         acknowledge(first.holder(), 5);
@@ -130,8 +130,8 @@
     @Example
     void pendingWindowsAreReportedWithinThePlatformsRateLimit() {
         control = ControlClusterFixture.withUsageReports(OptionalDouble.of(0.5));
-        subscribe(5_000, 5, 2, 5, 5);
-        subscribe(500, 6, 1, 7, 7);
+        sendCounts(5_000, 5, 2, 5, 5);
+        sendCounts(500, 6, 1, 7, 7);
         ControlClusterFixture.SentReport first = control.reports.getLast();
         control.reports.clear();
         acknowledge(first.holder(), 5);
@@ -143,14 +143,14 @@
     /* An acknowledgement is in the log, so the next holder must not report the window again. */
     @Example
     void anAcknowledgedWindowIsNotReportedByTheNextHolder() {
-        subscribe(5_000, 5, 2, 5, 5);
-        subscribe(500, 5, 2, 6, 6);
+        sendCounts(5_000, 5, 2, 5, 5);
+        sendCounts(500, 5, 2, 6, 6);
         Address holder = control.reports.getFirst().holder();
         acknowledge(holder, 5);
         control.advance(200);
         control.kill(holder);
         control.reports.clear();
-        subscribe(8_000, 6, 1, 6, 6);
+        sendCounts(8_000, 6, 1, 6, 6);
         assertThat(control.reports).isEmpty();
     }
 
@@ -168,8 +168,8 @@
     /** Returns the reports that a holder resends within its lease after the others stopped. */
     private List<ControlClusterFixture.SentReport> reportsWithinLease(boolean jumped) {
         control = ControlClusterFixture.withUsageReports();
-        subscribe(5_000, 5, 2, 5, 5);
-        subscribe(500, 5, 2, 6, 6);
+        sendCounts(5_000, 5, 2, 5, 5);
+        sendCounts(500, 5, 2, 6, 6);
         ControlClusterFixture.SentReport first = control.reports.getLast();
         long justBeforeNextSend = first.sentAt() + Durations.nanos(900);
         control.advance(Durations.millis(justBeforeNextSend - control.now));
@@ -189,8 +189,8 @@
     /* The write deadline of a report must be the end of the lease under which it was sent. */
     @Example
     void aReportMayBeWrittenOnlyUnderTheLease() {
-        subscribe(5_000, 5, 2, 5, 5);
-        subscribe(1_000, 5, 2, 6, 6);
+        sendCounts(5_000, 5, 2, 5, 5);
+        sendCounts(1_000, 5, 2, 6, 6);
         ControlClusterFixture.SentReport first = control.reports.getFirst();
         assertThat(first.report().getWriteUntilNs() - first.sentAt()).isBetween(1L, Durations.nanos(450));
     }
