--- a/src/main/java/org/cuminshelf/control/DirectRoleController.java
+++ b/src/main/java/org/cuminshelf/control/DirectRoleController.java
@@ -176,7 +176,8 @@
         byService.forEach((service, engines) -> {
             ServicePlan plan = plans.computeIfAbsent(
                     service,
-                    key -> new ServicePlan(DebouncingPlanner.of(BalancedPlanner.of(slotsPerEngine(engines)), SUSTAINED_DEMAND_NANOS)));
+                    key -> new ServicePlan(
+                            DebouncingPlanner.of(BalancedPlanner.of(slotsPerEngine(engines)), SUSTAINED_DEMAND_NANOS)));
             detectDepartures(now, plan, engines);
             if (!mayDecide) {
                 plan.planner.observe(now, engines, subscribers.demand(service));
