--- a/src/main/java/org/cuminshelf/entry/AdmissionSystem.java
+++ b/src/main/java/org/cuminshelf/entry/AdmissionSystem.java
@@ -11,80 +11,85 @@
 import org.cuminshelf.message.Cause;
 import org.cuminshelf.message.Ran;
 
-/** Takes new calls in or refuses them; a call refused here did not run. */
+/** Accepts or refuses new calls. A call refused here did not run. */
 final class AdmissionSystem {
 
     private static final int DEFAULT_PRIORITY = 4;
     private static final int HIGHEST_PRIORITY = 9;
-    private static final int RETRY_AFTER_NOT_READY_MILLIS = 1_000;
+    private static final int NOT_READY_RETRY_AFTER_MILLIS = 1_000;
 
-    private final EntryState tables;
+    private final EntryState state;
     private final AnswerSystem answers;
     private final Router router;
 
-    AdmissionSystem(EntryState tables, AnswerSystem answers, Router router) {
-        this.tables = tables;
+    AdmissionSystem(EntryState state, AnswerSystem answers, Router router) {
+        this.state = state;
         this.answers = answers;
         this.router = router;
     }
 
     void onCall(long now, CallArrived request, boolean leaving, Outbox out) {
-        FleetConfig config = tables.config.config();
+        FleetConfig config = state.config.config();
         Optional<Long> deadlineMillis = deadlineMillis(config, request);
-        long limit = deadlineMillis.orElse(0L);
-        long deadline = now + Durations.nanos(request.getDeadlineMs() > 0 ? request.getDeadlineMs() : limit);
-        CallRow call = new CallRow(request, now, deadline, priority(config, request));
-        tables.calls.put(call.id, call);
+        long defaultDeadlineMillis = deadlineMillis.orElse(0L);
+        long deadlineNanos =
+                now + Durations.nanos(request.getDeadlineMs() > 0 ? request.getDeadlineMs() : defaultDeadlineMillis);
+        CallRow call = new CallRow(request, now, deadlineNanos, priority(config, request));
+        state.calls.put(call.id, call);
         if (call.isGeneration()) {
-            tables.config.offered(
-                    call.generation(), tables.estimates.expected(request.getOrganisation(), call.generation()));
+            state.config.recordOffered(
+                    call.generation(),
+                    state.outputLengths.expectedTokens(request.getOrganisation(), call.generation()));
         }
-        if (leaving || !tables.config.isReady()) {
-            refuse(call, leaving ? Cause.LEAVING : Cause.NOT_READY, RETRY_AFTER_NOT_READY_MILLIS, out);
+        if (leaving || !state.config.isReady()) {
+            refuse(call, leaving ? Cause.LEAVING : Cause.NOT_READY, NOT_READY_RETRY_AFTER_MILLIS, out);
             return;
         }
         if (deadlineMillis.isEmpty()) {
             refuse(call, call.isGeneration() ? Cause.UNKNOWN_MODEL : Cause.UNKNOWN_SERVICE, 0, out);
             return;
         }
-        if (!router.hasAny(call)) {
-            refuse(call, Cause.NO_UPSTREAM, RETRY_AFTER_NOT_READY_MILLIS, out);
+        if (!router.hasUpstream(call)) {
+            refuse(call, Cause.NO_UPSTREAM, NOT_READY_RETRY_AFTER_MILLIS, out);
             return;
         }
-        Optional<Long> wait = tables.limits.take(now, request.getOrganisation(), config, tables.config.entries());
-        if (wait.isPresent()) {
-            refuse(call, Cause.LIMIT_REACHED, wait.get(), out);
+        Optional<Long> waitMillis =
+                state.rateLimiter.acquire(now, request.getOrganisation(), config, state.config.entryCount());
+        if (waitMillis.isPresent()) {
+            refuse(call, Cause.LIMIT_REACHED, waitMillis.get(), out);
             return;
         }
-        if (tables.waiting.size() >= tables.settings.longestQueue()) {
-            refuse(call, Cause.OVERLOADED, Durations.millis(Router.nanos(router.secondsUntilFree(call))), out);
+        if (state.waitingCalls.size() >= state.settings.maxWaitingCalls()) {
+            refuse(call, Cause.OVERLOADED, Durations.millis(Router.nanos(router.secondsUntilFreeSlot(call))), out);
             return;
         }
         admit(call, config);
     }
 
     private void admit(CallRow call, FleetConfig config) {
-        tables.retryBudget.onCall(call.target());
-        tables.callDeadlines.set(call.id, call.deadline);
+        state.retryBudget.onCall(call.target());
+        state.callDeadlines.set(call.id, call.deadlineNanos);
         double weight = config.organisation(call.request.getOrganisation())
                 .flatMap(OrganisationConfig::weight)
                 .orElse(1.0);
-        tables.waiting.add(call, cost(call), weight);
-        tables.routingDue = true;
+        state.waitingCalls.add(call, cost(call), weight);
+        state.routingDue = true;
     }
 
+    /** The cost of a call in the fair queue: 1 for an exchange, weighted tokens for a generation. */
     private double cost(CallRow call) {
         if (!call.isGeneration()) {
             return 1;
         }
         return call.generation().getPromptTokens()
-                + 4 * tables.estimates.expected(call.request.getOrganisation(), call.generation());
+                + 4 * state.outputLengths.expectedTokens(call.request.getOrganisation(), call.generation());
     }
 
     private void refuse(CallRow call, Cause cause, long retryAfterMillis, Outbox out) {
         answers.finishFailed(call, Ran.NOT_RUN, cause, retryAfterMillis, "", out);
     }
 
+    /** Returns the deadline configured for the model or service; empty if it is unknown. */
     private static Optional<Long> deadlineMillis(FleetConfig config, CallArrived request) {
         return switch (request.getWorkCase()) {
             case GENERATION ->
--- a/src/main/java/org/cuminshelf/entry/AnswerSystem.java
+++ b/src/main/java/org/cuminshelf/entry/AnswerSystem.java
@@ -12,35 +12,36 @@
 import org.cuminshelf.message.Envelope;
 import org.cuminshelf.message.Ran;
 
-/** Hands answers to callers: each part once and in order, and one end. */
+/** Delivers answers to callers: each part once and in order, and exactly one end. */
 final class AnswerSystem {
 
-    private final EntryState tables;
+    private final EntryState state;
     private final List<CallRow> finished = new ArrayList<>();
 
-    AnswerSystem(EntryState tables) {
-        this.tables = tables;
+    AnswerSystem(EntryState state) {
+        this.state = state;
     }
 
-    /** Takes the calls finished since the last question. */
-    List<CallRow> takeFinished() {
+    /** Returns the calls finished since the previous invocation. */
+    List<CallRow> drainFinished() {
         if (finished.isEmpty()) {
             return List.of();
         }
-        List<CallRow> taken = List.copyOf(finished);
+        List<CallRow> drained = List.copyOf(finished);
         finished.clear();
-        return taken;
+        return drained;
     }
 
-    void tokens(long now, CallRow call, long offset, List<String> tokens, Outbox out) {
-        tables.invariants.check(
-                offset == call.delivered.size(),
+    void sendTokens(long now, CallRow call, long offset, List<String> tokens, Outbox out) {
+        state.invariants.check(
+                offset == call.deliveredTokens.size(),
                 "each-token-once-and-in-order",
-                () -> "call " + call.id + " holds " + call.delivered.size() + " tokens and is given " + offset);
-        if (call.delivered.isEmpty()) {
-            call.firstTokenAt = now;
+                () -> "call " + call.id + " has " + call.deliveredTokens.size() + " tokens but received offset "
+                        + offset);
+        if (call.deliveredTokens.isEmpty()) {
+            call.firstTokenAtNanos = now;
         }
-        call.delivered.addAll(tokens);
+        call.deliveredTokens.addAll(tokens);
         AnswerPart part = AnswerPart.newBuilder()
                 .setCall(call.id)
                 .setOffset(offset)
@@ -49,20 +50,21 @@
         out.send(Address.CALLERS, Envelope.newBuilder().setAnswerPart(part));
     }
 
-    void head(CallRow call, Outbox out) {
-        if (call.headDelivered || call.head == null) {
+    /** Delivers the head of the answer, if it has arrived and was not delivered before. */
+    void sendHead(CallRow call, Outbox out) {
+        if (call.headDelivered || call.answerHead == null) {
             return;
         }
         call.headDelivered = true;
         AnswerHead head = AnswerHead.newBuilder()
                 .setCall(call.id)
-                .setStatus(call.head.getStatus())
-                .addAllHeaders(call.head.getHeadersList())
+                .setStatus(call.answerHead.getStatus())
+                .addAllHeaders(call.answerHead.getHeadersList())
                 .build();
         out.send(Address.CALLERS, Envelope.newBuilder().setAnswerHead(head));
     }
 
-    void body(CallRow call, ByteString bytes, Outbox out) {
+    void sendBody(CallRow call, ByteString bytes, Outbox out) {
         if (!bytes.isEmpty()) {
             AnswerPart part =
                     AnswerPart.newBuilder().setCall(call.id).setBody(bytes).build();
@@ -70,45 +72,49 @@
         }
     }
 
-    /** Gives the final answer of a call that was answered in full. */
-    void finishWhole(CallRow call, String finishReason, Outbox out) {
+    /** Finishes a call whose complete answer was delivered. */
+    void finishComplete(CallRow call, String finishReason, Outbox out) {
         AnswerEnd.Builder end = AnswerEnd.newBuilder()
                 .setCall(call.id)
                 .setRan(Ran.RAN)
                 .setWhole(true)
                 .setFinishReason(finishReason)
-                .setOutputTokens(call.delivered.size());
+                .setOutputTokens(call.deliveredTokens.size());
         if (call.isGeneration()) {
             end.setPromptTokens(call.generation().getPromptTokens());
-            tables.estimates.learn(
-                    call.request.getOrganisation(), call.generation().getModel(), call.delivered.size());
+            state.outputLengths.record(
+                    call.request.getOrganisation(), call.generation().getModel(), call.deliveredTokens.size());
         }
         finish(call, end.build(), out);
     }
 
-    /** Gives the final answer of a call that was not answered in full, at once. */
+    /**
+     * Finishes a call without a complete answer.
+     *
+     * @param ran whether the request ran; replaced by {@link Ran#RAN} if part of the answer was delivered
+     */
     void finishFailed(CallRow call, Ran ran, Cause cause, long retryAfterMillis, String detail, Outbox out) {
-        Ran told = call.delivered.isEmpty() && !call.headDelivered ? ran : Ran.RAN;
+        Ran reported = call.deliveredTokens.isEmpty() && !call.headDelivered ? ran : Ran.RAN;
         AnswerEnd end = AnswerEnd.newBuilder()
                 .setCall(call.id)
-                .setRan(told)
+                .setRan(reported)
                 .setCause(cause)
                 .setRetryAfterMs((int) Math.min(Integer.MAX_VALUE, retryAfterMillis))
                 .setDetail(detail)
-                .setOutputTokens(call.delivered.size())
+                .setOutputTokens(call.deliveredTokens.size())
                 .build();
         finish(call, end, out);
     }
 
     private void finish(CallRow call, AnswerEnd end, Outbox out) {
-        tables.invariants.check(
+        state.invariants.check(
                 call.phase != CallRow.Phase.DONE,
                 "one-final-answer-for-each-call",
-                () -> "call " + call.id + " was answered already");
+                () -> "call " + call.id + " already has its final answer");
         call.phase = CallRow.Phase.DONE;
         finished.add(call);
-        tables.waiting.remove(call);
-        tables.callDeadlines.clear(call.id);
+        state.waitingCalls.remove(call);
+        state.callDeadlines.clear(call.id);
         out.send(Address.CALLERS, Envelope.newBuilder().setAnswerEnd(end));
     }
 }
--- a/src/main/java/org/cuminshelf/entry/AttemptRow.java
+++ b/src/main/java/org/cuminshelf/entry/AttemptRow.java
@@ -3,15 +3,15 @@
 import org.cuminshelf.core.Address;
 import org.cuminshelf.message.AttemptRef;
 
-/** One try of a call on one upstream. */
+/** One attempt to run a call on one upstream. */
 final class AttemptRow {
 
     /**
-     * Names an attempt.
+     * Identifies an attempt.
      *
-     * @param upstream the sidecar
+     * @param upstream the address of the upstream's sidecar
      * @param session  the session with this incarnation of the sidecar
-     * @param number   the number within the session
+     * @param number   the number of the attempt, unique for this entry
      */
     record Key(Address upstream, long session, long number) {
 
@@ -26,22 +26,24 @@
 
     final Key key;
     final CallRow call;
-    /** Prompt tokens expected not to be cached there. */
-    final long promptCost;
-    /** Whether the engine hands the stream over after the first token. */
+    /** Prompt tokens that the engine is expected not to have cached. */
+    final long uncachedPromptTokens;
+    /** Whether the engine only prefills and another engine continues after the first token. */
     final boolean prefillOnly;
 
-    long sentAt;
-    long lastHeard;
-    long lastProgress;
+    long sentAtNanos;
+    long lastMessageAtNanos;
+    /** When the attempt was dispatched or last delivered new tokens. */
+    long lastProgressAtNanos;
+
     boolean dispatched;
-    /** Whether the prompt no longer counts as waiting there. */
-    boolean promptTaken;
+    /** Whether the prompt no longer counts as queued at the engine. */
+    boolean prefillComplete;
 
-    AttemptRow(Key key, CallRow call, long promptCost, boolean prefillOnly) {
+    AttemptRow(Key key, CallRow call, long uncachedPromptTokens, boolean prefillOnly) {
         this.key = key;
         this.call = call;
-        this.promptCost = promptCost;
+        this.uncachedPromptTokens = uncachedPromptTokens;
         this.prefillOnly = prefillOnly;
     }
 }
--- a/src/main/java/org/cuminshelf/entry/AttemptSystem.java
+++ b/src/main/java/org/cuminshelf/entry/AttemptSystem.java
@@ -21,113 +21,116 @@
 import org.cuminshelf.message.RevokeAnswer;
 
 /**
- * Sends attempts, takes their answers and finds out what became of silent ones.
+ * Dispatches attempts, receives their answers, and resolves attempts that fall silent.
  *
  * <p>Failures it guards against:
  * <ul>
- *   <li>Bytes were sent and nothing comes back. Whether the request ran is unknown, so nothing is sent anywhere else
- *       before the sidecar swore over a new connection that this attempt did not run and never will.</li>
- *   <li>The sidecar restarted. It can't swear for its earlier incarnation: a request that may not be repeated ends as
- *       "may have run".</li>
- *   <li>An answer comes late, twice or out of order. Chunks name their attempt and their place in the answer; what
- *       belongs to no current attempt is dropped, an overlap is cut off, a gap is asked for again.</li>
+ *   <li>A dispatched attempt gets no response, so it is unknown whether the request ran. A request that may not be
+ *       repeated is sent to another upstream only after the sidecar has confirmed, over a new connection, that the
+ *       attempt did not run and never will.</li>
+ *   <li>The sidecar restarted. It knows nothing of the attempts of its earlier incarnation: a request that may not be
+ *       repeated ends as "may have run".</li>
+ *   <li>Parts of an answer arrive late, twice or out of order. Each chunk names its attempt and its offset: a chunk of
+ *       no current attempt is dropped, an overlap is discarded, and a missing part is requested again.</li>
  * </ul>
  */
 final class AttemptSystem {
 
-    private static final long PROBE_EXCHANGE_AFTER = Durations.nanos(400);
-    private static final long PROBE_GENERATION_AFTER = Durations.nanos(1_000);
-    private static final long PROBE_AGAIN = Durations.nanos(500);
-    /** An engine that answers probes but gives no token for this long is given up. */
-    private static final long STUCK_AFTER = Durations.nanos(8_000);
-    /** Silence of the sidecar itself after which a generation goes on elsewhere. */
-    private static final long LOST_AFTER = Durations.nanos(2_500);
+    private static final long EXCHANGE_PROBE_DELAY_NANOS = Durations.nanos(400);
+    private static final long GENERATION_PROBE_DELAY_NANOS = Durations.nanos(1_000);
+    private static final long PROBE_INTERVAL_NANOS = Durations.nanos(500);
+    /** Time without a new token after which a generation is abandoned although the sidecar answers probes. */
+    private static final long STALL_TIMEOUT_NANOS = Durations.nanos(8_000);
+    /** Time without any message from the sidecar after which a generation continues on another engine. */
+    private static final long SIDECAR_SILENCE_TIMEOUT_NANOS = Durations.nanos(2_500);
 
-    private static final int MOST_ATTEMPTS = 6;
+    private static final int MAX_ATTEMPTS = 6;
 
-    private final EntryState tables;
+    private final EntryState state;
     private final AnswerSystem answers;
     private ClaimSystem claims;
 
-    AttemptSystem(EntryState tables, AnswerSystem answers) {
-        this.tables = tables;
+    AttemptSystem(EntryState state, AnswerSystem answers) {
+        this.state = state;
         this.answers = answers;
     }
 
-    void claims(ClaimSystem system) {
+    /** Sets the claim system; must be called before the first message. The two systems refer to each other. */
+    void setClaimSystem(ClaimSystem system) {
         this.claims = system;
     }
 
     /**
-     * Reserves an attempt on an upstream without sending anything. Numbers are never used twice here. Failure
-     * this guards against: an answer of a dead sidecar arrives late and makes the entry go back to its session and then
-     * forth to the new one; numbers counted anew would name the attempts of other calls, whose answers would be taken.
+     * Reserves an attempt on an upstream without sending it. Attempt numbers are unique over all sessions. Failure
+     * this guards against: a late message of a dead sidecar makes the entry return to the old session and then to the
+     * new one; if numbering restarted with each session, an answer to another call could match the new attempt.
      */
     AttemptRow reserve(CallRow call, Router.Choice choice) {
         UpstreamRow upstream = choice.upstream();
-        AttemptRow.Key key = new AttemptRow.Key(upstream.address, upstream.session, tables.nextAttempt++);
+        AttemptRow.Key key = new AttemptRow.Key(upstream.address, upstream.session, state.nextAttemptNumber++);
         AttemptRow attempt = new AttemptRow(key, call, choice.uncachedTokens(), choice.prefillOnly());
         call.attempt = attempt;
-        call.attempts++;
-        tables.attempts.put(key, attempt);
-        upstream.sent(attempt);
-        tables.prefilling += attempt.prefillOnly ? 1 : 0;
+        call.attemptCount++;
+        state.attempts.put(key, attempt);
+        upstream.addAttempt(attempt);
+        state.prefillOnlyAttempts += attempt.prefillOnly ? 1 : 0;
         return attempt;
     }
 
+    /** Sends a reserved attempt to its sidecar. A generation continues after the tokens already delivered. */
     void dispatch(long now, AttemptRow attempt, Outbox out) {
         CallRow call = attempt.call;
         checkAtMostOnce(call);
         call.phase = CallRow.Phase.RUNNING;
         attempt.dispatched = true;
-        attempt.sentAt = now;
-        attempt.lastHeard = now;
-        attempt.lastProgress = now;
+        attempt.sentAtNanos = now;
+        attempt.lastMessageAtNanos = now;
+        attempt.lastProgressAtNanos = now;
         call.receivedBytes = 0;
-        call.gathered = ByteString.EMPTY;
-        call.head = call.headDelivered ? call.head : null;
+        call.bufferedBody = ByteString.EMPTY;
+        call.answerHead = call.headDelivered ? call.answerHead : null;
         Dispatch.Builder dispatch = Dispatch.newBuilder()
                 .setSession(attempt.key.session())
                 .setNumber(attempt.key.number())
                 .setPriority(call.priority)
                 .setOrganisation(call.request.getOrganisation())
                 .setTraceParent(call.request.getTraceParent())
-                .setPromptCost((int) attempt.promptCost)
-                .setDeadlineMs(Durations.millisLeft(now, call.deadline));
+                .setPromptCost((int) attempt.uncachedPromptTokens)
+                .setDeadlineMs(Durations.millisLeft(now, call.deadlineNanos));
         if (call.isGeneration()) {
             Generation.Builder generation = call.generation().toBuilder();
-            generation.addAllHeld(call.delivered);
+            generation.addAllHeld(call.deliveredTokens);
             generation.setPrefillOnly(attempt.prefillOnly);
-            generation.setKvFrom(call.kvFrom);
+            generation.setKvFrom(call.kvCacheSource);
             dispatch.setGeneration(generation);
         } else {
             dispatch.setExchange(call.exchange());
         }
-        tables.upstreams.row(attempt.key.upstream()).ifPresent(row -> {
-            row.lastUsed = now;
-            row.remember(call.generation().getPrefixList());
+        state.upstreams.row(attempt.key.upstream()).ifPresent(row -> {
+            row.lastDispatchAtNanos = now;
+            row.addCachedBlocks(call.generation().getPrefixList());
         });
-        tables.probes.set(attempt.key, now + probeAfter(call));
+        state.probeTimers.set(attempt.key, now + probeDelayNanos(call));
         out.send(attempt.key.upstream(), Envelope.newBuilder().setDispatch(dispatch));
     }
 
     private void checkAtMostOnce(CallRow call) {
-        tables.invariants.check(
+        state.invariants.check(
                 call.isRepeatable() || !call.mayHaveRun,
                 "at-most-once",
-                () -> "call " + call.id + " is sent again though it may have run");
+                () -> "call " + call.id + " is dispatched again although it may have run");
     }
 
-    private static long probeAfter(CallRow call) {
-        return call.isGeneration() ? PROBE_GENERATION_AFTER : PROBE_EXCHANGE_AFTER;
+    private static long probeDelayNanos(CallRow call) {
+        return call.isGeneration() ? GENERATION_PROBE_DELAY_NANOS : EXCHANGE_PROBE_DELAY_NANOS;
     }
 
     void onChunk(long now, Address from, Chunk chunk, Outbox out) {
-        AttemptRow attempt = current(from, chunk.getSession(), chunk.getNumber());
+        AttemptRow attempt = findDispatched(from, chunk.getSession(), chunk.getNumber());
         if (attempt == null) {
             return;
         }
-        heard(now, attempt);
+        onMessage(now, attempt);
         CallRow call = attempt.call;
         if (call.isGeneration()) {
             onTokens(now, attempt, chunk, out);
@@ -138,89 +141,90 @@
 
     private void onTokens(long now, AttemptRow attempt, Chunk chunk, Outbox out) {
         CallRow call = attempt.call;
-        long held = call.delivered.size();
-        if (chunk.getOffset() > held) {
-            askAgain(now, attempt, out);
+        long received = call.deliveredTokens.size();
+        if (chunk.getOffset() > received) {
+            sendRevoke(now, attempt, out);
             return;
         }
-        long overlap = held - chunk.getOffset();
+        long overlap = received - chunk.getOffset();
         if (overlap >= chunk.getTokensCount()) {
             return;
         }
-        attempt.lastProgress = now;
-        prefillDone(attempt);
+        attempt.lastProgressAtNanos = now;
+        markPrefillComplete(attempt);
         if (chunk.hasLoad()) {
             onLoad(attempt.key.upstream(), chunk.getLoad());
         }
-        List<String> fresh = chunk.getTokensList().subList((int) overlap, chunk.getTokensCount());
-        answers.tokens(now, call, held, fresh, out);
+        List<String> newPart = chunk.getTokensList().subList((int) overlap, chunk.getTokensCount());
+        answers.sendTokens(now, call, received, newPart, out);
     }
 
     private void onBytes(AttemptRow attempt, Chunk chunk, Outbox out) {
         CallRow call = attempt.call;
-        if (chunk.hasHead() && call.head == null) {
-            call.head = chunk.getHead();
+        if (chunk.hasHead() && call.answerHead == null) {
+            call.answerHead = chunk.getHead();
         }
         long overlap = call.receivedBytes - chunk.getOffset();
         if (overlap < 0) {
-            askAgain(attempt.lastHeard, attempt, out);
+            sendRevoke(attempt.lastMessageAtNanos, attempt, out);
             return;
         }
         if (overlap > chunk.getBody().size()) {
             return;
         }
-        ByteString fresh = chunk.getBody().substring((int) overlap);
-        call.receivedBytes += fresh.size();
-        if (call.hasKey()) {
-            call.gathered = call.gathered.concat(fresh);
+        ByteString newPart = chunk.getBody().substring((int) overlap);
+        call.receivedBytes += newPart.size();
+        if (call.requiresClaim()) {
+            call.bufferedBody = call.bufferedBody.concat(newPart);
         } else {
-            answers.head(call, out);
-            answers.body(call, fresh, out);
+            answers.sendHead(call, out);
+            answers.sendBody(call, newPart, out);
         }
     }
 
     void onEnded(long now, Address from, Ended ended, Outbox out) {
-        AttemptRow attempt = current(from, ended.getSession(), ended.getNumber());
+        AttemptRow attempt = findDispatched(from, ended.getSession(), ended.getNumber());
         if (attempt == null) {
             return;
         }
-        heard(now, attempt);
+        onMessage(now, attempt);
         CallRow call = attempt.call;
-        long held = call.isGeneration() ? call.delivered.size() : call.receivedBytes;
-        boolean headMissing = !call.isGeneration() && ended.getRan() == Ran.RAN && call.head == null;
-        if (ended.getLength() > held || headMissing && ended.getCause() == Cause.CAUSE_NONE) {
-            askAgain(now, attempt, out);
+        long received = call.isGeneration() ? call.deliveredTokens.size() : call.receivedBytes;
+        boolean headMissing = !call.isGeneration() && ended.getRan() == Ran.RAN && call.answerHead == null;
+        if (ended.getLength() > received || headMissing && ended.getCause() == Cause.CAUSE_NONE) {
+            sendRevoke(now, attempt, out);
             return;
         }
         if (ended.hasLoad()) {
             onLoad(from, ended.getLoad());
         }
         release(attempt);
-        Optional<UpstreamRow> upstream = tables.upstreams.row(from);
+        Optional<UpstreamRow> upstream = state.upstreams.row(from);
         if (ended.getCause() == Cause.CAUSE_NONE) {
-            upstream.ifPresent(tables.upstreams::succeeded);
-            answeredInFull(now, attempt, ended.getFinishReason(), out);
+            upstream.ifPresent(state.upstreams::onSuccess);
+            onCompleteAnswer(now, attempt, ended.getFinishReason(), out);
             return;
         }
         if (ended.getCause() == Cause.CONNECT_FAILED || ended.getCause() == Cause.CONNECTION_BROKEN) {
-            upstream.ifPresent(row -> tables.upstreams.failed(now, row));
+            upstream.ifPresent(row -> state.upstreams.onFailure(now, row));
         }
-        boolean moved = ended.getCause() == Cause.MOVED && !call.delivered.isEmpty();
-        call.kvFrom = moved ? from.value() : "";
-        failed(now, call, ended.getRan(), ended.getCause(), 0, out);
+        boolean moved = ended.getCause() == Cause.MOVED && !call.deliveredTokens.isEmpty();
+        call.kvCacheSource = moved ? from.value() : "";
+        onAttemptFailed(now, call, ended.getRan(), ended.getCause(), 0, out);
     }
 
-    private void answeredInFull(long now, AttemptRow attempt, String finishReason, Outbox out) {
+    private void onCompleteAnswer(long now, AttemptRow attempt, String finishReason, Outbox out) {
         CallRow call = attempt.call;
-        if (call.hasKey() && call.claimed) {
+        if (call.requiresClaim() && call.claimGranted) {
             claims.record(now, call, out);
             return;
         }
-        answers.head(call, out);
-        answers.finishWhole(call, finishReason, out);
+        answers.sendHead(call, out);
+        answers.finishComplete(call, finishReason, out);
         acknowledge(attempt.key, out);
     }
 
+    /** Notifies the sidecar that the answer was received completely, so that it can discard it. */
     void acknowledge(AttemptRow.Key key, Outbox out) {
         out.send(
                 key.upstream(),
@@ -230,7 +234,7 @@
     }
 
     void onRefused(long now, Address from, Refused refused, Outbox out) {
-        AttemptRow attempt = current(from, refused.getSession(), refused.getNumber());
+        AttemptRow attempt = findDispatched(from, refused.getSession(), refused.getNumber());
         if (attempt == null) {
             return;
         }
@@ -239,103 +243,108 @@
         }
         release(attempt);
         if (refused.getCause() == Cause.OVERLOADED) {
-            tables.upstreams
+            state.upstreams
                     .row(from)
-                    .ifPresent(row -> row.avoidUntil =
-                            Math.max(row.avoidUntil, now + Durations.nanos(refused.getRetryAfterMs())));
+                    .ifPresent(row -> row.avoidUntilNanos =
+                            Math.max(row.avoidUntilNanos, now + Durations.nanos(refused.getRetryAfterMs())));
         } else if (refused.getCause() == Cause.UNKNOWN_SESSION) {
-            tables.upstreams.row(from).ifPresent(row -> row.openSentAt = 0);
-            attempt.call.excluded.add(from);
+            state.upstreams.row(from).ifPresent(row -> row.openSentAtNanos = 0);
+            attempt.call.excludedUpstreams.add(from);
         }
-        failed(now, attempt.call, Ran.NOT_RUN, refused.getCause(), refused.getRetryAfterMs(), out);
+        onAttemptFailed(now, attempt.call, Ran.NOT_RUN, refused.getCause(), refused.getRetryAfterMs(), out);
     }
 
     void onRevokeAnswer(long now, Address from, RevokeAnswer answer, Outbox out) {
-        AttemptRow attempt = current(from, answer.getSession(), answer.getNumber());
+        AttemptRow attempt = findDispatched(from, answer.getSession(), answer.getNumber());
         if (attempt == null) {
             return;
         }
-        attempt.lastHeard = now;
+        attempt.lastMessageAtNanos = now;
         switch (answer.getState()) {
             case ATTEMPT_NOT_RUN -> {
                 release(attempt);
-                failed(now, attempt.call, Ran.NOT_RUN, Cause.REVOKED, 0, out);
+                onAttemptFailed(now, attempt.call, Ran.NOT_RUN, Cause.REVOKED, 0, out);
             }
             case ATTEMPT_UNKNOWN, UNRECOGNIZED -> {
                 release(attempt);
-                failed(now, attempt.call, Ran.MAY_HAVE_RUN, Cause.UNKNOWN_SESSION, 0, out);
+                onAttemptFailed(now, attempt.call, Ran.MAY_HAVE_RUN, Cause.UNKNOWN_SESSION, 0, out);
             }
             case ATTEMPT_RUNNING, ATTEMPT_ENDED -> {
-                // The rest of the answer follows in chunks.
+                // The sidecar sends the rest of the answer in chunks.
             }
         }
     }
 
-    /** A sidecar turned out to be another incarnation: its attempts are lost with it. */
+    /** Fails the attempts of a sidecar's earlier session; they were lost when it restarted. */
     void onRestart(long now, Address upstream, long session, Outbox out) {
-        for (AttemptRow attempt : List.copyOf(tables.attempts.values())) {
+        for (AttemptRow attempt : List.copyOf(state.attempts.values())) {
             boolean old = attempt.key.upstream().equals(upstream) && attempt.key.session() != session;
             if (old && attempt.dispatched) {
                 release(attempt);
-                failed(now, attempt.call, Ran.MAY_HAVE_RUN, Cause.UNKNOWN_SESSION, 0, out);
+                onAttemptFailed(now, attempt.call, Ran.MAY_HAVE_RUN, Cause.UNKNOWN_SESSION, 0, out);
             }
         }
     }
 
     void onLoad(Address from, LoadReport load) {
-        tables.upstreams.row(from).ifPresent(row -> row.onLoad(load));
-        tables.routingDue = true;
+        state.upstreams.row(from).ifPresent(row -> row.onLoad(load));
+        state.routingDue = true;
     }
 
-    /** Finds silent attempts and asks what became of them. */
+    /** Probes the attempts from which no message has arrived for some time. */
     void tick(long now, Outbox out) {
-        Optional<AttemptRow.Key> due = tables.probes.poll(now);
+        Optional<AttemptRow.Key> due = state.probeTimers.poll(now);
         while (due.isPresent()) {
-            AttemptRow attempt = tables.attempts.get(due.get());
+            AttemptRow attempt = state.attempts.get(due.get());
             if (attempt != null) {
                 probe(now, attempt, out);
             }
-            due = tables.probes.poll(now);
+            due = state.probeTimers.poll(now);
         }
     }
 
     private void probe(long now, AttemptRow attempt, Outbox out) {
         CallRow call = attempt.call;
-        long quietUntil = attempt.lastHeard + probeAfter(call);
-        if (now < quietUntil) {
-            tables.probes.set(attempt.key, quietUntil);
+        long probeDueNanos = attempt.lastMessageAtNanos + probeDelayNanos(call);
+        if (now < probeDueNanos) {
+            state.probeTimers.set(attempt.key, probeDueNanos);
             return;
         }
-        boolean stuck = now - attempt.lastProgress > STUCK_AFTER;
-        boolean lost = now - attempt.lastHeard > LOST_AFTER;
-        if (call.isGeneration() && (stuck || lost)) {
-            giveUp(now, attempt, stuck ? Cause.UPSTREAM_ERROR : Cause.UPSTREAM_SILENT, out);
+        boolean stalled = now - attempt.lastProgressAtNanos > STALL_TIMEOUT_NANOS;
+        boolean sidecarSilent = now - attempt.lastMessageAtNanos > SIDECAR_SILENCE_TIMEOUT_NANOS;
+        if (call.isGeneration() && (stalled || sidecarSilent)) {
+            abandon(now, attempt, stalled ? Cause.UPSTREAM_ERROR : Cause.UPSTREAM_SILENT, out);
             return;
         }
-        askAgain(now, attempt, out);
-        tables.probes.set(attempt.key, now + PROBE_AGAIN);
+        sendRevoke(now, attempt, out);
+        state.probeTimers.set(attempt.key, now + PROBE_INTERVAL_NANOS);
     }
 
-    private void askAgain(long now, AttemptRow attempt, Outbox out) {
+    /**
+     * Requests that the sidecar revoke the attempt if it did not run, or else send the answer from the first missing
+     * token or byte on.
+     */
+    private void sendRevoke(long now, AttemptRow attempt, Outbox out) {
         CallRow call = attempt.call;
-        long held = call.isGeneration() ? call.delivered.size() : call.receivedBytes;
+        long received = call.isGeneration() ? call.deliveredTokens.size() : call.receivedBytes;
         Revoke revoke = Revoke.newBuilder()
                 .setSession(attempt.key.session())
                 .setNumber(attempt.key.number())
-                .setHeld(held)
+                .setHeld(received)
                 .build();
         out.sendFresh(attempt.key.upstream(), Envelope.newBuilder().setRevoke(revoke));
     }
 
-    private void giveUp(long now, AttemptRow attempt, Cause cause, Outbox out) {
+    private void abandon(long now, AttemptRow attempt, Cause cause, Outbox out) {
         cancel(attempt, out);
         release(attempt);
-        attempt.call.excluded.add(attempt.key.upstream());
-        attempt.call.kvFrom = "";
-        tables.upstreams.row(attempt.key.upstream()).ifPresent(row -> tables.upstreams.failed(now, row));
-        failed(now, attempt.call, Ran.MAY_HAVE_RUN, cause, 0, out);
+        attempt.call.excludedUpstreams.add(attempt.key.upstream());
+        attempt.call.kvCacheSource = "";
+        state.upstreams.row(attempt.key.upstream()).ifPresent(row -> state.upstreams.onFailure(now, row));
+        onAttemptFailed(now, attempt.call, Ran.MAY_HAVE_RUN, cause, 0, out);
     }
 
+    /** Requests that the sidecar stop the attempt; no answer is awaited. */
     void cancel(AttemptRow attempt, Outbox out) {
         Cancel cancel = Cancel.newBuilder()
                 .setSession(attempt.key.session())
@@ -344,8 +353,13 @@
         out.sendFresh(attempt.key.upstream(), Envelope.newBuilder().setCancel(cancel));
     }
 
-    /** An attempt ended without a whole answer: tries again where that is safe, or tells the caller. */
-    void failed(long now, CallRow call, Ran ran, Cause cause, long retryAfterMillis, Outbox out) {
+    /**
+     * Handles an attempt that ended without a complete answer: queues the call again if a retry is safe, and otherwise
+     * finishes it.
+     *
+     * @param ran whether this attempt ran
+     */
+    void onAttemptFailed(long now, CallRow call, Ran ran, Cause cause, long retryAfterMillis, Outbox out) {
         if (call.phase == CallRow.Phase.DONE) {
             return;
         }
@@ -354,77 +368,78 @@
         if (ran != Ran.NOT_RUN) {
             call.mayHaveRun = true;
         }
-        if (ran == Ran.NOT_RUN && call.claimed) {
-            call.moveFrom = call.claimedAttempt;
+        if (ran == Ran.NOT_RUN && call.claimGranted) {
+            call.moveClaimFrom = call.claimedAttempt;
         }
-        if (canTryAgain(now, call, ran, cause)) {
+        if (canRetry(now, call, ran, cause)) {
             call.phase = CallRow.Phase.WAITING;
             call.attempt = null;
-            tables.waiting.addAgain(call);
-            tables.routingDue = true;
+            state.waitingCalls.requeue(call);
+            state.routingDue = true;
             return;
         }
-        Ran told = call.mayHaveRun ? ran == Ran.RAN ? Ran.RAN : Ran.MAY_HAVE_RUN : Ran.NOT_RUN;
-        if (told == Ran.NOT_RUN && call.claimed) {
-            claims.drop(call, out);
+        Ran reported = call.mayHaveRun ? ran == Ran.RAN ? Ran.RAN : Ran.MAY_HAVE_RUN : Ran.NOT_RUN;
+        if (reported == Ran.NOT_RUN && call.claimGranted) {
+            claims.release(call, out);
         }
-        answers.finishFailed(call, told, cause, retryAfterMillis, "", out);
+        answers.finishFailed(call, reported, cause, retryAfterMillis, "", out);
     }
 
-    private boolean canTryAgain(long now, CallRow call, Ran ran, Cause cause) {
+    private boolean canRetry(long now, CallRow call, Ran ran, Cause cause) {
         boolean safe = ran == Ran.NOT_RUN || call.isRepeatable();
         boolean restartable = call.isGeneration() || !call.headDelivered;
-        boolean hopeless = cause == Cause.CANCELLED || cause == Cause.ANSWER_TOO_LARGE || cause == Cause.BAD_REQUEST;
-        if (!safe || !restartable || hopeless || call.callerGone || now >= call.deadline) {
+        boolean permanent = cause == Cause.CANCELLED || cause == Cause.ANSWER_TOO_LARGE || cause == Cause.BAD_REQUEST;
+        if (!safe || !restartable || permanent || call.callerDisconnected || now >= call.deadlineNanos) {
             return false;
         }
-        // These say that the upstream wants no more work now, not that a try went wrong.
-        boolean free = cause == Cause.MOVED
+        // With these causes the upstream declines work for now; they are not faults, so the retry is not budgeted.
+        boolean exemptFromBudget = cause == Cause.MOVED
                 || cause == Cause.ROLE_CHANGING
                 || cause == Cause.LEAVING
                 || cause == Cause.OVERLOADED;
-        return free || call.attempts < MOST_ATTEMPTS && tables.retryBudget.take(call.target());
+        return exemptFromBudget || call.attemptCount < MAX_ATTEMPTS && state.retryBudget.tryTake(call.target());
     }
 
-    /** Takes an attempt out of the tables. */
+    /** Removes an attempt from the state of the entry and from the load of its upstream. */
     void release(AttemptRow attempt) {
-        if (tables.attempts.remove(attempt.key) == null) {
+        if (state.attempts.remove(attempt.key) == null) {
             return;
         }
-        tables.prefilling -= attempt.prefillOnly ? 1 : 0;
-        prefillDone(attempt);
-        tables.probes.clear(attempt.key);
-        tables.upstreams.row(attempt.key.upstream()).ifPresent(row -> {
+        state.prefillOnlyAttempts -= attempt.prefillOnly ? 1 : 0;
+        markPrefillComplete(attempt);
+        state.probeTimers.clear(attempt.key);
+        state.upstreams.row(attempt.key.upstream()).ifPresent(row -> {
             if (row.session == attempt.key.session()) {
-                row.running = Math.max(0, row.running - 1);
-                row.uncounted.remove(attempt.key.number());
+                row.ownAttempts = Math.max(0, row.ownAttempts - 1);
+                row.unreportedAttempts.remove(attempt.key.number());
             }
         });
         if (attempt.call.attempt == attempt) {
             attempt.call.attempt = null;
         }
-        tables.routingDue = true;
+        state.routingDue = true;
     }
 
-    private void prefillDone(AttemptRow attempt) {
-        if (attempt.promptTaken) {
+    private void markPrefillComplete(AttemptRow attempt) {
+        if (attempt.prefillComplete) {
             return;
         }
-        attempt.promptTaken = true;
-        tables.upstreams.row(attempt.key.upstream()).ifPresent(row -> {
+        attempt.prefillComplete = true;
+        state.upstreams.row(attempt.key.upstream()).ifPresent(row -> {
             if (row.session == attempt.key.session()) {
-                row.promptTaken(attempt);
+                row.onPrefillComplete(attempt);
             }
         });
     }
 
-    private void heard(long now, AttemptRow attempt) {
-        attempt.lastHeard = now;
-        tables.upstreams.row(attempt.key.upstream()).ifPresent(row -> tables.upstreams.heard(now, row));
+    private void onMessage(long now, AttemptRow attempt) {
+        attempt.lastMessageAtNanos = now;
+        state.upstreams.row(attempt.key.upstream()).ifPresent(row -> state.upstreams.onMessage(now, row));
     }
 
-    private AttemptRow current(Address from, long session, long number) {
-        AttemptRow attempt = tables.attempts.get(new AttemptRow.Key(from, session, number));
+    /** Returns the attempt if it is current and was dispatched, or else null. */
+    private AttemptRow findDispatched(Address from, long session, long number) {
+        AttemptRow attempt = state.attempts.get(new AttemptRow.Key(from, session, number));
         return attempt != null && attempt.dispatched ? attempt : null;
     }
 }
--- a/src/main/java/org/cuminshelf/entry/CallRow.java
+++ b/src/main/java/org/cuminshelf/entry/CallRow.java
@@ -14,71 +14,74 @@
 import org.cuminshelf.message.ExchangeHead;
 import org.cuminshelf.message.Generation;
 
-/** One caller's request on its way. */
+/** The state of one call: a request of a caller, its attempts and its answer. */
 final class CallRow {
 
-    /** How far the call is. */
+    /** The phase of a call. */
     enum Phase {
         /** Waits for an upstream. */
         WAITING,
-        /** Waits for its idempotency key to be claimed. */
+        /** Waits for the claim of its idempotency key. */
         CLAIMING,
-        /** Asks the sidecar of another attempt that holds the key what became of it. */
-        ASKING,
-        /** Runs on an upstream, or may. */
+        /** Queries the sidecar of the attempt that holds the key about that attempt. */
+        QUERYING_HOLDER,
+        /** An attempt was dispatched. */
         RUNNING,
-        /** Has its whole answer, which is being recorded under its key. */
+        /** The answer is complete and is being recorded under the idempotency key. */
         RECORDING,
-        /** The caller has its final answer. */
+        /** The final answer was delivered. */
         DONE
     }
 
     final long id;
     final CallArrived request;
-    final long arrivedAt;
-    final long deadline;
+    final long arrivedAtNanos;
+    final long deadlineNanos;
     final int priority;
     Phase phase = Phase.WAITING;
-    /** Position among the waiting calls. */
-    double fairTag;
+    /** Start tag in the fair queue of waiting calls. */
+    double startTag;
 
-    final Set<Address> excluded = new HashSet<>();
+    /** Upstreams that this call is not sent to for now. */
+    final Set<Address> excludedUpstreams = new HashSet<>();
+    /** The current attempt; null if there is none. */
     AttemptRow attempt;
-    int attempts;
-    /** Whether a request that may not be repeated could have run under an earlier attempt. */
+
+    int attemptCount;
+    /** Whether the request may have run in an earlier attempt. */
     boolean mayHaveRun;
 
-    /** Tokens handed to the caller, in order. */
-    final List<String> delivered = new ArrayList<>();
+    /** Tokens delivered to the caller, in order. */
+    final List<String> deliveredTokens = new ArrayList<>();
 
-    /** Sidecar of the engine that holds the KV cache of this call, after a handover. */
-    String kvFrom = "";
+    /** Address of the sidecar whose engine holds the KV cache of this call after prefill; empty if there is none. */
+    String kvCacheSource = "";
 
-    long firstTokenAt = Core.NEVER;
-    /** Bytes of an exchange's answer handed on or gathered. */
+    long firstTokenAtNanos = Core.NEVER;
+    /** Bytes of the answer body received in the current attempt of an exchange. */
     long receivedBytes;
 
-    ExchangeHead head;
+    ExchangeHead answerHead;
     boolean headDelivered;
-    /** Answer of a call with a key, kept until it is recorded. */
-    ByteString gathered = ByteString.EMPTY;
+    /** Answer body of a call with an idempotency key, kept until it is recorded. */
+    ByteString bufferedBody = ByteString.EMPTY;
 
-    boolean callerGone;
+    boolean callerDisconnected;
 
-    // The claim of the call's idempotency key.
-    boolean claimed;
+    // State of the claim of the call's idempotency key.
+    boolean claimGranted;
     AttemptRef claimedAttempt;
-    /** What the claim is to be moved from, where another attempt did not run. */
-    AttemptRef moveFrom;
+    /** The attempt that holds the claim but did not run, so that the claim can move from it; null if there is none. */
+    AttemptRef moveClaimFrom;
 
     Cause lastCause = Cause.CAUSE_NONE;
     long lastRetryAfterMillis;
 
-    CallRow(CallArrived request, long now, long deadline, int priority) {
+    CallRow(CallArrived request, long now, long deadlineNanos, int priority) {
         this.id = request.getCall();
         this.request = request;
-        this.arrivedAt = now;
-        this.deadline = deadline;
+        this.arrivedAtNanos = now;
+        this.deadlineNanos = deadlineNanos;
         this.priority = priority;
     }
 
@@ -94,17 +97,19 @@
         return request.getExchange();
     }
 
-    /** Name under which upstreams for this call announce themselves: a service, or a model. */
+    /** Returns the service or model whose upstreams can serve this call. */
     String target() {
         return isGeneration() ? generation().getModel() : exchange().getService();
     }
 
-    boolean hasKey() {
+    /** Returns whether the idempotency key must be claimed before the call is dispatched. */
+    boolean requiresClaim() {
         return !isGeneration()
                 && !request.getIdempotencyKey().isEmpty()
                 && !exchange().getIdempotent();
     }
 
+    /** Returns whether the request may run more than once. */
     boolean isRepeatable() {
         return isGeneration() || exchange().getIdempotent();
     }
--- a/src/main/java/org/cuminshelf/entry/ClaimSystem.java
+++ b/src/main/java/org/cuminshelf/entry/ClaimSystem.java
@@ -25,47 +25,56 @@
 import org.cuminshelf.message.RevokeAnswer;
 
 /**
- * Claims idempotency keys on a quorum before anything is dispatched under them.
+ * Claims the idempotency key of an exchange at a replicated control group before the exchange is dispatched.
  *
- * <p>Failure it guards against: a caller resends through another entry while, or after, its first request runs. Only
- * the attempt that holds the claim may run; the claim moves to another attempt only after a sidecar swore that the
- * holder did not run and never will.
+ * <p>Failure it guards against: a caller resends a request through another entry while, or after, the first request
+ * runs. Only the attempt that holds the claim may run. The claim moves to another attempt only after the holder's
+ * sidecar has confirmed that the holder did not run and never will.
  */
 final class ClaimSystem {
 
-    /** Answers above this size are recorded without their body. */
-    static final int LARGEST_RECORDED_BODY = 64 << 10;
+    /** A larger answer is recorded without its body. */
+    static final int MAX_RECORDED_BODY_BYTES = 64 << 10;
 
-    private static final long ASK_AGAIN = Durations.nanos(300);
-    private static final long ASK_HOLDER_AGAIN = Durations.nanos(400);
-    private static final long LONGEST_ASKING = Durations.nanos(1_500);
-    /** A claim younger than this is taken to be in progress without asking its sidecar. */
-    private static final long YOUNG_CLAIM_MILLIS = 1_000;
+    private static final long CLAIM_RETRY_INTERVAL_NANOS = Durations.nanos(300);
+    private static final long HOLDER_QUERY_INTERVAL_NANOS = Durations.nanos(400);
+    /** Time after which a query that the holder's sidecar did not answer fails with KEY_UNRESOLVED. */
+    private static final long MAX_HOLDER_QUERY_NANOS = Durations.nanos(1_500);
+    /** A younger claim is reported as in progress without a query to the holder's sidecar. */
+    private static final long MIN_HOLDER_QUERY_CLAIM_AGE_MILLIS = 1_000;
+
+    /** Time after which the caller gets the answer even though it is not yet recorded; recording goes on. */
+    private static final long RECORD_WAIT_NANOS = Durations.nanos(500);
+    /** Time after which an answer that the caller already has is no longer sent to the group. */
+    private static final long RECORD_TIMEOUT_NANOS = Durations.nanos(30_000);
 
-    private static final long RECORD_PATIENCE = Durations.nanos(500);
-    private static final long RECORD_GIVE_UP = Durations.nanos(30_000);
     private static final int RETRY_AFTER_MILLIS = 1_000;
 
-    private final EntryState tables;
+    private final EntryState state;
     private final AnswerSystem answers;
     private final AttemptSystem attempts;
-    private final Map<Long, Pending> pending = new HashMap<>();
-    private final Map<Long, Long> questionOfCall = new HashMap<>();
+    /** Outstanding requests by question number. */
+    private final Map<Long, PendingRequest> requestByQuestion = new HashMap<>();
+    /** The question number of each call's outstanding request. */
+    private final Map<Long, Long> questionByCall = new HashMap<>();
+
     private long nextQuestion;
 
-    /** What is being asked of the group for one call. */
-    private static final class Pending {
+    /** The outstanding claim request of one call. */
+    private static final class PendingRequest {
         private final CallRow call;
         private final ClaimRequest request;
-        private final long since;
+        private final long startedAtNanos;
         private final AttemptRow.Key attempt;
-        private Address askedLeader;
+        /** The control process to which the request was last sent. */
+        private Address targetLeader;
+        /** The attempt whose sidecar is queried; null while no other attempt is known to hold the key. */
         private AttemptRef holder;
 
-        private Pending(CallRow call, ClaimRequest request, long since, AttemptRow.Key attempt) {
+        private PendingRequest(CallRow call, ClaimRequest request, long startedAtNanos, AttemptRow.Key attempt) {
             this.call = call;
             this.request = request;
-            this.since = since;
+            this.startedAtNanos = startedAtNanos;
             this.attempt = attempt;
         }
 
@@ -75,242 +84,242 @@
     }
 
     /**
-     * Makes the system. Questions are numbered from a place that depends on the incarnation, and each has a number of
-     * its own. Failure this guards against: a late answer to an earlier question, of this call or of an earlier
-     * incarnation, is taken for the answer to the present one, so that an attempt is sent under a claim it does not
-     * hold.
+     * Creates the system. Every request gets a new question number, and the first number is derived from the
+     * incarnation. Failure this guards against: a late answer to an earlier question, of this call or of an earlier
+     * incarnation, is matched to the current question, and an attempt is dispatched without holding the claim.
      */
-    ClaimSystem(EntryState tables, AnswerSystem answers, AttemptSystem attempts, long incarnation) {
-        this.tables = tables;
+    ClaimSystem(EntryState state, AnswerSystem answers, AttemptSystem attempts, long incarnation) {
+        this.state = state;
         this.answers = answers;
         this.attempts = attempts;
         this.nextQuestion = Math.max(1, LongHashFunction.xx3().hashLong(incarnation) & Long.MAX_VALUE >> 1);
     }
 
-    /** Claims the key of a call for a reserved attempt, or moves the claim to it. */
+    /** Requests the claim for a reserved attempt, or its move to this attempt from one that did not run. */
     void claim(long now, CallRow call, AttemptRow attempt, Outbox out) {
         call.phase = CallRow.Phase.CLAIMING;
         ClaimRequest.Builder request = request(call);
-        if (call.moveFrom != null) {
-            request.setMove(ClaimMove.newBuilder().setFrom(call.moveFrom).setTo(attempt.key.reference()));
+        if (call.moveClaimFrom != null) {
+            request.setMove(ClaimMove.newBuilder().setFrom(call.moveClaimFrom).setTo(attempt.key.reference()));
         } else {
             request.setTake(ClaimTake.newBuilder()
                     .setBodyHash(bodyHash(call.exchange()))
                     .setAttempt(attempt.key.reference()));
         }
-        ask(now, new Pending(call, request.build(), now, attempt.key), out);
+        send(now, new PendingRequest(call, request.build(), now, attempt.key), out);
     }
 
-    /** Records the whole answer of a call under its key; the caller gets it when a quorum holds it. */
+    /** Records the complete answer of a call under its key; the caller receives it once a quorum has recorded it. */
     void record(long now, CallRow call, Outbox out) {
         call.phase = CallRow.Phase.RECORDING;
         ClaimEnd.Builder end =
-                ClaimEnd.newBuilder().setAttempt(call.claimedAttempt).setHead(call.head);
-        if (call.gathered.size() <= LARGEST_RECORDED_BODY) {
-            end.setBody(call.gathered);
+                ClaimEnd.newBuilder().setAttempt(call.claimedAttempt).setHead(call.answerHead);
+        if (call.bufferedBody.size() <= MAX_RECORDED_BODY_BYTES) {
+            end.setBody(call.bufferedBody);
         }
         AttemptRef reference = call.claimedAttempt;
         AttemptRow.Key key =
                 new AttemptRow.Key(Address.of(reference.getSidecar()), reference.getSession(), reference.getNumber());
-        ask(now, new Pending(call, request(call).setEnd(end).build(), now, key), out);
+        send(now, new PendingRequest(call, request(call).setEnd(end).build(), now, key), out);
     }
 
-    /** Frees the key of a call that did not run. Losing this message is harmless: the holder can still be asked. */
-    void drop(CallRow call, Outbox out) {
+    /** Releases the key of a call that did not run. The message may be lost: the sidecar can still be queried. */
+    void release(CallRow call, Outbox out) {
         ClaimRequest drop = request(call)
                 .setDrop(ClaimDrop.newBuilder().setAttempt(call.claimedAttempt))
                 .build();
-        out.send(tables.config.leaderOf(drop.getGroup()), Envelope.newBuilder().setClaimRequest(drop));
+        out.send(state.config.leaderOf(drop.getGroup()), Envelope.newBuilder().setClaimRequest(drop));
     }
 
-    /** Stops asking for a call that has its final answer, unless its answer is still to be recorded. */
-    void forget(CallRow call) {
-        Pending held = pending.get(questionOfCall.getOrDefault(call.id, 0L));
-        if (held != null && held.request.getActionCase() != ClaimRequest.ActionCase.END) {
-            remove(held);
+    /** Cancels the outstanding request of a finished call, unless it records the call's answer. */
+    void cancel(CallRow call) {
+        PendingRequest current = requestByQuestion.get(questionByCall.getOrDefault(call.id, 0L));
+        if (current != null && current.request.getActionCase() != ClaimRequest.ActionCase.END) {
+            remove(current);
         }
     }
 
     boolean isPending(CallRow call) {
-        return questionOfCall.containsKey(call.id);
+        return questionByCall.containsKey(call.id);
     }
 
     void onAnswer(long now, Address from, ClaimAnswer answer, Outbox out) {
-        Pending asked = pending.get(answer.getQuestion());
-        if (asked == null) {
+        PendingRequest pending = requestByQuestion.get(answer.getQuestion());
+        if (pending == null) {
             return;
         }
-        tables.config.learnLeader(asked.request.getGroup(), answer.getLeader());
+        state.config.learnLeader(pending.request.getGroup(), answer.getLeader());
         switch (answer.getResult()) {
-            case CLAIM_NOT_LEADER -> tables.claimRetries.setIfEarlier(asked.question(), now + ASK_AGAIN / 6);
+            case CLAIM_NOT_LEADER ->
+                state.claimTimers.setIfEarlier(pending.question(), now + CLAIM_RETRY_INTERVAL_NANOS / 6);
             case CLAIM_UNAVAILABLE, UNRECOGNIZED -> {
-                // Asked again when its time is due.
+                // Sent again when its timer expires.
             }
-            case CLAIM_GRANTED -> granted(now, asked, out);
-            case CLAIM_DONE -> recorded(asked, out);
-            case CLAIM_HELD -> held(now, asked, answer, out);
-            case CLAIM_ANSWERED -> answeredBefore(asked, answer.getHead(), answer.getBody(), out);
-            case CLAIM_CONFLICT -> refuse(asked, Ran.NOT_RUN, Cause.KEY_CONFLICT, 0, out);
-            case CLAIM_FULL -> refuse(asked, Ran.NOT_RUN, Cause.CLAIMS_FULL, RETRY_AFTER_MILLIS, out);
+            case CLAIM_GRANTED -> onGranted(now, pending, out);
+            case CLAIM_DONE -> onRecorded(pending, out);
+            case CLAIM_HELD -> onHeld(now, pending, answer, out);
+            case CLAIM_ANSWERED -> onAnsweredBefore(pending, answer.getHead(), answer.getBody(), out);
+            case CLAIM_CONFLICT -> refuse(pending, Ran.NOT_RUN, Cause.KEY_CONFLICT, 0, out);
+            case CLAIM_FULL -> refuse(pending, Ran.NOT_RUN, Cause.CLAIMS_FULL, RETRY_AFTER_MILLIS, out);
         }
     }
 
-    /** Takes a sidecar's word about the attempt of another entry that holds the key. */
+    /** Handles a sidecar's statement about the attempt that holds the key. */
     void onRevokeAnswer(long now, RevokeAnswer answer, Outbox out) {
-        Pending asked = pending.get(answer.getQuestion());
-        if (asked == null || asked.holder == null || asked.call.phase != CallRow.Phase.ASKING) {
+        PendingRequest pending = requestByQuestion.get(answer.getQuestion());
+        if (pending == null || pending.holder == null || pending.call.phase != CallRow.Phase.QUERYING_HOLDER) {
             return;
         }
         boolean same =
-                asked.holder.getSession() == answer.getSession() && asked.holder.getNumber() == answer.getNumber();
+                pending.holder.getSession() == answer.getSession() && pending.holder.getNumber() == answer.getNumber();
         if (!same) {
             return;
         }
         switch (answer.getState()) {
             case ATTEMPT_NOT_RUN -> {
-                settle(asked);
-                asked.call.moveFrom = asked.holder;
-                attempts.failed(now, asked.call, Ran.NOT_RUN, Cause.REVOKED, 0, out);
+                resolve(pending);
+                pending.call.moveClaimFrom = pending.holder;
+                attempts.onAttemptFailed(now, pending.call, Ran.NOT_RUN, Cause.REVOKED, 0, out);
             }
-            case ATTEMPT_ENDED -> onHolderEnded(now, asked, answer, out);
-            case ATTEMPT_RUNNING -> refuse(asked, Ran.MAY_HAVE_RUN, Cause.KEY_IN_PROGRESS, RETRY_AFTER_MILLIS, out);
-            case ATTEMPT_UNKNOWN, UNRECOGNIZED -> refuse(asked, Ran.MAY_HAVE_RUN, Cause.KEY_UNRESOLVED, 0, out);
+            case ATTEMPT_ENDED -> onHolderEnded(now, pending, answer, out);
+            case ATTEMPT_RUNNING -> refuse(pending, Ran.MAY_HAVE_RUN, Cause.KEY_IN_PROGRESS, RETRY_AFTER_MILLIS, out);
+            case ATTEMPT_UNKNOWN, UNRECOGNIZED -> refuse(pending, Ran.MAY_HAVE_RUN, Cause.KEY_UNRESOLVED, 0, out);
         }
     }
 
-    /** The holder's answer was never recorded, its entry being gone: records it before handing it on. */
-    private void onHolderEnded(long now, Pending asked, RevokeAnswer answer, Outbox out) {
-        CallRow call = asked.call;
-        boolean whole = answer.getEnded().getCause() == Cause.CAUSE_NONE
+    /** Records the holder's answer, which its own entry failed to record, before it is delivered to the caller. */
+    private void onHolderEnded(long now, PendingRequest pending, RevokeAnswer answer, Outbox out) {
+        CallRow call = pending.call;
+        boolean complete = answer.getEnded().getCause() == Cause.CAUSE_NONE
                 && answer.hasHead()
                 && answer.getBody().size() == answer.getEnded().getLength();
-        if (!whole) {
+        if (!complete) {
             Ran ran = answer.getEnded().getRan() == Ran.RAN ? Ran.RAN : Ran.MAY_HAVE_RUN;
-            refuse(asked, ran, Cause.KEY_UNRESOLVED, 0, out);
+            refuse(pending, ran, Cause.KEY_UNRESOLVED, 0, out);
             return;
         }
-        call.claimedAttempt = asked.holder;
-        call.head = answer.getHead();
-        call.gathered = answer.getBody();
+        call.claimedAttempt = pending.holder;
+        call.answerHead = answer.getHead();
+        call.bufferedBody = answer.getBody();
         record(now, call, out);
     }
 
     void tick(long now, Outbox out) {
-        Optional<Long> due = tables.claimRetries.poll(now);
+        Optional<Long> due = state.claimTimers.poll(now);
         while (due.isPresent()) {
-            Pending asked = pending.get(due.get());
-            if (asked != null) {
-                askAgain(now, asked, out);
+            PendingRequest pending = requestByQuestion.get(due.get());
+            if (pending != null) {
+                onTimer(now, pending, out);
             }
-            due = tables.claimRetries.poll(now);
+            due = state.claimTimers.poll(now);
         }
     }
 
-    private void askAgain(long now, Pending asked, Outbox out) {
-        CallRow call = asked.call;
-        if (call.phase == CallRow.Phase.ASKING) {
-            if (now - asked.since > LONGEST_ASKING) {
-                refuse(asked, Ran.MAY_HAVE_RUN, Cause.KEY_UNRESOLVED, RETRY_AFTER_MILLIS, out);
+    private void onTimer(long now, PendingRequest pending, Outbox out) {
+        CallRow call = pending.call;
+        if (call.phase == CallRow.Phase.QUERYING_HOLDER) {
+            if (now - pending.startedAtNanos > MAX_HOLDER_QUERY_NANOS) {
+                refuse(pending, Ran.MAY_HAVE_RUN, Cause.KEY_UNRESOLVED, RETRY_AFTER_MILLIS, out);
             } else {
-                askHolder(now, asked, out);
+                queryHolder(now, pending, out);
             }
             return;
         }
-        if (call.phase == CallRow.Phase.RECORDING && now - asked.since > RECORD_PATIENCE) {
+        if (call.phase == CallRow.Phase.RECORDING && now - pending.startedAtNanos > RECORD_WAIT_NANOS) {
             deliver(call, out);
         }
-        if (call.phase == CallRow.Phase.DONE && now - asked.since > RECORD_GIVE_UP) {
-            settle(asked);
+        if (call.phase == CallRow.Phase.DONE && now - pending.startedAtNanos > RECORD_TIMEOUT_NANOS) {
+            resolve(pending);
             return;
         }
-        tables.config.suspectLeader(asked.request.getGroup(), asked.askedLeader);
-        ask(now, asked, out);
+        state.config.suspectLeader(pending.request.getGroup(), pending.targetLeader);
+        send(now, pending, out);
     }
 
-    private void ask(long now, Pending asked, Outbox out) {
-        add(asked);
-        asked.askedLeader = tables.config.leaderOf(asked.request.getGroup());
-        tables.claimRetries.set(asked.question(), now + ASK_AGAIN);
-        out.send(asked.askedLeader, Envelope.newBuilder().setClaimRequest(asked.request));
+    private void send(long now, PendingRequest pending, Outbox out) {
+        add(pending);
+        pending.targetLeader = state.config.leaderOf(pending.request.getGroup());
+        state.claimTimers.set(pending.question(), now + CLAIM_RETRY_INTERVAL_NANOS);
+        out.send(pending.targetLeader, Envelope.newBuilder().setClaimRequest(pending.request));
     }
 
-    private void granted(long now, Pending asked, Outbox out) {
-        CallRow call = asked.call;
+    private void onGranted(long now, PendingRequest pending, Outbox out) {
+        CallRow call = pending.call;
         if (call.phase != CallRow.Phase.CLAIMING) {
             return;
         }
-        settle(asked);
-        call.claimed = true;
-        call.claimedAttempt = asked.attempt.reference();
-        call.moveFrom = null;
-        AttemptRow attempt = tables.attempts.get(asked.attempt);
-        boolean stillThere = attempt != null
-                && tables.upstreams
-                        .row(asked.attempt.upstream())
-                        .filter(row -> row.session == asked.attempt.session() && row.isOpen(now))
+        resolve(pending);
+        call.claimGranted = true;
+        call.claimedAttempt = pending.attempt.reference();
+        call.moveClaimFrom = null;
+        AttemptRow attempt = state.attempts.get(pending.attempt);
+        boolean stillUsable = attempt != null
+                && state.upstreams
+                        .row(pending.attempt.upstream())
+                        .filter(row -> row.session == pending.attempt.session() && row.acceptsWork(now))
                         .isPresent();
-        if (stillThere) {
+        if (stillUsable) {
             attempts.dispatch(now, attempt, out);
             return;
         }
         if (attempt != null) {
             attempts.release(attempt);
         }
-        attempts.failed(now, call, Ran.NOT_RUN, Cause.NO_UPSTREAM, 0, out);
+        attempts.onAttemptFailed(now, call, Ran.NOT_RUN, Cause.NO_UPSTREAM, 0, out);
     }
 
-    private void recorded(Pending asked, Outbox out) {
-        if (asked.request.getActionCase() != ClaimRequest.ActionCase.END) {
+    private void onRecorded(PendingRequest pending, Outbox out) {
+        if (pending.request.getActionCase() != ClaimRequest.ActionCase.END) {
             return;
         }
-        settle(asked);
-        if (asked.call.phase == CallRow.Phase.RECORDING) {
-            deliver(asked.call, out);
+        resolve(pending);
+        if (pending.call.phase == CallRow.Phase.RECORDING) {
+            deliver(pending.call, out);
         }
-        attempts.acknowledge(asked.attempt, out);
+        attempts.acknowledge(pending.attempt, out);
     }
 
     private void deliver(CallRow call, Outbox out) {
-        answers.head(call, out);
-        answers.body(call, call.gathered, out);
-        answers.finishWhole(call, "", out);
+        answers.sendHead(call, out);
+        answers.sendBody(call, call.bufferedBody, out);
+        answers.finishComplete(call, "", out);
     }
 
-    private void held(long now, Pending asked, ClaimAnswer answer, Outbox out) {
-        if (asked.request.getActionCase() == ClaimRequest.ActionCase.END) {
-            recorded(asked, out);
+    private void onHeld(long now, PendingRequest pending, ClaimAnswer answer, Outbox out) {
+        if (pending.request.getActionCase() == ClaimRequest.ActionCase.END) {
+            onRecorded(pending, out);
             return;
         }
-        releaseReserved(asked);
-        if (answer.getAgeMs() < YOUNG_CLAIM_MILLIS) {
-            refuse(asked, Ran.MAY_HAVE_RUN, Cause.KEY_IN_PROGRESS, RETRY_AFTER_MILLIS, out);
+        releaseReserved(pending);
+        if (answer.getAgeMs() < MIN_HOLDER_QUERY_CLAIM_AGE_MILLIS) {
+            refuse(pending, Ran.MAY_HAVE_RUN, Cause.KEY_IN_PROGRESS, RETRY_AFTER_MILLIS, out);
             return;
         }
-        asked.call.phase = CallRow.Phase.ASKING;
-        settle(asked);
-        ClaimRequest again =
-                asked.request.toBuilder().setQuestion(nextQuestion++).build();
-        Pending asking = new Pending(asked.call, again, now, asked.attempt);
-        asking.holder = answer.getHolder();
-        add(asking);
-        askHolder(now, asking, out);
+        pending.call.phase = CallRow.Phase.QUERYING_HOLDER;
+        resolve(pending);
+        ClaimRequest queryRequest =
+                pending.request.toBuilder().setQuestion(nextQuestion++).build();
+        PendingRequest query = new PendingRequest(pending.call, queryRequest, now, pending.attempt);
+        query.holder = answer.getHolder();
+        add(query);
+        queryHolder(now, query, out);
     }
 
-    private void askHolder(long now, Pending asking, Outbox out) {
-        tables.claimRetries.set(asking.question(), now + ASK_HOLDER_AGAIN);
+    private void queryHolder(long now, PendingRequest query, Outbox out) {
+        state.claimTimers.set(query.question(), now + HOLDER_QUERY_INTERVAL_NANOS);
         Revoke revoke = Revoke.newBuilder()
-                .setSession(asking.holder.getSession())
-                .setNumber(asking.holder.getNumber())
-                .setQuestion(asking.question())
+                .setSession(query.holder.getSession())
+                .setNumber(query.holder.getNumber())
+                .setQuestion(query.question())
                 .build();
         out.sendFresh(
-                Address.of(asking.holder.getSidecar()), Envelope.newBuilder().setRevoke(revoke));
+                Address.of(query.holder.getSidecar()), Envelope.newBuilder().setRevoke(revoke));
     }
 
-    private void answeredBefore(Pending asked, ExchangeHead head, ByteString body, Outbox out) {
-        settle(asked);
-        releaseReserved(asked);
-        CallRow call = asked.call;
+    private void onAnsweredBefore(PendingRequest pending, ExchangeHead head, ByteString body, Outbox out) {
+        resolve(pending);
+        releaseReserved(pending);
+        CallRow call = pending.call;
         if (call.phase == CallRow.Phase.DONE) {
             return;
         }
@@ -318,48 +327,48 @@
             answers.finishFailed(call, Ran.RAN, Cause.ANSWER_TOO_LARGE, 0, "", out);
             return;
         }
-        call.head = head;
-        call.gathered = body;
+        call.answerHead = head;
+        call.bufferedBody = body;
         deliver(call, out);
     }
 
-    private void refuse(Pending asked, Ran ran, Cause cause, long retryAfterMillis, Outbox out) {
-        settle(asked);
-        releaseReserved(asked);
-        if (asked.call.phase != CallRow.Phase.DONE) {
-            answers.finishFailed(asked.call, ran, cause, retryAfterMillis, "", out);
+    private void refuse(PendingRequest pending, Ran ran, Cause cause, long retryAfterMillis, Outbox out) {
+        resolve(pending);
+        releaseReserved(pending);
+        if (pending.call.phase != CallRow.Phase.DONE) {
+            answers.finishFailed(pending.call, ran, cause, retryAfterMillis, "", out);
         }
     }
 
-    private void releaseReserved(Pending asked) {
-        AttemptRow attempt = tables.attempts.get(asked.attempt);
+    private void releaseReserved(PendingRequest pending) {
+        AttemptRow attempt = state.attempts.get(pending.attempt);
         if (attempt != null && !attempt.dispatched) {
             attempts.release(attempt);
         }
     }
 
-    private void settle(Pending asked) {
-        remove(asked);
-        if (asked.call.phase == CallRow.Phase.DONE) {
-            tables.calls.remove(asked.call.id);
+    private void resolve(PendingRequest pending) {
+        remove(pending);
+        if (pending.call.phase == CallRow.Phase.DONE) {
+            state.calls.remove(pending.call.id);
         }
     }
 
-    /** One question for each call: a new one takes the place of the one before, whose answer is then for nobody. */
-    private void add(Pending asked) {
-        Long before = questionOfCall.get(asked.call.id);
-        if (before != null && before != asked.question()) {
-            pending.remove(before);
-            tables.claimRetries.clear(before);
+    /** Registers the one outstanding request of a call. The answer to a replaced request is ignored. */
+    private void add(PendingRequest pending) {
+        Long previous = questionByCall.get(pending.call.id);
+        if (previous != null && previous != pending.question()) {
+            requestByQuestion.remove(previous);
+            state.claimTimers.clear(previous);
         }
-        pending.put(asked.question(), asked);
-        questionOfCall.put(asked.call.id, asked.question());
+        requestByQuestion.put(pending.question(), pending);
+        questionByCall.put(pending.call.id, pending.question());
     }
 
-    private void remove(Pending asked) {
-        pending.remove(asked.question());
-        questionOfCall.remove(asked.call.id, asked.question());
-        tables.claimRetries.clear(asked.question());
+    private void remove(PendingRequest pending) {
+        requestByQuestion.remove(pending.question());
+        questionByCall.remove(pending.call.id, pending.question());
+        state.claimTimers.clear(pending.question());
     }
 
     private ClaimRequest.Builder request(CallRow call) {
@@ -372,9 +381,9 @@
     }
 
     private String group(CallRow call) {
-        return Optional.ofNullable(tables.config.config().services().get(call.target()))
+        return Optional.ofNullable(state.config.config().services().get(call.target()))
                 .flatMap(ServiceConfig::homeRegion)
-                .orElse(tables.settings.claimGroup());
+                .orElse(state.settings.claimGroup());
     }
 
     private static long bodyHash(Exchange exchange) {
--- a/src/main/java/org/cuminshelf/entry/ConfigSubscription.java
+++ b/src/main/java/org/cuminshelf/entry/ConfigSubscription.java
@@ -17,41 +17,44 @@
 import org.cuminshelf.message.Update;
 
 /**
- * The configuration in force in this process and the subscription that keeps it new.
+ * The configuration in force in this process, and its subscription at the control processes of its region.
  *
- * <p>Failure it guards against: a process without a disk restarts and is taught an older configuration by a stale
- * peer, so that a limit or an event that was in force here is undone. A fresh process is ready only after a quorum
- * confirmed a version to it, or, when no quorum can be reached, after every control process of its own region
- * answered as a voter: its earlier incarnation learnt from those alone, each of them durably knew what it told, and
- * one whose disk was replaced does not count before a quorum has taken it in.
+ * <p>Failure it guards against: a process without a disk restarts and receives an older configuration from a stale
+ * control process, so that a limit or an event that was in force here is undone. A new process is ready only after a
+ * quorum has confirmed a version. If no quorum can be reached, it is ready after every control process of its region
+ * has answered as a voter: the earlier incarnation had its configuration only from these, each of which had stored
+ * durably what it sent. A control process whose disk was replaced is no voter until a quorum has admitted it.
  */
 final class ConfigSubscription {
 
-    /** The group that accepts configurations. */
+    /** The replicated group that accepts configurations. */
     private static final String GLOBAL_GROUP = "global";
 
-    private static final long ASK_EVERY = Durations.nanos(1_000);
-    private static final long ASK_EVERY_UNREADY = Durations.nanos(200);
-    /** Answers older than this do not count towards "every control process answered". */
-    private static final long ANSWER_FRESH = Durations.nanos(2_000);
+    private static final long SUBSCRIBE_INTERVAL_NANOS = Durations.nanos(1_000);
+    private static final long SUBSCRIBE_INTERVAL_UNREADY_NANOS = Durations.nanos(200);
+    /** Maximum age of an answer for the rule that every control process has answered. */
+    private static final long MAX_ANSWER_AGE_NANOS = Durations.nanos(2_000);
 
     private final EntrySettings settings;
     private final Invariants invariants;
     private final UpstreamDirectory upstreams;
-    private final Map<Address, Long> answeredAt = new HashMap<>();
-    private final Map<String, Address> leaders = new HashMap<>();
+    /** When each control process last answered as a voter. */
+    private final Map<Address, Long> answeredAtNanos = new HashMap<>();
+
+    private final Map<String, Address> leaderByGroup = new HashMap<>();
     private volatile FleetConfig config = FleetConfig.empty();
     private volatile long version;
     private volatile boolean ready;
-    private long nextAsk;
-    private int entries = 1;
-    private final Map<String, OfferedWork> offered = new TreeMap<>();
+    private long nextSubscribeNanos;
+    private int entryCount = 1;
+    /** Generations offered since the start of this process, by model. */
+    private final Map<String, OfferedWork> offeredByModel = new TreeMap<>();
 
     ConfigSubscription(EntrySettings settings, UpstreamDirectory upstreams, long now, Invariants invariants) {
         this.settings = settings;
         this.upstreams = upstreams;
         this.invariants = invariants;
-        this.nextAsk = now;
+        this.nextSubscribeNanos = now;
     }
 
     FleetConfig config() {
@@ -62,52 +65,56 @@
         return version;
     }
 
-    /** Whether this process may serve. */
+    /** Returns whether this process may serve calls. */
     boolean isReady() {
         return ready;
     }
 
-    /** Entries among which the limits are shared. */
-    int entries() {
-        return entries;
+    /** Returns the number of entries that share the rate limits. */
+    int entryCount() {
+        return entryCount;
     }
 
-    /** Counts a generation that was offered, whether or not it can be served: the planner must see what is refused. */
-    void offered(Generation generation, double outputTokens) {
+    /** Counts an offered generation. Refused ones count too, because the planner needs the whole demand. */
+    void recordOffered(Generation generation, double outputTokens) {
         if (!config.models().containsKey(generation.getModel())) {
             return;
         }
-        OfferedWork before = offered.getOrDefault(generation.getModel(), OfferedWork.getDefaultInstance());
+        OfferedWork before = offeredByModel.getOrDefault(generation.getModel(), OfferedWork.getDefaultInstance());
         OfferedWork after = OfferedWork.newBuilder()
                 .setModel(generation.getModel())
                 .setPrefill(before.getPrefill() + generation.getPromptTokens())
                 .setDecode(before.getDecode() + Math.round(outputTokens))
                 .build();
-        offered.put(generation.getModel(), after);
+        offeredByModel.put(generation.getModel(), after);
     }
 
     Address leaderOf(String group) {
-        Address known = leaders.get(group);
-        return known != null ? known : settings.control().getFirst();
+        Address known = leaderByGroup.get(group);
+        return known != null ? known : settings.controlAddresses().getFirst();
     }
 
+    /** Switches to the next control process after a suspected leader did not answer. */
     void suspectLeader(String group, Address suspect) {
-        int index = settings.control().indexOf(suspect);
-        leaders.put(
-                group, settings.control().get((index + 1) % settings.control().size()));
+        int index = settings.controlAddresses().indexOf(suspect);
+        leaderByGroup.put(
+                group,
+                settings.controlAddresses()
+                        .get((index + 1) % settings.controlAddresses().size()));
     }
 
+    /** Stores the leader that a control process reported; an empty address changes nothing. */
     void learnLeader(String group, String address) {
         if (!address.isEmpty()) {
-            leaders.put(group, Address.of(address));
+            leaderByGroup.put(group, Address.of(address));
         }
     }
 
     void onUpdate(long now, Address control, Update update) {
         if (update.getVoter()) {
-            answeredAt.put(control, now);
+            answeredAtNanos.put(control, now);
         }
-        entries = Math.max(1, update.getEntries());
+        entryCount = Math.max(1, update.getEntries());
         update.getLeadersList().forEach(leader -> learnLeader(leader.getGroup(), leader.getAddress()));
         long before = version;
         if (update.getConfigVersion() > version && !update.getConfig().isEmpty()) {
@@ -123,15 +130,15 @@
         if (update.getConfirmed() && update.getConfigVersion() <= version) {
             ready = true;
         }
-        ready = ready || allAnswered(now);
+        ready = ready || allControlProcessesAnswered(now);
     }
 
     void tick(long now, Outbox out) {
-        if (now < nextAsk) {
+        if (now < nextSubscribeNanos) {
             return;
         }
-        nextAsk = now + (ready ? ASK_EVERY : ASK_EVERY_UNREADY);
-        for (Address control : settings.control()) {
+        nextSubscribeNanos = now + (ready ? SUBSCRIBE_INTERVAL_NANOS : SUBSCRIBE_INTERVAL_UNREADY_NANOS);
+        for (Address control : settings.controlAddresses()) {
             Subscribe subscribe = Subscribe.newBuilder()
                     .setConfigVersion(version)
                     .setDirectoryVersion(upstreams.directoryVersion(control))
@@ -140,12 +147,12 @@
                     .setRegion(settings.region())
                     .setVm(settings.vm())
                     .setWantsDirectory(true)
-                    .addAllOffered(offered.values())
+                    .addAllOffered(offeredByModel.values())
                     .build();
             out.send(control, Envelope.newBuilder().setSubscribe(subscribe));
         }
-        Address leader = leaders.get(GLOBAL_GROUP);
-        if (!ready && leader != null && !settings.control().contains(leader)) {
+        Address leader = leaderByGroup.get(GLOBAL_GROUP);
+        if (!ready && leader != null && !settings.controlAddresses().contains(leader)) {
             Subscribe subscribe = Subscribe.newBuilder()
                     .setConfigVersion(version)
                     .setConfirm(true)
@@ -157,16 +164,16 @@
     }
 
     long nextDue() {
-        return nextAsk;
+        return nextSubscribeNanos;
     }
 
-    private boolean allAnswered(long now) {
-        Set<Address> fresh = new TreeSet<>();
-        answeredAt.forEach((control, at) -> {
-            if (now - at <= ANSWER_FRESH) {
-                fresh.add(control);
+    private boolean allControlProcessesAnswered(long now) {
+        Set<Address> recent = new TreeSet<>();
+        answeredAtNanos.forEach((control, at) -> {
+            if (now - at <= MAX_ANSWER_AGE_NANOS) {
+                recent.add(control);
             }
         });
-        return fresh.containsAll(settings.control());
+        return recent.containsAll(settings.controlAddresses());
     }
 }
--- a/src/main/java/org/cuminshelf/entry/EntryCore.java
+++ b/src/main/java/org/cuminshelf/entry/EntryCore.java
@@ -13,12 +13,16 @@
 import org.cuminshelf.message.SessionOpened;
 import org.cuminshelf.message.Stopped;
 
-/** The decisions of an entry: its tables and the systems that run over them, in this order at each tick. */
+/**
+ * The state machine of an entry: it receives messages, advances its systems at each tick, and sends messages. It does
+ * no input or output of its own.
+ */
 public final class EntryCore implements Core {
 
-    private static final int RETRY_AFTER_DEADLINE_MILLIS = 500;
+    /** Time after which a caller may retry a call whose deadline passed. */
+    private static final int DEADLINE_RETRY_AFTER_MILLIS = 500;
 
-    private final EntryState tables;
+    private final EntryState state;
     private final long ownIncarnation;
     private final AnswerSystem answers;
     private final AttemptSystem attempts;
@@ -28,26 +32,26 @@
     private volatile boolean leaving;
     private boolean stopReported;
 
-    private EntryCore(EntryState tables, long incarnation) {
-        this.tables = tables;
+    private EntryCore(EntryState state, long incarnation) {
+        this.state = state;
         this.ownIncarnation = incarnation;
-        Router router = new Router(tables);
-        this.answers = new AnswerSystem(tables);
-        this.attempts = new AttemptSystem(tables, answers);
-        this.claims = new ClaimSystem(tables, answers, attempts, incarnation);
-        this.attempts.claims(claims);
-        this.admission = new AdmissionSystem(tables, answers, router);
-        this.routing = new RoutingSystem(tables, router, attempts, claims, answers);
+        Router router = new Router(state);
+        this.answers = new AnswerSystem(state);
+        this.attempts = new AttemptSystem(state, answers);
+        this.claims = new ClaimSystem(state, answers, attempts, incarnation);
+        this.attempts.setClaimSystem(claims);
+        this.admission = new AdmissionSystem(state, answers, router);
+        this.routing = new RoutingSystem(state, router, attempts, claims, answers);
     }
 
     /**
-     * Makes the core of a starting entry.
+     * Creates the core of a starting entry.
      *
-     * @param settings    its place
-     * @param self        its own address
+     * @param settings    the settings of the entry
+     * @param self        the address of the entry
      * @param incarnation the incarnation of this process, never used before at this address
-     * @param now         the time in nanoseconds
-     * @param invariants  receives the outcome of assertions
+     * @param now         the monotonic time in nanoseconds
+     * @param invariants  receives the results of invariant checks
      * @return the core
      */
     public static EntryCore start(
@@ -68,29 +72,29 @@
             case SESSION_OPENED -> onSession(now, from, input.getIncarnation(), input.getSessionOpened(), out);
             case LOAD_REPORT -> attempts.onLoad(from, input.getLoadReport());
             case UPDATE -> {
-                tables.upstreams.onUpdate(from, input.getUpdate());
-                tables.config.onUpdate(now, from, input.getUpdate());
-                tables.routingDue = true;
+                state.upstreams.onUpdate(from, input.getUpdate());
+                state.config.onUpdate(now, from, input.getUpdate());
+                state.routingDue = true;
             }
             case CLAIM_ANSWER -> claims.onAnswer(now, from, input.getClaimAnswer(), out);
             case STOP -> leaving = true;
             default -> {
-                // Not a message for an entry.
+                // Not addressed to an entry.
             }
         }
-        forgetDone();
+        removeFinishedCalls();
     }
 
     @Override
     public void tick(long now, Outbox out) {
-        tables.config.tick(now, out);
-        tables.upstreams.tick(now, out);
+        state.config.tick(now, out);
+        state.upstreams.tick(now, out);
         claims.tick(now, out);
         attempts.tick(now, out);
         expire(now, out);
         routing.tick(now, out);
-        forgetDone();
-        if (leaving && tables.calls.isEmpty() && !stopReported) {
+        removeFinishedCalls();
+        if (leaving && state.calls.isEmpty() && !stopReported) {
             stopReported = true;
             out.send(Address.PROCESS, Envelope.newBuilder().setStopped(Stopped.getDefaultInstance()));
         }
@@ -98,60 +102,60 @@
 
     @Override
     public long nextDue() {
-        long due = Math.min(tables.config.nextDue(), tables.upstreams.nextDue());
-        due = Math.min(due, Math.min(tables.probes.next(), tables.claimRetries.next()));
-        return Math.min(due, Math.min(tables.callDeadlines.next(), routing.nextDue()));
+        long due = Math.min(state.config.nextDue(), state.upstreams.nextDue());
+        due = Math.min(due, Math.min(state.probeTimers.next(), state.claimTimers.next()));
+        return Math.min(due, Math.min(state.callDeadlines.next(), routing.nextDue()));
     }
 
     /**
-     * Tells whether this entry may be given calls.
+     * Returns whether this entry accepts calls.
      *
-     * @return true when the configuration is known and it is not leaving
+     * @return true if the configuration is known and the entry is not leaving
      */
     public boolean isReady() {
-        return tables.config.isReady() && !leaving;
+        return state.config.isReady() && !leaving;
     }
 
     /**
-     * The version of the configuration in force here.
+     * Returns the version of the configuration in force.
      *
-     * @return the version, 0 before the first
+     * @return the version, 0 before the first configuration
      */
     public long configVersion() {
-        return tables.config.version();
+        return state.config.version();
     }
 
     /**
-     * The configuration in force here.
+     * Returns the configuration in force.
      *
      * @return the configuration
      */
     public org.cuminshelf.config.FleetConfig config() {
-        return tables.config.config();
+        return state.config.config();
     }
 
     /**
-     * Counts the calls not answered yet.
+     * Returns the number of calls without a final answer.
      *
-     * @return their number
+     * @return the number of open calls
      */
     public int openCalls() {
-        return tables.calls.size();
+        return state.calls.size();
     }
 
     private void onSession(long now, Address from, long incarnation, SessionOpened opened, Outbox out) {
-        Optional<UpstreamRow> row = tables.upstreams.row(from);
-        // A session that the sidecar opened for a dead incarnation of this entry holds attempts of that one.
+        Optional<UpstreamRow> row = state.upstreams.row(from);
+        // A session opened for an earlier incarnation of this entry belongs to the attempts of that incarnation.
         boolean own = opened.getEntryIncarnation() == ownIncarnation;
         if (!own || row.isEmpty() || row.get().isSuperseded(incarnation)) {
             return;
         }
         boolean restarted =
-                tables.upstreams.onSession(now, row.get(), incarnation, opened.getSession(), opened.getLoad());
+                state.upstreams.onSession(now, row.get(), incarnation, opened.getSession(), opened.getLoad());
         if (restarted) {
             attempts.onRestart(now, from, opened.getSession(), out);
         }
-        tables.routingDue = true;
+        state.routingDue = true;
     }
 
     private void onRevokeAnswer(long now, Address from, RevokeAnswer answer, Outbox out) {
@@ -163,11 +167,11 @@
     }
 
     private void onCallGone(CallGone gone, Outbox out) {
-        CallRow call = tables.calls.get(gone.getCall());
+        CallRow call = state.calls.get(gone.getCall());
         if (call == null || call.phase == CallRow.Phase.DONE) {
             return;
         }
-        call.callerGone = true;
+        call.callerDisconnected = true;
         if (!call.isGeneration()) {
             return;
         }
@@ -178,41 +182,41 @@
         answers.finishFailed(call, Ran.MAY_HAVE_RUN, Cause.CANCELLED, 0, "", out);
     }
 
-    /** Gives calls whose deadline passed their final answer. */
+    /** Finishes the calls whose deadline has passed. */
     private void expire(long now, Outbox out) {
-        Optional<Long> due = tables.callDeadlines.poll(now);
+        Optional<Long> due = state.callDeadlines.poll(now);
         while (due.isPresent()) {
-            CallRow call = tables.calls.get(due.get());
+            CallRow call = state.calls.get(due.get());
             if (call != null && call.phase != CallRow.Phase.DONE && call.phase != CallRow.Phase.RECORDING) {
                 expire(call, out);
             }
-            due = tables.callDeadlines.poll(now);
+            due = state.callDeadlines.poll(now);
         }
     }
 
     private void expire(CallRow call, Outbox out) {
         boolean sent = call.attempt != null && call.attempt.dispatched;
-        boolean otherMayRun = call.phase == CallRow.Phase.ASKING;
-        Ran ran = sent || call.mayHaveRun || otherMayRun ? Ran.MAY_HAVE_RUN : Ran.NOT_RUN;
+        boolean holderMayRun = call.phase == CallRow.Phase.QUERYING_HOLDER;
+        Ran ran = sent || call.mayHaveRun || holderMayRun ? Ran.MAY_HAVE_RUN : Ran.NOT_RUN;
         if (call.attempt != null) {
             if (call.isGeneration()) {
                 attempts.cancel(call.attempt, out);
             }
             attempts.release(call.attempt);
         }
-        claims.forget(call);
-        if (ran == Ran.NOT_RUN && call.claimed) {
-            claims.drop(call, out);
+        claims.cancel(call);
+        if (ran == Ran.NOT_RUN && call.claimGranted) {
+            claims.release(call, out);
         }
         Cause cause = call.lastCause == Cause.CAUSE_NONE || sent ? Cause.DEADLINE_PASSED : call.lastCause;
-        answers.finishFailed(call, ran, cause, RETRY_AFTER_DEADLINE_MILLIS, "", out);
+        answers.finishFailed(call, ran, cause, DEADLINE_RETRY_AFTER_MILLIS, "", out);
     }
 
-    private void forgetDone() {
-        for (CallRow call : answers.takeFinished()) {
-            claims.forget(call);
+    private void removeFinishedCalls() {
+        for (CallRow call : answers.drainFinished()) {
+            claims.cancel(call);
             if (!claims.isPending(call)) {
-                tables.calls.remove(call.id);
+                state.calls.remove(call.id);
             }
         }
     }
--- a/src/main/java/org/cuminshelf/entry/EntryState.java
+++ b/src/main/java/org/cuminshelf/entry/EntryState.java
@@ -7,7 +7,7 @@
 import org.cuminshelf.core.Deadlines;
 import org.cuminshelf.core.Invariants;
 
-/** The tables of an entry, shared by its systems. */
+/** The state of an entry, shared by its systems. */
 final class EntryState {
 
     final EntrySettings settings;
@@ -17,17 +17,20 @@
     final Map<Long, CallRow> calls = new LinkedHashMap<>();
     final Map<AttemptRow.Key, AttemptRow> attempts = new HashMap<>();
     final Deadlines<Long> callDeadlines = Deadlines.create();
-    final Deadlines<AttemptRow.Key> probes = Deadlines.create();
-    final Deadlines<Long> claimRetries = Deadlines.create();
-    final WaitingCalls waiting = new WaitingCalls();
-    final OrganisationRateLimiter limits = new OrganisationRateLimiter();
+    /** When each dispatched attempt is probed next. */
+    final Deadlines<AttemptRow.Key> probeTimers = Deadlines.create();
+    /** When each claim request, by question number, is sent again. */
+    final Deadlines<Long> claimTimers = Deadlines.create();
+
+    final WaitingCalls waitingCalls = new WaitingCalls();
+    final OrganisationRateLimiter rateLimiter = new OrganisationRateLimiter();
     final RetryBudget retryBudget = new RetryBudget();
-    final OutputLengthEstimator estimates = new OutputLengthEstimator();
-    /** Number of the next attempt, over all upstreams and sessions. */
-    long nextAttempt = 1;
-    /** Attempts on engines that will hand their stream over after the first token. */
-    int prefilling;
-    /** Whether something happened that may let a waiting call go on. */
+    final OutputLengthEstimator outputLengths = new OutputLengthEstimator();
+    /** Number of the next attempt; unique over all upstreams and sessions. */
+    long nextAttemptNumber = 1;
+    /** Number of attempts whose stream moves to another engine after the first token. */
+    int prefillOnlyAttempts;
+    /** Whether a change since the last tick may allow a waiting call to be dispatched. */
     boolean routingDue;
 
     EntryState(EntrySettings settings, Address self, long now, Invariants invariants) {
--- a/src/main/java/org/cuminshelf/entry/OrganisationRateLimiter.java
+++ b/src/main/java/org/cuminshelf/entry/OrganisationRateLimiter.java
@@ -7,19 +7,21 @@
 import org.cuminshelf.config.OrganisationConfig;
 
 /**
- * The limits of organisations: a token bucket each, holding this entry's share of the organisation's rate. The share
- * is the rate over the entries that control hears from, so no call is made per request; while the count of entries
- * changes the sum may be off by that change for a heartbeat.
+ * Enforces the request rates of organisations with one token bucket each. Each bucket holds this entry's share: the
+ * organisation's rate divided by the number of entries that control reports, so that no remote request is needed for
+ * each call. When the number of entries changes, the sum of all shares may be wrong by that change for one heartbeat.
  */
 final class OrganisationRateLimiter {
 
-    private static final int REMEMBERED_ORGANISATIONS = 10_000;
+    private static final int MAX_ORGANISATIONS = 10_000;
+    /** Bucket size, in seconds of the rate, where the configuration states no burst. */
     private static final double BURST_SECONDS = 2;
+
     private static final double NANOS_PER_SECOND = 1e9;
 
     private static final class Bucket {
         private double tokens;
-        private long filledAt;
+        private long refilledAtNanos;
     }
 
     private final Map<String, Bucket> buckets = new LinkedHashMap<>(16, 0.75f, true) {
@@ -27,39 +29,40 @@
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, Bucket> eldest) {
-            return size() > REMEMBERED_ORGANISATIONS;
+            return size() > MAX_ORGANISATIONS;
         }
     };
 
     /**
-     * Takes one request from the organisation's share.
+     * Takes one token from the organisation's bucket.
      *
-     * @return nothing if it may go on, or the milliseconds until it may be tried again
+     * @return empty if the request is within the limit, or else the milliseconds until the next token
      */
-    Optional<Long> take(long now, String organisation, FleetConfig config, int entries) {
+    Optional<Long> acquire(long now, String organisation, FleetConfig config, int entryCount) {
         Optional<Double> rate = config.organisation(organisation).flatMap(OrganisationConfig::requestsPerSecond);
         if (rate.isEmpty()) {
             return Optional.empty();
         }
-        double share = rate.get() / entries;
+        double sharePerSecond = rate.get() / entryCount;
         double burst = config.organisation(organisation)
                         .flatMap(OrganisationConfig::burst)
                         .orElse(rate.get() * BURST_SECONDS)
-                / entries;
+                / entryCount;
         double capacity = Math.max(1, burst);
         Bucket bucket = buckets.get(organisation);
         if (bucket == null) {
             bucket = new Bucket();
             bucket.tokens = capacity;
-            bucket.filledAt = now;
+            bucket.refilledAtNanos = now;
             buckets.put(organisation, bucket);
         }
-        bucket.tokens = Math.min(capacity, bucket.tokens + (now - bucket.filledAt) / NANOS_PER_SECOND * share);
-        bucket.filledAt = now;
+        bucket.tokens =
+                Math.min(capacity, bucket.tokens + (now - bucket.refilledAtNanos) / NANOS_PER_SECOND * sharePerSecond);
+        bucket.refilledAtNanos = now;
         if (bucket.tokens >= 1) {
             bucket.tokens -= 1;
             return Optional.empty();
         }
-        return Optional.of((long) Math.ceil((1 - bucket.tokens) / share * 1000));
+        return Optional.of((long) Math.ceil((1 - bucket.tokens) / sharePerSecond * 1000));
     }
 }
--- a/src/main/java/org/cuminshelf/entry/OutputLengthEstimator.java
+++ b/src/main/java/org/cuminshelf/entry/OutputLengthEstimator.java
@@ -4,12 +4,15 @@
 import java.util.Map;
 import org.cuminshelf.message.Generation;
 
-/** How many tokens a model's answers have, learnt for each organisation by an exponentially weighted mean. */
+/**
+ * Estimates how many tokens an answer will have, by an exponentially weighted mean for each organisation and model.
+ */
 final class OutputLengthEstimator {
 
-    private static final int REMEMBERED = 10_000;
-    private static final double WEIGHT_OF_NEW = 0.2;
-    private static final double FIRST_GUESS_OF_LIMIT = 0.5;
+    private static final int MAX_ENTRIES = 10_000;
+    private static final double SMOOTHING_FACTOR = 0.2;
+    /** Share of the token limit that is expected before any answer was recorded. */
+    private static final double INITIAL_SHARE_OF_LIMIT = 0.5;
 
     private record Key(String organisation, String model) {}
 
@@ -18,20 +21,20 @@
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<Key, Double> eldest) {
-            return size() > REMEMBERED;
+            return size() > MAX_ENTRIES;
         }
     };
 
-    double expected(String organisation, Generation generation) {
+    double expectedTokens(String organisation, Generation generation) {
         double limit = generation.getMaxTokens();
         Double mean = means.get(new Key(organisation, generation.getModel()));
-        return Math.min(limit, mean == null ? limit * FIRST_GUESS_OF_LIMIT : mean);
+        return Math.min(limit, mean == null ? limit * INITIAL_SHARE_OF_LIMIT : mean);
     }
 
-    void learn(String organisation, String model, int tokens) {
+    void record(String organisation, String model, int tokens) {
         means.merge(
                 new Key(organisation, model),
                 (double) tokens,
-                (mean, latest) -> mean + WEIGHT_OF_NEW * (latest - mean));
+                (mean, latest) -> mean + SMOOTHING_FACTOR * (latest - mean));
     }
 }
--- a/src/main/java/org/cuminshelf/entry/RetryBudget.java
+++ b/src/main/java/org/cuminshelf/entry/RetryBudget.java
@@ -4,30 +4,34 @@
 import java.util.Map;
 
 /**
- * Bounds the retries of each service to a share of its first tries. Guards against a retry storm: when a zone goes,
- * every call fails at once, and retries without a budget would multiply the load on what is left.
+ * Limits the retries for each service or model to a share of its first attempts. This prevents a retry storm: when a
+ * zone fails, every call fails at once, and unlimited retries would multiply the load on the remaining upstreams.
  */
 final class RetryBudget {
 
-    private static final double EARNED_PER_CALL = 0.2;
-    private static final double LARGEST = 20;
+    /** Retries that each new call adds to the budget. */
+    private static final double TOKENS_PER_CALL = 0.2;
 
-    private final Map<String, Double> saved = new HashMap<>();
+    private static final double MAX_TOKENS = 20;
 
+    private final Map<String, Double> tokensByTarget = new HashMap<>();
+
+    /** Adds the share of a new call to the budget. */
     void onCall(String target) {
-        saved.put(target, Math.min(LARGEST, held(target) + EARNED_PER_CALL));
+        tokensByTarget.put(target, Math.min(MAX_TOKENS, tokens(target) + TOKENS_PER_CALL));
     }
 
-    boolean take(String target) {
-        double held = held(target);
-        if (held < 1) {
+    /** Takes one retry from the budget; returns whether one was available. */
+    boolean tryTake(String target) {
+        double tokens = tokens(target);
+        if (tokens < 1) {
             return false;
         }
-        saved.put(target, held - 1);
+        tokensByTarget.put(target, tokens - 1);
         return true;
     }
 
-    private double held(String target) {
-        return saved.getOrDefault(target, LARGEST);
+    private double tokens(String target) {
+        return tokensByTarget.getOrDefault(target, MAX_TOKENS);
     }
 }
--- a/src/main/java/org/cuminshelf/entry/RoutingPolicy.java
+++ b/src/main/java/org/cuminshelf/entry/RoutingPolicy.java
@@ -1,14 +1,14 @@
 package org.cuminshelf.entry;
 
-/** How an entry chooses among the upstreams of a call. All but the first are baselines to measure against. */
+/** How an entry chooses among the upstreams of a call. All but the first are baselines for comparison. */
 public sealed interface RoutingPolicy {
 
-    /** The upstream expected to answer first, by work waiting there, cached prefix, role and zone. */
+    /** Chooses the upstream expected to finish first, by queued work, cached prefix, role and availability zone. */
     record EarliestAnswer() implements RoutingPolicy {}
 
-    /** The upstream with the fewest calls by the last load report. */
+    /** Chooses the upstream with the fewest calls in its last load report. */
     record LeastLoaded() implements RoutingPolicy {}
 
-    /** Each upstream in turn. */
+    /** Chooses the upstreams in turn. */
     record RoundRobin() implements RoutingPolicy {}
 }
--- a/src/main/java/org/cuminshelf/entry/RoutingSystem.java
+++ b/src/main/java/org/cuminshelf/entry/RoutingSystem.java
@@ -11,101 +11,102 @@
 import org.cuminshelf.message.Cause;
 import org.cuminshelf.message.Ran;
 
-/** Gives waiting calls to upstreams, in the order in which they deserve it. */
+/** Assigns waiting calls to upstreams in the order of {@link WaitingCalls}, and refuses those that would be late. */
 final class RoutingSystem {
 
     private static final double MILLIS_PER_SECOND = 1e3;
-    /** Share of the limit by which the estimate may be off: it takes slow moments for usual ones. */
-    private static final double DOUBT = 1.12;
+    /** Factor by which the estimate may exceed the limit, because short slowdowns make it too high. */
+    private static final double ESTIMATE_TOLERANCE = 1.12;
 
-    private static final long SHORTEST_RETRY_AFTER_MILLIS = 250;
-    private static final long LOOK_AGAIN = Durations.nanos(20);
+    private static final long MIN_RETRY_AFTER_MILLIS = 250;
+    private static final long RECHECK_INTERVAL_NANOS = Durations.nanos(20);
 
-    private final EntryState tables;
+    private final EntryState state;
     private final Router router;
     private final AttemptSystem attempts;
     private final ClaimSystem claims;
     private final AnswerSystem answers;
-    private long lookAgainAt = Core.NEVER;
+    private long recheckAtNanos = Core.NEVER;
 
-    RoutingSystem(EntryState tables, Router router, AttemptSystem attempts, ClaimSystem claims, AnswerSystem answers) {
+    RoutingSystem(EntryState state, Router router, AttemptSystem attempts, ClaimSystem claims, AnswerSystem answers) {
         this.answers = answers;
-        this.tables = tables;
+        this.state = state;
         this.router = router;
         this.attempts = attempts;
         this.claims = claims;
     }
 
     void tick(long now, Outbox out) {
-        if (!tables.routingDue && now < lookAgainAt) {
+        if (!state.routingDue && now < recheckAtNanos) {
             return;
         }
-        tables.routingDue = false;
-        Set<String> full = new HashSet<>();
-        Iterator<CallRow> calls = tables.waiting.inOrder();
+        state.routingDue = false;
+        Set<String> saturatedTargets = new HashSet<>();
+        Iterator<CallRow> calls = state.waitingCalls.inOrder();
         while (calls.hasNext()) {
             CallRow call = calls.next();
-            if (full.contains(call.target())) {
+            if (saturatedTargets.contains(call.target())) {
                 refuseIfLate(now, call, out);
                 continue;
             }
             Optional<Router.Choice> choice = router.choose(now, call);
-            if (choice.isPresent() && comesTooLate(now, call, choice.get().firstTokenSeconds())) {
+            if (choice.isPresent()
+                    && missesFirstTokenLimit(now, call, choice.get().firstTokenSeconds())) {
                 refuse(now, call, choice.get().firstTokenSeconds(), out);
             } else if (choice.isPresent()) {
                 send(now, call, choice.get(), out);
-            } else if (comesTooLate(now, call, 0)) {
+            } else if (missesFirstTokenLimit(now, call, 0)) {
                 refuse(now, call, 0, out);
-            } else if (call.excluded.isEmpty()) {
-                full.add(call.target());
+            } else if (call.excludedUpstreams.isEmpty()) {
+                saturatedTargets.add(call.target());
             } else {
-                // All that is left were tried before: they may be tried again.
-                call.excluded.clear();
+                // Only excluded upstreams are left; allow them again.
+                call.excludedUpstreams.clear();
             }
         }
-        lookAgainAt = tables.waiting.size() > 0 ? now + LOOK_AGAIN : Core.NEVER;
+        recheckAtNanos = state.waitingCalls.size() > 0 ? now + RECHECK_INTERVAL_NANOS : Core.NEVER;
     }
 
     long nextDue() {
-        return tables.routingDue ? 0 : lookAgainAt;
+        return state.routingDue ? 0 : recheckAtNanos;
     }
 
     private void refuseIfLate(long now, CallRow call, Outbox out) {
-        if (comesTooLate(now, call, 0)) {
+        if (missesFirstTokenLimit(now, call, 0)) {
             refuse(now, call, 0, out);
         }
     }
 
     /**
-     * Whether the first token would come too late even from the best engine. Such a call is refused at once, with the
-     * time after which to come back: taken in, it would be late itself and make those behind it late.
+     * Returns whether the first token would be late even from the best engine. Such a call is refused at once with a
+     * retry time: if accepted, it would be late and would delay the calls behind it.
      */
-    private boolean comesTooLate(long now, CallRow call, double firstTokenSeconds) {
-        if (!call.isGeneration() || !call.delivered.isEmpty()) {
+    private boolean missesFirstTokenLimit(long now, CallRow call, double firstTokenSeconds) {
+        if (!call.isGeneration() || !call.deliveredTokens.isEmpty()) {
             return false;
         }
-        return Durations.millis(now - call.arrivedAt) + firstTokenSeconds * MILLIS_PER_SECOND
-                > firstTokenLimitMillis(call) * DOUBT;
+        return Durations.millis(now - call.arrivedAtNanos) + firstTokenSeconds * MILLIS_PER_SECOND
+                > firstTokenLimitMillis(call) * ESTIMATE_TOLERANCE;
     }
 
-    /** The model's time to the first token; a caller that names a deadline of its own accepts half of that. */
+    /** The model's limit for the first token, or half of the deadline that the caller stated if that is longer. */
     private long firstTokenLimitMillis(CallRow call) {
-        ModelConfig model = tables.config.config().models().get(call.target());
+        ModelConfig model = state.config.config().models().get(call.target());
         return Math.max(model.firstTokenMillis(), call.request.getDeadlineMs() / 2);
     }
 
     private void refuse(long now, CallRow call, double firstTokenSeconds, Outbox out) {
-        double late = Durations.millis(now - call.arrivedAt)
+        double lateMillis = Durations.millis(now - call.arrivedAtNanos)
                 + firstTokenSeconds * MILLIS_PER_SECOND
                 - firstTokenLimitMillis(call);
-        long retryAfter = Math.max(SHORTEST_RETRY_AFTER_MILLIS, (long) late);
-        answers.finishFailed(call, Ran.NOT_RUN, Cause.OVERLOADED, retryAfter, "", out);
+        long retryAfterMillis = Math.max(MIN_RETRY_AFTER_MILLIS, (long) lateMillis);
+        answers.finishFailed(call, Ran.NOT_RUN, Cause.OVERLOADED, retryAfterMillis, "", out);
     }
 
     private void send(long now, CallRow call, Router.Choice choice, Outbox out) {
-        tables.waiting.taken(call);
+        state.waitingCalls.removeRouted(call);
         AttemptRow attempt = attempts.reserve(call, choice);
-        if (call.hasKey() && (!call.claimed || call.moveFrom != null)) {
+        if (call.requiresClaim() && (!call.claimGranted || call.moveClaimFrom != null)) {
             claims.claim(now, call, attempt, out);
         } else {
             attempts.dispatch(now, attempt, out);
--- a/src/main/java/org/cuminshelf/entry/UpstreamDirectory.java
+++ b/src/main/java/org/cuminshelf/entry/UpstreamDirectory.java
@@ -25,38 +25,42 @@
 import org.cuminshelf.message.UpstreamKind;
 
 /**
- * The table of upstreams: who is there according to the control processes, and the sessions with those in this
- * entry's subset.
+ * The upstreams that the control processes list, and the sessions with those in this entry's subset.
  *
- * <p>An upstream is gone when no control process lists it any more; the view of one alone removes nothing. When no
- * control process can be reached the table stays as it was. A session's silence is this entry's own view: it keeps
- * new work away from here and tells nobody else.
+ * <p>An upstream is removed only when no control process lists it any more. If no control process can be reached, the
+ * directory stays unchanged. Whether a session is silent is a local observation: this entry stops sending new work to
+ * the upstream but does not report it to other processes.
  */
 final class UpstreamDirectory {
 
-    private static final long OPEN_AGAIN = Durations.nanos(500);
-    private static final long HEARTBEAT_IN_USE = Durations.nanos(1_000);
-    private static final long HEARTBEAT_IDLE = Durations.nanos(5_000);
-    private static final long IN_USE = Durations.nanos(10_000);
-    private static final long SILENT = Durations.nanos(2_500);
-    private static final long FIRST_AVOID = Durations.nanos(250);
-    private static final int LARGEST_AVOID_SHIFT = 6;
+    private static final long REOPEN_INTERVAL_NANOS = Durations.nanos(500);
+    private static final long ACTIVE_HEARTBEAT_INTERVAL_NANOS = Durations.nanos(1_000);
+    private static final long IDLE_HEARTBEAT_INTERVAL_NANOS = Durations.nanos(5_000);
+    /** Time since the last dispatch during which an upstream counts as active. */
+    private static final long ACTIVE_PERIOD_NANOS = Durations.nanos(10_000);
+
+    private static final long SILENCE_TIMEOUT_NANOS = Durations.nanos(2_500);
+    /** Time without new work after the first failure; doubles with each consecutive failure. */
+    private static final long MIN_AVOIDANCE_NANOS = Durations.nanos(250);
+
+    private static final int MAX_AVOIDANCE_DOUBLINGS = 6;
 
     private final EntrySettings settings;
     private final Address self;
     private final Map<Address, UpstreamRow> rows = new TreeMap<>();
-    private final Map<String, List<UpstreamRow>> subsets = new HashMap<>();
-    /** Number of upstreams of each target in the whole directory. */
-    private final Map<String, Integer> totals = new HashMap<>();
+    /** The upstreams of each service or model to which this entry sends. */
+    private final Map<String, List<UpstreamRow>> subsetByTarget = new HashMap<>();
+    /** The number of listed upstreams of each service or model. */
+    private final Map<String, Integer> totalByTarget = new HashMap<>();
 
     private final HeldDirectories directories = HeldDirectories.none();
-    private boolean changed;
-    private long nextHeartbeat;
+    private boolean subsetsOutdated;
+    private long nextHeartbeatNanos;
 
     UpstreamDirectory(EntrySettings settings, Address self, long now) {
         this.settings = settings;
         this.self = self;
-        this.nextHeartbeat = now;
+        this.nextHeartbeatNanos = now;
     }
 
     Optional<UpstreamRow> row(Address address) {
@@ -75,21 +79,21 @@
         return directories.incarnation(control);
     }
 
-    /** The upstreams of a service or model among which this entry chooses. */
+    /** Returns the upstreams of a service or model to which this entry may send. */
     List<UpstreamRow> subset(String target) {
-        rebuildIfChanged();
-        return subsets.getOrDefault(target, List.of());
+        rebuildSubsetsIfOutdated();
+        return subsetByTarget.getOrDefault(target, List.of());
     }
 
     /**
-     * How many entries send to each upstream of a subset, by the size of the fleet and the number of entries.
+     * Estimates how many entries send to each upstream of a subset, from the number of upstreams and of entries.
      *
      * @return at least 1
      */
-    double entriesSharing(String target, int entries) {
-        rebuildIfChanged();
-        int all = totals.getOrDefault(target, 1);
-        return Math.max(1, (double) entries * subset(target).size() / all);
+    double entriesPerUpstream(String target, int entryCount) {
+        rebuildSubsetsIfOutdated();
+        int all = totalByTarget.getOrDefault(target, 1);
+        return Math.max(1, (double) entryCount * subset(target).size() / all);
     }
 
     void onUpdate(Address control, Update update) {
@@ -99,7 +103,7 @@
         directories.note(control, update);
         if (update.getWholeDirectory()) {
             rows.values().forEach(row -> row.listedBy.remove(control));
-            changed = true;
+            subsetsOutdated = true;
         }
         for (Member member : update.getMembersList()) {
             onMember(control, member);
@@ -107,7 +111,7 @@
     }
 
     private void onMember(Address control, Member member) {
-        changed = true;
+        subsetsOutdated = true;
         Address address = Address.of(member.getAddress());
         UpstreamRow row = rows.get(address);
         if (member.getGone()) {
@@ -124,71 +128,74 @@
         row.listedBy.add(control);
     }
 
-    /** Takes the session of a sidecar; returns whether the sidecar is another incarnation than before. */
+    /** Stores an opened session; returns whether it replaces another session or incarnation of the sidecar. */
     boolean onSession(long now, UpstreamRow row, long incarnation, long session, LoadReport load) {
         boolean restarted = row.session != 0 && (row.incarnation != incarnation || row.session != session);
         if (row.incarnation != incarnation || restarted) {
             row.restart(incarnation);
         }
         row.session = session;
-        heard(now, row);
+        onMessage(now, row);
         row.onLoad(load);
         return restarted;
     }
 
-    void heard(long now, UpstreamRow row) {
-        row.lastHeard = now;
-        row.unansweredSince = 0;
+    /** Notes that the sidecar responds. */
+    void onMessage(long now, UpstreamRow row) {
+        row.lastMessageAtNanos = now;
+        row.unansweredSinceNanos = 0;
     }
 
-    void succeeded(UpstreamRow row) {
-        row.failures = 0;
+    void onSuccess(UpstreamRow row) {
+        row.consecutiveFailures = 0;
     }
 
-    /** Keeps new work away for a while that doubles with each failure in a row. */
-    void failed(long now, UpstreamRow row) {
-        int shift = Math.min(row.failures, LARGEST_AVOID_SHIFT);
-        row.failures++;
-        row.avoidUntil = Math.max(row.avoidUntil, now + (FIRST_AVOID << shift));
+    /** Sends no new work to the upstream for a time that doubles with each consecutive failure. */
+    void onFailure(long now, UpstreamRow row) {
+        int shift = Math.min(row.consecutiveFailures, MAX_AVOIDANCE_DOUBLINGS);
+        row.consecutiveFailures++;
+        row.avoidUntilNanos = Math.max(row.avoidUntilNanos, now + (MIN_AVOIDANCE_NANOS << shift));
     }
 
     /**
-     * Whether questions to the sidecar stay without an answer. An upstream that was asked nothing is not silent:
-     * between two heartbeats of an idle one more time passes than silence would take.
+     * Returns whether a request to the sidecar has been unanswered for longer than the silence timeout. An upstream
+     * without an outstanding request is not silent: the heartbeat interval of an idle one exceeds that timeout.
      */
     boolean isSilent(long now, UpstreamRow row) {
-        return row.unansweredSince != 0 && now - row.unansweredSince > SILENT;
+        return row.unansweredSinceNanos != 0 && now - row.unansweredSinceNanos > SILENCE_TIMEOUT_NANOS;
     }
 
     void tick(long now, Outbox out) {
-        rebuildIfChanged();
-        if (now < nextHeartbeat) {
+        rebuildSubsetsIfOutdated();
+        if (now < nextHeartbeatNanos) {
             return;
         }
-        nextHeartbeat = now + OPEN_AGAIN;
-        for (UpstreamRow row : openRows()) {
-            long every = heartbeatEvery(now, row);
-            if (row.openSentAt == 0 || now - row.openSentAt >= every) {
-                open(now, row, out);
+        nextHeartbeatNanos = now + REOPEN_INTERVAL_NANOS;
+        for (UpstreamRow row : monitoredRows()) {
+            long intervalNanos = heartbeatIntervalNanos(now, row);
+            if (row.openSentAtNanos == 0 || now - row.openSentAtNanos >= intervalNanos) {
+                sendOpenSession(now, row, out);
             }
         }
-        rows.values().removeIf(row -> !row.isListed() && row.running == 0 && isSilent(now, row));
+        rows.values().removeIf(row -> !row.isListed() && row.ownAttempts == 0 && isSilent(now, row));
     }
 
-    private static long heartbeatEvery(long now, UpstreamRow row) {
-        if (row.session == 0 || row.unansweredSince != 0) {
-            return OPEN_AGAIN;
+    private static long heartbeatIntervalNanos(long now, UpstreamRow row) {
+        if (row.session == 0 || row.unansweredSinceNanos != 0) {
+            return REOPEN_INTERVAL_NANOS;
         }
-        return now - row.lastUsed < IN_USE ? HEARTBEAT_IN_USE : HEARTBEAT_IDLE;
+        return now - row.lastDispatchAtNanos < ACTIVE_PERIOD_NANOS
+                ? ACTIVE_HEARTBEAT_INTERVAL_NANOS
+                : IDLE_HEARTBEAT_INTERVAL_NANOS;
     }
 
     long nextDue() {
-        return rows.isEmpty() ? Core.NEVER : nextHeartbeat;
+        return rows.isEmpty() ? Core.NEVER : nextHeartbeatNanos;
     }
 
-    private void open(long now, UpstreamRow row, Outbox out) {
-        row.openSentAt = now;
-        row.unansweredSince = row.unansweredSince == 0 ? now : row.unansweredSince;
+    private void sendOpenSession(long now, UpstreamRow row, Outbox out) {
+        row.openSentAtNanos = now;
+        row.unansweredSinceNanos = row.unansweredSinceNanos == 0 ? now : row.unansweredSinceNanos;
         Envelope.Builder message = Envelope.newBuilder().setOpenSession(OpenSession.getDefaultInstance());
         if (row.session != 0 && isSilent(now, row)) {
             out.sendFresh(row.address, message);
@@ -197,29 +204,32 @@
         }
     }
 
-    private Set<UpstreamRow> openRows() {
-        Set<UpstreamRow> open = new LinkedHashSet<>();
-        subsets.values().forEach(open::addAll);
-        rows.values().stream().filter(row -> row.running > 0).forEach(open::add);
-        return open;
+    /** Returns the upstreams with which sessions are kept: the subsets, and those with attempts of this entry. */
+    private Set<UpstreamRow> monitoredRows() {
+        Set<UpstreamRow> monitored = new LinkedHashSet<>();
+        subsetByTarget.values().forEach(monitored::addAll);
+        rows.values().stream().filter(row -> row.ownAttempts > 0).forEach(monitored::add);
+        return monitored;
     }
 
-    private void rebuildIfChanged() {
-        if (!changed) {
+    private void rebuildSubsetsIfOutdated() {
+        if (!subsetsOutdated) {
             return;
         }
-        changed = false;
-        subsets.clear();
+        subsetsOutdated = false;
+        subsetByTarget.clear();
         for (UpstreamRow row : rows.values()) {
             if (row.isListed()) {
                 for (String target : targets(row)) {
-                    subsets.computeIfAbsent(target, key -> new ArrayList<>()).add(row);
+                    subsetByTarget
+                            .computeIfAbsent(target, key -> new ArrayList<>())
+                            .add(row);
                 }
             }
         }
-        totals.clear();
-        subsets.forEach((target, all) -> totals.put(target, all.size()));
-        subsets.replaceAll((target, all) -> choose(all));
+        totalByTarget.clear();
+        subsetByTarget.forEach((target, all) -> totalByTarget.put(target, all.size()));
+        subsetByTarget.replaceAll((target, all) -> selectSubset(all));
     }
 
     private static List<String> targets(UpstreamRow row) {
@@ -228,24 +238,24 @@
                 : List.of(row.member.getService());
     }
 
-    /** Two thirds from the own availability zone, the rest from the others, each by rendezvous hashing. */
-    private List<UpstreamRow> choose(List<UpstreamRow> all) {
+    /** Selects two thirds from this entry's availability zone and the rest from other zones, by rendezvous hashing. */
+    private List<UpstreamRow> selectSubset(List<UpstreamRow> all) {
         if (all.size() <= settings.subsetSize()) {
             return all;
         }
-        List<UpstreamRow> near = ranked(all, true);
-        List<UpstreamRow> far = ranked(all, false);
-        int fromNear = Math.min(near.size(), settings.subsetSize() * 2 / 3);
-        int fromFar = Math.min(far.size(), settings.subsetSize() - fromNear);
-        fromNear = Math.min(near.size(), settings.subsetSize() - fromFar);
-        List<UpstreamRow> chosen = new ArrayList<>(near.subList(0, fromNear));
-        chosen.addAll(far.subList(0, fromFar));
-        return chosen;
+        List<UpstreamRow> sameZone = ranked(all, true);
+        List<UpstreamRow> otherZones = ranked(all, false);
+        int sameZoneCount = Math.min(sameZone.size(), settings.subsetSize() * 2 / 3);
+        int otherZonesCount = Math.min(otherZones.size(), settings.subsetSize() - sameZoneCount);
+        sameZoneCount = Math.min(sameZone.size(), settings.subsetSize() - otherZonesCount);
+        List<UpstreamRow> selected = new ArrayList<>(sameZone.subList(0, sameZoneCount));
+        selected.addAll(otherZones.subList(0, otherZonesCount));
+        return selected;
     }
 
-    private List<UpstreamRow> ranked(List<UpstreamRow> all, boolean near) {
+    private List<UpstreamRow> ranked(List<UpstreamRow> all, boolean sameZone) {
         return all.stream()
-                .filter(row -> row.member.getZone().equals(settings.zone()) == near)
+                .filter(row -> row.member.getZone().equals(settings.zone()) == sameZone)
                 .sorted(Comparator.comparingLong(this::rank))
                 .toList();
     }
--- a/src/main/java/org/cuminshelf/entry/UpstreamRow.java
+++ b/src/main/java/org/cuminshelf/entry/UpstreamRow.java
@@ -10,50 +10,60 @@
 import org.cuminshelf.message.LoadReport;
 import org.cuminshelf.message.Member;
 
-/** One upstream as this entry sees it. */
+/**
+ * The state that this entry holds about one upstream: its directory entry, the session with its sidecar and its load.
+ * Times are monotonic nanoseconds; 0 means that the event has not happened.
+ */
 final class UpstreamRow {
 
-    /** Prefix blocks remembered for each engine. */
-    private static final int REMEMBERED_BLOCKS = 4096;
+    /** Maximum number of cached prefix blocks that are remembered for one engine. */
+    private static final int MAX_CACHED_BLOCKS = 4096;
 
-    private static final int SUPERSEDED_REMEMBERED = 8;
+    private static final int MAX_SUPERSEDED_INCARNATIONS = 8;
 
     final Address address;
     Member member;
-    /** What control says of another incarnation than the one of the session. */
-    private Member nextMember;
-    /** Control processes that list it; gone only when none does. */
+    /** Directory entry of an incarnation other than that of the session; null if there is none. */
+    private Member pendingMember;
+    /** Control processes that list this upstream; it is removed only when none does. */
     final Set<Address> listedBy = new HashSet<>();
 
     long incarnation;
-    /** Earlier incarnations; what they sent before they died may still arrive. */
-    private final ArrayDeque<Long> superseded = new ArrayDeque<>();
+    /** Earlier incarnations, whose messages may still arrive. */
+    private final ArrayDeque<Long> supersededIncarnations = new ArrayDeque<>();
 
+    /** The session with the current incarnation of the sidecar; 0 if none is open. */
     long session;
-    long openSentAt;
-    long lastHeard;
-    /** When the first question was asked that is not answered yet; 0 where none is open. */
-    long unansweredSince;
 
-    long lastUsed;
+    long openSentAtNanos;
+    long lastMessageAtNanos;
+    /** When the oldest unanswered request was sent; 0 if none is outstanding. */
+    long unansweredSinceNanos;
+
+    long lastDispatchAtNanos;
     boolean leaving;
     LoadReport load = LoadReport.getDefaultInstance();
-    /** Attempts sent that the last report does not count, by number. */
-    final Map<Long, AttemptRow> uncounted = new HashMap<>();
+    /** Attempts of this entry that the last load report does not include, by number. */
+    final Map<Long, AttemptRow> unreportedAttempts = new HashMap<>();
+
+    /** Attempts of this entry that are reserved or run at the upstream. */
+    int ownAttempts;
+
+    /** Prompt tokens of attempts that the last load report does not include. */
+    private long unreportedPromptTokens;
 
-    int running;
-    /** Prompt tokens sent that the last report does not count, and those it counts that were taken in since. */
-    private long promptUncounted;
+    /** Prompt tokens that the last load report counts as queued but that were prefilled since. */
+    private long prefilledSinceReportTokens;
 
-    private long promptTakenSince;
-    int failures;
-    long avoidUntil;
+    int consecutiveFailures;
+    long avoidUntilNanos;
+    /** Hashes of prompt prefix blocks that the engine is expected to have cached, least recently used first. */
     private final LinkedHashMap<Long, Boolean> cachedBlocks = new LinkedHashMap<>(16, 0.75f, true) {
         private static final long serialVersionUID = 1L;
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<Long, Boolean> eldest) {
-            return size() > REMEMBERED_BLOCKS;
+            return size() > MAX_CACHED_BLOCKS;
         }
     };
 
@@ -63,69 +73,73 @@
         this.incarnation = member.getIncarnation();
     }
 
-    /** Takes what control says; words about another incarnation than that of the session wait until it is met. */
-    void onMember(Member said) {
-        if (session == 0 || said.getIncarnation() == incarnation) {
-            incarnation = said.getIncarnation();
-            member = said;
+    /**
+     * Stores the directory entry received from a control process. An entry of another incarnation than that of the
+     * session is kept until a session with that incarnation is opened.
+     */
+    void onMember(Member reported) {
+        if (session == 0 || reported.getIncarnation() == incarnation) {
+            incarnation = reported.getIncarnation();
+            member = reported;
         } else {
-            nextMember = said;
-            openSentAt = 0;
+            pendingMember = reported;
+            openSentAtNanos = 0;
         }
     }
 
-    /** Starts over with a new incarnation: nothing known of the old one holds. */
+    /** Replaces the incarnation and discards all state of the earlier one. */
     void restart(long newIncarnation) {
-        superseded.add(incarnation);
-        if (superseded.size() > SUPERSEDED_REMEMBERED) {
-            superseded.poll();
+        supersededIncarnations.add(incarnation);
+        if (supersededIncarnations.size() > MAX_SUPERSEDED_INCARNATIONS) {
+            supersededIncarnations.poll();
         }
         incarnation = newIncarnation;
-        boolean foretold = nextMember != null && nextMember.getIncarnation() == newIncarnation;
-        member = foretold
-                ? nextMember
+        boolean announced = pendingMember != null && pendingMember.getIncarnation() == newIncarnation;
+        member = announced
+                ? pendingMember
                 : member.toBuilder()
                         .setIncarnation(newIncarnation)
                         .setLeaving(false)
                         .build();
-        nextMember = null;
+        pendingMember = null;
         session = 0;
-        openSentAt = 0;
+        openSentAtNanos = 0;
         leaving = false;
         load = LoadReport.getDefaultInstance();
-        uncounted.clear();
-        running = 0;
-        promptUncounted = 0;
-        promptTakenSince = 0;
+        unreportedAttempts.clear();
+        ownAttempts = 0;
+        unreportedPromptTokens = 0;
+        prefilledSinceReportTokens = 0;
         cachedBlocks.clear();
     }
 
     boolean isSuperseded(long other) {
-        return superseded.contains(other);
+        return supersededIncarnations.contains(other);
     }
 
+    /** Stores a load report, which replaces all estimates for the attempts that it includes. */
     void onLoad(LoadReport report) {
         load = report;
         leaving = report.getLeaving();
         long counted = report.getCounted();
-        uncounted.keySet().removeIf(number -> number <= counted);
-        promptTakenSince = 0;
-        promptUncounted = uncounted.values().stream()
-                .filter(attempt -> !attempt.promptTaken)
-                .mapToLong(attempt -> attempt.promptCost)
+        unreportedAttempts.keySet().removeIf(number -> number <= counted);
+        prefilledSinceReportTokens = 0;
+        unreportedPromptTokens = unreportedAttempts.values().stream()
+                .filter(attempt -> !attempt.prefillComplete)
+                .mapToLong(attempt -> attempt.uncachedPromptTokens)
                 .sum();
         for (long block : report.getCachedList()) {
             cachedBlocks.put(block, Boolean.TRUE);
         }
     }
 
-    void remember(Iterable<Long> blocks) {
+    void addCachedBlocks(Iterable<Long> blocks) {
         for (Long block : blocks) {
             cachedBlocks.put(block, Boolean.TRUE);
         }
     }
 
-    boolean holds(long block) {
+    boolean hasCachedBlock(long block) {
         return cachedBlocks.containsKey(block);
     }
 
@@ -133,56 +147,59 @@
         return !listedBy.isEmpty();
     }
 
-    /** Whether new work may be sent there. */
-    boolean isOpen(long now) {
+    /** Returns whether new attempts may be sent to this upstream. */
+    boolean acceptsWork(long now) {
         return session != 0
                 && isListed()
                 && !leaving
                 && !member.getLeaving()
                 && !load.getChanging()
-                && now >= avoidUntil;
+                && now >= avoidUntilNanos;
     }
 
-    void sent(AttemptRow attempt) {
-        running++;
-        uncounted.put(attempt.key.number(), attempt);
-        promptUncounted += attempt.promptCost;
+    void addAttempt(AttemptRow attempt) {
+        ownAttempts++;
+        unreportedAttempts.put(attempt.key.number(), attempt);
+        unreportedPromptTokens += attempt.uncachedPromptTokens;
     }
 
-    void promptTaken(AttemptRow attempt) {
-        if (uncounted.containsKey(attempt.key.number())) {
-            promptUncounted -= attempt.promptCost;
+    void onPrefillComplete(AttemptRow attempt) {
+        if (unreportedAttempts.containsKey(attempt.key.number())) {
+            unreportedPromptTokens -= attempt.uncachedPromptTokens;
         } else {
-            promptTakenSince += attempt.promptCost;
+            prefilledSinceReportTokens += attempt.uncachedPromptTokens;
         }
     }
 
-    /** Prompt tokens that wait there now: the last report, what was sent since, less what was taken in since. */
-    long promptWaiting() {
-        return Math.max(0, load.getQueuedPromptTokens() + promptUncounted - promptTakenSince);
+    /** Estimates the queued prompt tokens: those of the last report, plus those sent since, less those prefilled. */
+    long queuedPromptTokens() {
+        return Math.max(0, load.getQueuedPromptTokens() + unreportedPromptTokens - prefilledSinceReportTokens);
     }
 
-    /** Prompt tokens it takes in a second: measured there, or a first guess. */
-    double prefillPerSecond(double firstGuess) {
-        return load.getPrefillPerS() > 0 ? Math.min(load.getPrefillPerS(), firstGuess) : firstGuess;
+    /** Prefill rate in tokens per second: the rate that the engine reports, at most the configured rate. */
+    double prefillTokensPerSecond(double configuredRate) {
+        return load.getPrefillPerS() > 0 ? Math.min(load.getPrefillPerS(), configuredRate) : configuredRate;
     }
 
-    /** Streams it can run at a gap between tokens, by the gap measured with those it runs. */
-    double streamsAt(double gapSeconds) {
+    /**
+     * Estimates how many streams can run with the given gap between tokens, from the gap that the engine reports for
+     * the streams running now. Without a reported gap it is the number of slots.
+     */
+    double maxStreamsAtGap(double gapSeconds) {
         int slots = Math.max(1, load.getSlots());
         double measured = load.getTokenGapUs() / 1e6;
         return measured == 0 ? slots : Math.min(slots, Math.max(1, load.getRunning()) * gapSeconds / measured);
     }
 
-    /** Seconds between tokens to expect with one stream more: measured there, and longer by what was sent since. */
-    double tokenGapSeconds() {
+    /** Estimates the gap between tokens with one more stream: the reported gap, scaled by the attempts sent since. */
+    double expectedTokenGapSeconds() {
         double measured = load.getTokenGapUs() / 1e6;
         int reported = Math.max(1, load.getRunning());
-        return measured * (occupancy() + 1) / reported;
+        return measured * (estimatedAttempts() + 1) / reported;
     }
 
-    /** Attempts there now: the last report, and what this entry sent since. */
-    int occupancy() {
-        return Math.max(load.getRunning() + uncounted.size(), running);
+    /** Estimates the attempts at the upstream: those in the last report, plus those this entry sent since. */
+    int estimatedAttempts() {
+        return Math.max(load.getRunning() + unreportedAttempts.size(), ownAttempts);
     }
 }
--- a/src/main/java/org/cuminshelf/entry/WaitingCalls.java
+++ b/src/main/java/org/cuminshelf/entry/WaitingCalls.java
@@ -7,43 +7,46 @@
 import java.util.TreeSet;
 
 /**
- * The calls that wait for an upstream: the higher priority first, and within one priority fair by organisation (start
- * time fair queueing: each call is tagged with the service its organisation has had, over its weight).
+ * The queue of calls that wait for an upstream. Calls of higher priority come first; within one priority, organisations
+ * share by start-time fair queueing: the start tag of a call is the cost of its organisation's earlier calls, divided
+ * by the organisation's weight, and at least the current virtual time.
  */
 final class WaitingCalls {
 
-    private static final int REMEMBERED_ORGANISATIONS = 10_000;
+    private static final int MAX_ORGANISATIONS = 10_000;
 
     private static final Comparator<CallRow> ORDER = Comparator.<CallRow>comparingInt(call -> -call.priority)
-            .thenComparingDouble(call -> call.fairTag)
+            .thenComparingDouble(call -> call.startTag)
             .thenComparingLong(call -> call.id);
 
     private final TreeSet<CallRow> calls = new TreeSet<>(ORDER);
-    private final Map<String, Double> lastTags = new LinkedHashMap<>(16, 0.75f, true) {
+    /** The start tag of the next call of each organisation. */
+    private final Map<String, Double> nextStartTags = new LinkedHashMap<>(16, 0.75f, true) {
         private static final long serialVersionUID = 1L;
 
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, Double> eldest) {
-            return size() > REMEMBERED_ORGANISATIONS;
+            return size() > MAX_ORGANISATIONS;
         }
     };
+
     private double virtualTime;
 
     int size() {
         return calls.size();
     }
 
-    /** Tags a new call and lets it wait. */
+    /** Assigns a start tag to a new call and adds it to the queue. */
     void add(CallRow call, double cost, double weight) {
         String organisation = call.request.getOrganisation();
-        double start = Math.max(virtualTime, lastTags.getOrDefault(organisation, 0.0));
-        call.fairTag = start;
-        lastTags.put(organisation, start + cost / weight);
+        double start = Math.max(virtualTime, nextStartTags.getOrDefault(organisation, 0.0));
+        call.startTag = start;
+        nextStartTags.put(organisation, start + cost / weight);
         calls.add(call);
     }
 
-    /** Lets a call wait again at the place it had. */
-    void addAgain(CallRow call) {
+    /** Returns a call to the queue with its earlier start tag. */
+    void requeue(CallRow call) {
         calls.add(call);
     }
 
@@ -51,11 +54,13 @@
         calls.remove(call);
     }
 
-    void taken(CallRow call) {
+    /** Removes a call that was assigned to an upstream and advances the virtual time to its start tag. */
+    void removeRouted(CallRow call) {
         calls.remove(call);
-        virtualTime = Math.max(virtualTime, call.fairTag);
+        virtualTime = Math.max(virtualTime, call.startTag);
     }
 
+    /** Returns an iterator over a copy, so that calls may be removed while iterating. */
     Iterator<CallRow> inOrder() {
         return java.util.List.copyOf(calls).iterator();
     }
--- a/src/main/java/org/cuminshelf/tools/EntryCommand.java
+++ b/src/main/java/org/cuminshelf/tools/EntryCommand.java
@@ -43,7 +43,7 @@
                 (int) Flags.number(flags, "longest-queue", 1, 1_000_000),
                 (int) Flags.number(flags, "subset", 1, 10_000),
                 Flags.text(flags, "claim-group"));
-        if (settings.control().isEmpty()) {
+        if (settings.controlAddresses().isEmpty()) {
             throw new UsageException("--control: name at least one control process");
         }
         EntryProcess process = EntryProcess.start(
--- a/src/test/java/org/cuminshelf/entry/AttemptSystemTest.java
+++ b/src/test/java/org/cuminshelf/entry/AttemptSystemTest.java
@@ -16,24 +16,24 @@
 import org.cuminshelf.message.Refused;
 import org.cuminshelf.message.RevokeAnswer;
 
-/** Attempts that are refused, lost, revoked and resumed. */
+/** Tests attempts that are refused, lost, revoked or resumed. */
 class AttemptSystemTest {
 
     private final EntryFixture entry = new EntryFixture();
 
     /*
-     * A caller is given tokens of another caller's answer. A sidecar restarts; what the dead one sent arrives late, so
-     * the entry goes back to its session and forth again. Cause: attempt numbers counted anew named attempts that the
-     * session already had, and their chunks were taken for the new call.
+     * Guards against delivering tokens of another call. After a sidecar restart, a late message of the earlier
+     * incarnation makes the entry return to the old session and then to the new one. If attempt numbers restarted with
+     * each session, chunks of an earlier attempt would match the new call.
      */
     @Example
-    void aLateAnswerOfADeadSidecarMakesNoNumberComeTwice() {
-        entry.open(EntryFixture.ENGINE, EntryFixture.FIRST, 100);
-        entry.open(EntryFixture.ENGINE, 12, 200);
+    void aLateMessageOfAnEarlierSidecarIncarnationDoesNotReuseAttemptNumbers() {
+        entry.openSession(EntryFixture.ENGINE, EntryFixture.INCARNATION, 100);
+        entry.openSession(EntryFixture.ENGINE, 12, 200);
         entry.generate(4);
         Dispatch first = entry.dispatches().getFirst();
-        entry.open(EntryFixture.ENGINE, EntryFixture.FIRST, 100);
-        entry.open(EntryFixture.ENGINE, 12, 200);
+        entry.openSession(EntryFixture.ENGINE, EntryFixture.INCARNATION, 100);
+        entry.openSession(EntryFixture.ENGINE, 12, 200);
         entry.generate(4);
         List<Dispatch> later = entry.dispatches();
         assertThat(later).allMatch(dispatch -> dispatch.getSession() == 200);
@@ -41,131 +41,136 @@
     }
 
     /*
-     * A caller is given tokens of another caller's answer. An entry restarts; a request of the dead one for a session
-     * reaches a sidecar late, and the answer goes to the new process at the same address. Cause: sessions did not say
-     * for which incarnation of the entry they are, and the new one numbered its attempts among those of the dead one.
+     * Guards against delivering tokens of another call. An entry restarts, and a session request of its earlier
+     * incarnation reaches a sidecar late; the response goes to the new process at the same address. If sessions did not
+     * name the entry's incarnation, the new process would reuse attempt numbers of the earlier one.
      */
     @Example
-    void aSessionOpenedForADeadIncarnationOfThisEntryIsNotUsed() {
-        entry.openFor(99, EntryFixture.ENGINE, EntryFixture.FIRST, 100);
+    void aSessionOpenedForAnEarlierIncarnationOfThisEntryIsNotUsed() {
+        entry.openSessionFor(99, EntryFixture.ENGINE, EntryFixture.INCARNATION, 100);
         entry.generate(4);
         assertThat(entry.dispatches()).isEmpty();
-        entry.open(EntryFixture.ENGINE, EntryFixture.FIRST, 200);
+        entry.openSession(EntryFixture.ENGINE, EntryFixture.INCARNATION, 200);
         assertThat(entry.dispatches()).hasSize(1).allMatch(dispatch -> dispatch.getSession() == 200);
     }
 
     /*
-     * The first caller after a quiet minute is refused as if the fleet were overloaded. Cause: an idle upstream is
-     * asked for its state every five seconds, and one not heard for two and a half counted as silent.
+     * Guards against refusing the first call after an idle minute as overloaded. Heartbeats to an idle upstream are
+     * sent every five seconds, longer than the silence timeout of two and a half seconds.
      */
     @Example
-    void anUpstreamThatWasAskedNothingIsNotSilent() {
-        entry.open(EntryFixture.ENGINE, EntryFixture.FIRST, 100);
-        entry.pass(4_000);
+    void anUpstreamWithoutAnOutstandingRequestIsNotSilent() {
+        entry.openSession(EntryFixture.ENGINE, EntryFixture.INCARNATION, 100);
+        entry.advanceMillis(4_000);
         entry.generate(4);
         assertThat(entry.dispatches()).hasSize(1);
     }
 
     /*
-     * A board is reserved twice. A reservation is sent and nothing comes back; the entry must not send it anywhere else
-     * before the sidecar swore that it did not run. Cause: silence taken for "not run".
+     * Guards against running a request twice. An exchange is dispatched and gets no response; it must not be sent
+     * again before the sidecar has confirmed that it did not run. Silence does not mean "not run".
      */
     @Example
-    void aSilentExchangeIsSentAgainOnlyAfterItsSidecarSworeThatItDidNotRun() {
-        entry.open(EntryFixture.SERVICE, EntryFixture.FIRST, 100);
+    void aSilentExchangeIsSentAgainOnlyAfterItsSidecarConfirmedThatItDidNotRun() {
+        entry.openSession(EntryFixture.SERVICE, EntryFixture.INCARNATION, 100);
         entry.call(entry.exchange());
         Dispatch first = entry.dispatches().getFirst();
-        entry.pass(1_000);
+        entry.advanceMillis(1_000);
         assertThat(entry.out.take(Envelope::hasDispatch)).isEmpty();
-        RevokeAnswer sworn = RevokeAnswer.newBuilder()
+        RevokeAnswer notRun = RevokeAnswer.newBuilder()
                 .setSession(100)
                 .setNumber(first.getNumber())
                 .setState(AttemptState.ATTEMPT_NOT_RUN)
                 .build();
-        entry.give(
-                EntryFixture.SERVICE, EntryFixture.FIRST, Envelope.newBuilder().setRevokeAnswer(sworn));
+        entry.deliver(
+                EntryFixture.SERVICE,
+                EntryFixture.INCARNATION,
+                Envelope.newBuilder().setRevokeAnswer(notRun));
         assertThat(entry.dispatches()).hasSize(1);
     }
 
     /*
-     * A reservation is sent, the sidecar dies and comes back without its journal. Nobody can swear either way; the
-     * caller must be told "may have run" at once, and nothing may be sent again. Cause: the journal lives in memory.
+     * Guards against running a request twice. An exchange is dispatched and its sidecar restarts without its journal,
+     * which is kept in memory. Whether the exchange ran is unknown, so it must end as "may have run" at once and must
+     * not be sent again.
      */
     @Example
-    void aRestartedSidecarLeavesAnExchangeThatMayHaveRun() {
-        entry.open(EntryFixture.SERVICE, EntryFixture.FIRST, 100);
+    void anExchangeWhoseSidecarRestartedEndsAsMayHaveRun() {
+        entry.openSession(EntryFixture.SERVICE, EntryFixture.INCARNATION, 100);
         entry.call(entry.exchange());
         assertThat(entry.dispatches()).hasSize(1);
-        entry.open(EntryFixture.SERVICE, 12, 200);
+        entry.openSession(EntryFixture.SERVICE, 12, 200);
         List<Envelope> sent = entry.out.take(message -> message.hasAnswerEnd() || message.hasDispatch());
         assertThat(sent).hasSize(1);
         assertThat(sent.getFirst().getAnswerEnd().getRan()).isEqualTo(Ran.MAY_HAVE_RUN);
     }
 
     @Example
-    void aRefusedExchangeIsToldNotRunWhenItsDeadlinePasses() {
-        entry.open(EntryFixture.SERVICE, EntryFixture.FIRST, 100);
+    void aRefusedExchangeEndsAsNotRunWhenItsDeadlinePasses() {
+        entry.openSession(EntryFixture.SERVICE, EntryFixture.INCARNATION, 100);
         entry.call(entry.exchange());
         Refused refused = Refused.newBuilder()
                 .setSession(100)
                 .setNumber(entry.dispatches().getFirst().getNumber())
                 .setCause(Cause.LEAVING)
                 .build();
-        entry.give(
-                EntryFixture.SERVICE, EntryFixture.FIRST, Envelope.newBuilder().setRefused(refused));
+        entry.deliver(
+                EntryFixture.SERVICE,
+                EntryFixture.INCARNATION,
+                Envelope.newBuilder().setRefused(refused));
         entry.out.take(message -> true);
-        entry.pass(6_000);
+        entry.advanceMillis(6_000);
         List<Envelope> ends = entry.out.take(Envelope::hasAnswerEnd);
-        // Silence of the sidecar keeps it from being sent again, so it did not run.
+        // The silent sidecar prevents another dispatch, so the exchange did not run.
         assertThat(ends).hasSize(1);
         assertThat(ends.getFirst().getAnswerEnd().getRan()).isNotEqualTo(Ran.RAN);
     }
 
     /*
-     * A stream stops in the middle of a sentence. The engine's VM dies after two tokens; the caller must get the rest
-     * from another engine, each token once. Cause: loss of a VM during a generation.
+     * Guards against a truncated stream after the loss of a VM. The engine's VM fails after two tokens; the caller must
+     * receive the rest from another engine, each token once.
      */
     @Example
-    void aBrokenStreamGoesOnAtTheNextTokenOnAnotherEngine() {
-        entry.open(EntryFixture.ENGINE, EntryFixture.FIRST, 100);
+    void aBrokenStreamContinuesAtTheNextTokenOnAnotherEngine() {
+        entry.openSession(EntryFixture.ENGINE, EntryFixture.INCARNATION, 100);
         entry.generate(8);
         Dispatch first = entry.dispatches().getFirst();
         entry.addEngine(EntryFixture.OTHER_ENGINE);
-        entry.open(EntryFixture.OTHER_ENGINE, EntryFixture.FIRST, 300);
-        entry.give(EntryFixture.ENGINE, EntryFixture.FIRST, tokens(100, first.getNumber(), 0, " a", " b"));
-        entry.pass(2_000);
-        entry.open(EntryFixture.OTHER_ENGINE, EntryFixture.FIRST, 300);
+        entry.openSession(EntryFixture.OTHER_ENGINE, EntryFixture.INCARNATION, 300);
+        entry.deliver(EntryFixture.ENGINE, EntryFixture.INCARNATION, tokens(100, first.getNumber(), 0, " a", " b"));
+        entry.advanceMillis(2_000);
+        entry.openSession(EntryFixture.OTHER_ENGINE, EntryFixture.INCARNATION, 300);
         entry.out.take(message -> true);
-        entry.pass(1_500);
+        entry.advanceMillis(1_500);
         Dispatch second = entry.dispatches().getFirst();
         assertThat(second.getSession()).isEqualTo(300);
         assertThat(second.getGeneration().getHeldList()).containsExactly(" a", " b");
     }
 
     /*
-     * A caller sees words twice, or a hole. Chunks overlap or one is lost on the way; the entry cuts what it has and
-     * asks for what it lacks. Cause: connections that break and are replaced between two chunks.
+     * Guards against repeated or missing tokens. When a connection breaks between two chunks and is replaced, chunks
+     * overlap or one is lost; the entry discards the overlap and requests the missing part.
      */
     @Example
-    void overlappingChunksAreCutAndGapsAreAskedForAgain() {
-        entry.open(EntryFixture.ENGINE, EntryFixture.FIRST, 100);
+    void overlapsOfChunksAreDiscardedAndGapsAreRequestedAgain() {
+        entry.openSession(EntryFixture.ENGINE, EntryFixture.INCARNATION, 100);
         entry.generate(8);
         long number = entry.dispatches().getFirst().getNumber();
-        entry.give(EntryFixture.ENGINE, EntryFixture.FIRST, tokens(100, number, 0, " a", " b"));
-        entry.give(EntryFixture.ENGINE, EntryFixture.FIRST, tokens(100, number, 1, " b", " c"));
+        entry.deliver(EntryFixture.ENGINE, EntryFixture.INCARNATION, tokens(100, number, 0, " a", " b"));
+        entry.deliver(EntryFixture.ENGINE, EntryFixture.INCARNATION, tokens(100, number, 1, " b", " c"));
         List<AnswerPart> parts = entry.out.take(Envelope::hasAnswerPart).stream()
                 .map(Envelope::getAnswerPart)
                 .toList();
         assertThat(parts).flatExtracting(AnswerPart::getTokensList).containsExactly(" a", " b", " c");
-        entry.give(EntryFixture.ENGINE, EntryFixture.FIRST, tokens(100, number, 5, " f"));
+        entry.deliver(EntryFixture.ENGINE, EntryFixture.INCARNATION, tokens(100, number, 5, " f"));
         List<Envelope> sent = entry.out.take(message -> message.hasRevoke() || message.hasAnswerPart());
         assertThat(sent).hasSize(1);
         assertThat(sent.getFirst().getRevoke().getHeld()).isEqualTo(3);
     }
 
     @Example
-    void anEndThatIsAheadOfItsChunksDoesNotEndTheAnswer() {
-        entry.open(EntryFixture.ENGINE, EntryFixture.FIRST, 100);
+    void anEndThatArrivesBeforeItsChunksDoesNotFinishTheAnswer() {
+        entry.openSession(EntryFixture.ENGINE, EntryFixture.INCARNATION, 100);
         entry.generate(8);
         long number = entry.dispatches().getFirst().getNumber();
         Ended ended = Ended.newBuilder()
@@ -174,12 +179,16 @@
                 .setLength(2)
                 .setRan(Ran.RAN)
                 .build();
-        entry.give(
-                EntryFixture.ENGINE, EntryFixture.FIRST, Envelope.newBuilder().setEnded(ended));
+        entry.deliver(
+                EntryFixture.ENGINE,
+                EntryFixture.INCARNATION,
+                Envelope.newBuilder().setEnded(ended));
         assertThat(entry.out.take(Envelope::hasAnswerEnd)).isEmpty();
-        entry.give(EntryFixture.ENGINE, EntryFixture.FIRST, tokens(100, number, 0, " a", " b"));
-        entry.give(
-                EntryFixture.ENGINE, EntryFixture.FIRST, Envelope.newBuilder().setEnded(ended));
+        entry.deliver(EntryFixture.ENGINE, EntryFixture.INCARNATION, tokens(100, number, 0, " a", " b"));
+        entry.deliver(
+                EntryFixture.ENGINE,
+                EntryFixture.INCARNATION,
+                Envelope.newBuilder().setEnded(ended));
         List<AnswerEnd> ends = entry.out.take(Envelope::hasAnswerEnd).stream()
                 .map(Envelope::getAnswerEnd)
                 .toList();
--- a/src/test/java/org/cuminshelf/entry/ClaimSystemTest.java
+++ b/src/test/java/org/cuminshelf/entry/ClaimSystemTest.java
@@ -17,14 +17,14 @@
 import org.cuminshelf.message.Revoke;
 import org.cuminshelf.message.RevokeAnswer;
 
-/** Claims of idempotency keys, seen from an entry. */
+/** Tests the claims of idempotency keys by an entry. */
 class ClaimSystemTest {
 
     private final EntryFixture entry = new EntryFixture();
 
     @Example
     void nothingIsDispatchedBeforeTheClaimIsGranted() {
-        entry.open(EntryFixture.SERVICE, EntryFixture.FIRST, 100);
+        entry.openSession(EntryFixture.SERVICE, EntryFixture.INCARNATION, 100);
         entry.exchange("k");
         List<Envelope> sent = entry.out.take(message -> message.hasClaimRequest() || message.hasDispatch());
         assertThat(sent).hasSize(1);
@@ -33,14 +33,14 @@
     }
 
     /*
-     * One book gets two numbers. A claim is asked for twice because its answer is slow; the attempt is refused and the
-     * claim is being moved to a second attempt when the late answer to the first question arrives. Cause: questions
-     * were named by their call, so the late grant passed for the grant of the move, and the second attempt was sent
-     * while the claim still named the first.
+     * Guards against running a request twice. A claim request is sent twice because its answer is slow; the attempt is
+     * refused, and the claim is being moved to a second attempt when the late answer to the first request arrives. If
+     * questions were identified by their call, the late grant would count as the grant of the move, and the second
+     * attempt would be dispatched while the claim still names the first.
      */
     @Example
-    void aLateGrantOfTheFirstAttemptDoesNotSendTheSecond() {
-        entry.open(EntryFixture.SERVICE, EntryFixture.FIRST, 100);
+    void aLateGrantForTheFirstAttemptDoesNotDispatchTheSecond() {
+        entry.openSession(EntryFixture.SERVICE, EntryFixture.INCARNATION, 100);
         entry.exchange("k");
         ClaimRequest take = claims().getFirst();
         answer(take, ClaimResult.CLAIM_GRANTED);
@@ -49,8 +49,10 @@
                 .setNumber(entry.dispatches().getFirst().getNumber())
                 .setCause(Cause.ROLE_CHANGING)
                 .build();
-        entry.give(
-                EntryFixture.SERVICE, EntryFixture.FIRST, Envelope.newBuilder().setRefused(refused));
+        entry.deliver(
+                EntryFixture.SERVICE,
+                EntryFixture.INCARNATION,
+                Envelope.newBuilder().setRefused(refused));
         ClaimRequest move = claims().getFirst();
         assertThat(move.hasMove()).isTrue();
         answer(take, ClaimResult.CLAIM_GRANTED);
@@ -60,12 +62,12 @@
     }
 
     /*
-     * A caller resends through another entry while its first request runs. The second entry must ask the sidecar of
-     * the first attempt, not run the request again. Cause: two entries with one key.
+     * Guards against running a request twice. A caller resends a request through another entry while the first runs;
+     * the second entry must query the sidecar of the first attempt instead of running the request again.
      */
     @Example
-    void aKeyHeldByARunningAttemptIsToldInProgress() {
-        holdByOther(AttemptState.ATTEMPT_RUNNING);
+    void aKeyHeldByARunningAttemptIsReportedInProgress() {
+        claimHeldByOtherAttempt(AttemptState.ATTEMPT_RUNNING);
         AnswerEnd end = ends().getFirst();
         assertThat(end.getCause()).isEqualTo(Cause.KEY_IN_PROGRESS);
         assertThat(end.getRan()).isEqualTo(Ran.MAY_HAVE_RUN);
@@ -73,15 +75,15 @@
     }
 
     @Example
-    void aKeyWhoseAttemptIsSwornNotRunMovesToANewAttempt() {
-        holdByOther(AttemptState.ATTEMPT_NOT_RUN);
+    void aKeyWhoseAttemptDidNotRunMovesToANewAttempt() {
+        claimHeldByOtherAttempt(AttemptState.ATTEMPT_NOT_RUN);
         ClaimRequest move = claims().getFirst();
         assertThat(move.getMove().getFrom().getNumber()).isEqualTo(77);
     }
 
     @Example
-    void aKeyWhoseSidecarLostItsMemoryIsNeverRunAgain() {
-        holdByOther(AttemptState.ATTEMPT_UNKNOWN);
+    void aKeyWhoseSidecarLostItsJournalIsNeverRunAgain() {
+        claimHeldByOtherAttempt(AttemptState.ATTEMPT_UNKNOWN);
         List<Envelope> sent = entry.out.take(message -> message.hasAnswerEnd() || message.hasDispatch());
         assertThat(sent).hasSize(1);
         assertThat(sent.getFirst().getAnswerEnd().getRan()).isEqualTo(Ran.MAY_HAVE_RUN);
@@ -90,16 +92,16 @@
 
     @Example
     void aClaimThatIsNeverAnsweredEndsAsNotRun() {
-        entry.open(EntryFixture.SERVICE, EntryFixture.FIRST, 100);
+        entry.openSession(EntryFixture.SERVICE, EntryFixture.INCARNATION, 100);
         entry.exchange("k");
         entry.out.take(message -> true);
-        entry.pass(6_000);
+        entry.advanceMillis(6_000);
         AnswerEnd end = ends().getFirst();
         assertThat(end.getRan()).isEqualTo(Ran.NOT_RUN);
     }
 
-    private void holdByOther(AttemptState state) {
-        entry.open(EntryFixture.SERVICE, EntryFixture.FIRST, 100);
+    private void claimHeldByOtherAttempt(AttemptState state) {
+        entry.openSession(EntryFixture.SERVICE, EntryFixture.INCARNATION, 100);
         entry.exchange("k");
         ClaimRequest take = claims().getFirst();
         AttemptRef holder = AttemptRef.newBuilder()
@@ -113,7 +115,7 @@
                 .setHolder(holder)
                 .setAgeMs(60_000)
                 .build();
-        entry.give(EntryFixture.CONTROL, 1, Envelope.newBuilder().setClaimAnswer(held));
+        entry.deliver(EntryFixture.CONTROL, 1, Envelope.newBuilder().setClaimAnswer(held));
         Revoke revoke = entry.out.take(Envelope::hasRevoke).getFirst().getRevoke();
         RevokeAnswer answer = RevokeAnswer.newBuilder()
                 .setSession(999)
@@ -121,8 +123,10 @@
                 .setQuestion(revoke.getQuestion())
                 .setState(state)
                 .build();
-        entry.give(
-                EntryFixture.SERVICE, EntryFixture.FIRST, Envelope.newBuilder().setRevokeAnswer(answer));
+        entry.deliver(
+                EntryFixture.SERVICE,
+                EntryFixture.INCARNATION,
+                Envelope.newBuilder().setRevokeAnswer(answer));
     }
 
     private List<ClaimRequest> claims() {
@@ -142,6 +146,6 @@
                 .setQuestion(request.getQuestion())
                 .setResult(result)
                 .build();
-        entry.give(EntryFixture.CONTROL, 1, Envelope.newBuilder().setClaimAnswer(answer));
+        entry.deliver(EntryFixture.CONTROL, 1, Envelope.newBuilder().setClaimAnswer(answer));
     }
 }
--- a/src/test/java/org/cuminshelf/entry/ConfigSubscriptionTest.java
+++ b/src/test/java/org/cuminshelf/entry/ConfigSubscriptionTest.java
@@ -11,7 +11,7 @@
 import org.cuminshelf.message.Envelope;
 import org.cuminshelf.message.Update;
 
-/** The configuration in force on an entry. */
+/** Tests which configuration is in force at an entry, and when the entry is ready. */
 class ConfigSubscriptionTest {
 
     private static final Address A = Address.of("10.0.0.1:7000");
@@ -25,48 +25,48 @@
             Invariants.throwing());
 
     @Example
-    void anOlderConfigurationThatComesLateChangesNothing() {
-        give(A, update(5, true));
-        give(B, update(4, true));
+    void anOlderConfigurationThatArrivesLateIsIgnored() {
+        deliver(A, update(5, true));
+        deliver(B, update(4, true));
         assertThat(core.configVersion()).isEqualTo(5);
     }
 
     /*
-     * A limit that was lifted is back after a restart. A fresh entry is taught by one stale control process and serves
-     * at once. Cause: no disk on entry VMs, and a peer that has not heard the newest version.
+     * Guards against the return of a removed limit after a restart. Entries have no disk; a new entry that served after
+     * the answer of one stale control process would apply an older configuration.
      */
     @Example
-    void aFreshEntryIsNotReadyOnTheWordOfOneControlProcess() {
-        give(A, update(4, false));
+    void aNewEntryIsNotReadyAfterTheAnswerOfOneControlProcess() {
+        deliver(A, update(4, false));
         assertThat(core.isReady()).isFalse();
     }
 
     @Example
-    void aFreshEntryIsReadyOnceAQuorumConfirmed() {
-        give(A, update(4, true));
+    void aNewEntryIsReadyOnceAQuorumConfirmed() {
+        deliver(A, update(4, true));
         assertThat(core.isReady()).isTrue();
     }
 
     @Example
-    void aPartedEntryIsReadyOnceEveryControlProcessOfItsRegionAnsweredAsAVoter() {
-        give(A, update(4, false));
-        give(B, update(6, false));
+    void anEntryWithoutAQuorumIsReadyOnceEveryControlProcessOfItsRegionAnsweredAsAVoter() {
+        deliver(A, update(4, false));
+        deliver(B, update(6, false));
         assertThat(core.isReady()).isTrue();
         assertThat(core.configVersion()).isEqualTo(6);
     }
 
     /*
-     * The same, but one control process has just lost its disk and knows nothing. Its answer must not count: the
-     * earlier incarnation of this entry may have learnt from it what it no longer knows.
+     * Guards against returning to an older configuration. One control process has lost its disk; its answer must not
+     * count, because the earlier incarnation of this entry may have received from it a configuration that it has lost.
      */
     @Example
     void aControlProcessThatLostItsDiskDoesNotCount() {
-        give(A, update(4, false));
-        give(B, update(0, false).toBuilder().setVoter(false).build());
+        deliver(A, update(4, false));
+        deliver(B, update(0, false).toBuilder().setVoter(false).build());
         assertThat(core.isReady()).isFalse();
     }
 
-    private void give(Address from, Update update) {
+    private void deliver(Address from, Update update) {
         core.accept(
                 1, Envelope.newBuilder().setFrom(from.value()).setUpdate(update).build(), out);
     }
--- a/src/test/java/org/cuminshelf/entry/EntryFixture.java
+++ b/src/test/java/org/cuminshelf/entry/EntryFixture.java
@@ -17,14 +17,16 @@
 import org.cuminshelf.message.Update;
 import org.cuminshelf.message.UpstreamKind;
 
-/** An entry's core with one engine and one plain service in its table, driven by hand. */
+/** The core of an entry with one engine and one service in its directory; a test sends messages and sets the time. */
 final class EntryFixture {
 
     static final Address CONTROL = Address.of("10.0.0.1:7000");
     static final Address ENGINE = Address.of("10.0.2.1:7000");
     static final Address OTHER_ENGINE = Address.of("10.0.2.2:7000");
     static final Address SERVICE = Address.of("10.0.3.1:7000");
-    static final long FIRST = 11;
+    /** First incarnation of all sidecars. */
+    static final long INCARNATION = 11;
+
     private static final String CONFIG = "{\"models\":{\"m\":{}},\"services\":{\"s\":{}},"
             + "\"organisations\":{\"limited\":{\"requests-per-second\":1,\"burst\":1}}}";
 
@@ -45,13 +47,13 @@
                 .addMembers(member(ENGINE, UpstreamKind.UPSTREAM_ENGINE))
                 .addMembers(member(SERVICE, UpstreamKind.UPSTREAM_SERVICE))
                 .build();
-        give(CONTROL, 1, Envelope.newBuilder().setUpdate(update));
+        deliver(CONTROL, 1, Envelope.newBuilder().setUpdate(update));
     }
 
     static Member member(Address address, UpstreamKind kind) {
         return Member.newBuilder()
                 .setAddress(address.value())
-                .setIncarnation(FIRST)
+                .setIncarnation(INCARNATION)
                 .setKind(kind)
                 .setService(kind == UpstreamKind.UPSTREAM_SERVICE ? "s" : "")
                 .addModels("m")
@@ -63,29 +65,30 @@
         Update update = Update.newBuilder()
                 .addMembers(member(address, UpstreamKind.UPSTREAM_ENGINE))
                 .build();
-        give(CONTROL, 1, Envelope.newBuilder().setUpdate(update));
+        deliver(CONTROL, 1, Envelope.newBuilder().setUpdate(update));
     }
 
-    void give(Address from, long incarnation, Envelope.Builder message) {
+    void deliver(Address from, long incarnation, Envelope.Builder message) {
         core.accept(
                 now, message.setFrom(from.value()).setIncarnation(incarnation).build(), out);
         core.tick(now, out);
     }
 
-    void open(Address sidecar, long incarnation, long session) {
-        openFor(1, sidecar, incarnation, session);
+    void openSession(Address sidecar, long incarnation, long session) {
+        openSessionFor(1, sidecar, incarnation, session);
     }
 
-    void openFor(long entryIncarnation, Address sidecar, long incarnation, long session) {
+    /** Opens a session for the given incarnation of the entry; that of this entry is 1. */
+    void openSessionFor(long entryIncarnation, Address sidecar, long incarnation, long session) {
         SessionOpened opened = SessionOpened.newBuilder()
                 .setEntryIncarnation(entryIncarnation)
                 .setSession(session)
                 .setLoad(LoadReport.newBuilder().setSlots(8))
                 .build();
-        give(sidecar, incarnation, Envelope.newBuilder().setSessionOpened(opened));
+        deliver(sidecar, incarnation, Envelope.newBuilder().setSessionOpened(opened));
     }
 
-    void pass(long millis) {
+    void advanceMillis(long millis) {
         now += Durations.nanos(millis);
         core.tick(now, out);
     }
@@ -115,7 +118,7 @@
 
     long call(CallArrived.Builder call) {
         long id = nextCall++;
-        give(Address.CALLERS, 1, Envelope.newBuilder().setCallArrived(call.setCall(id)));
+        deliver(Address.CALLERS, 1, Envelope.newBuilder().setCallArrived(call.setCall(id)));
         return id;
     }
 
