--- a/src/main/java/org/cuminshelf/entry/AnswerSystem.java
+++ b/src/main/java/org/cuminshelf/entry/AnswerSystem.java
@@ -36,7 +36,7 @@
         state.invariants.check(
                 offset == call.deliveredTokens.size(),
                 "each-token-once-and-in-order",
-                () -> "call " + call.id + " has " + call.deliveredTokens.size() + " tokens but received offset "
+                () -> "call " + call.id + " holds " + call.deliveredTokens.size() + " tokens but received offset "
                         + offset);
         if (call.deliveredTokens.isEmpty()) {
             call.firstTokenAtNanos = now;
@@ -82,7 +82,7 @@
                 .setOutputTokens(call.deliveredTokens.size());
         if (call.isGeneration()) {
             end.setPromptTokens(call.generation().getPromptTokens());
-            state.outputLengths.record(
+            state.outputLengths.observe(
                     call.request.getOrganisation(), call.generation().getModel(), call.deliveredTokens.size());
         }
         finish(call, end.build(), out);
--- a/src/main/java/org/cuminshelf/entry/OutputLengthEstimator.java
+++ b/src/main/java/org/cuminshelf/entry/OutputLengthEstimator.java
@@ -31,7 +31,8 @@
         return Math.min(limit, mean == null ? limit * INITIAL_SHARE_OF_LIMIT : mean);
     }
 
-    void record(String organisation, String model, int tokens) {
+    /** Adds the length of a complete answer to the mean. */
+    void observe(String organisation, String model, int tokens) {
         means.merge(
                 new Key(organisation, model),
                 (double) tokens,
--- a/src/main/java/org/cuminshelf/organisations/AccessDecision.java
+++ b/src/main/java/org/cuminshelf/organisations/AccessDecision.java
@@ -1,22 +1,22 @@
 package org.cuminshelf.organisations;
 
-/** In whose name a request may run. */
+/** Whether a request is authorised, and on behalf of which organisation. */
 public sealed interface AccessDecision {
 
     /**
-     * In that of an organisation.
+     * The request is authorised on behalf of an organisation.
      *
-     * @param organisation the organisation that holds the key
+     * @param organisation the organisation that the key belongs to
      */
     record Authorised(Organisation organisation) implements AccessDecision {}
 
-    /** In nobody's, which is enough here. */
+    /** The request is authorised without an organisation. */
     record Anonymous() implements AccessDecision {}
 
     /**
-     * It may not run.
+     * The request is not authorised.
      *
-     * @param reason why, without the key
+     * @param reason the reason; does not contain the key
      */
     record Denied(String reason) implements AccessDecision {}
 }
--- a/src/main/java/org/cuminshelf/organisations/ApiKeyDigest.java
+++ b/src/main/java/org/cuminshelf/organisations/ApiKeyDigest.java
@@ -6,15 +6,16 @@
 import java.util.HexFormat;
 
 /**
- * A key that a caller sends, as the first half of its SHA-256.
+ * The digest of an API key: the first half of its SHA-256.
  *
- * <p>Failure it guards against: a key turns up in a log line, an error or a message, and whoever reads it can ask in
- * the name of its organisation. Only the digest is kept from where a key is first read, and even that isn't printed.
+ * <p>Failure it guards against: a key appears in a log line, an error or a message, and a reader of it can send
+ * requests on behalf of its organisation. Only the digest is kept once a key is read, and {@link #toString()} omits
+ * the digest.
  */
 public final class ApiKeyDigest {
 
     private static final String ALGORITHM = "SHA-256";
-    private static final int BYTES = 16;
+    private static final int DIGEST_BYTES = 16;
 
     private final String digest;
 
@@ -23,22 +24,22 @@
     }
 
     /**
-     * Takes the digest of a key.
+     * Computes the digest of a key.
      *
-     * @param text the key as sent
-     * @return the key
+     * @param text the key as received
+     * @return the digest
      */
     public static ApiKeyDigest of(String text) {
         try {
             byte[] whole = MessageDigest.getInstance(ALGORITHM).digest(text.getBytes(StandardCharsets.UTF_8));
-            return new ApiKeyDigest(HexFormat.of().formatHex(whole, 0, BYTES));
+            return new ApiKeyDigest(HexFormat.of().formatHex(whole, 0, DIGEST_BYTES));
         } catch (NoSuchAlgorithmException e) {
             throw new IllegalStateException("every Java runtime has " + ALGORITHM, e);
         }
     }
 
     /**
-     * Names the caller where no organisation does.
+     * Returns the digest as text, which identifies the caller where no organisation is known.
      *
      * @return 32 hexadecimal digits, the same for the same key at all entries
      */
--- a/src/main/java/org/cuminshelf/organisations/Organisation.java
+++ b/src/main/java/org/cuminshelf/organisations/Organisation.java
@@ -4,15 +4,15 @@
 import java.util.OptionalInt;
 
 /**
- * An organisation in whose name callers ask.
+ * An organisation on whose behalf callers send requests.
  *
- * @param name     its name, which upstreams are told
- * @param keys     the keys of its callers
- * @param priority rank of its calls, 0 first, in place of that of their route; nothing where it states none
+ * @param name     the name of the organisation, which is sent to upstreams
+ * @param keys     the digests of its API keys
+ * @param priority priority of its calls, which overrides that of the route, 0 being the highest; empty if not stated
  */
 public record Organisation(String name, List<ApiKeyDigest> keys, OptionalInt priority) {
 
-    /** Takes a copy of the keys. */
+    /** Takes a copy of the list. */
     public Organisation {
         keys = List.copyOf(keys);
     }
--- a/src/main/java/org/cuminshelf/organisations/Organisations.java
+++ b/src/main/java/org/cuminshelf/organisations/Organisations.java
@@ -7,35 +7,35 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** The organisations of one configuration, by their keys. A lookup takes the same time however many there are. */
+/** The organisations of one configuration. A lookup by key takes constant time. */
 public final class Organisations {
 
     private static final Organisations UNRESTRICTED = new Organisations(List.of(), false);
     private static final AccessDecision ANONYMOUS = new AccessDecision.Anonymous();
 
     private final List<Organisation> all;
-    private final boolean keysNeeded;
+    private final boolean keyRequired;
     private final Map<ApiKeyDigest, Organisation> byKey = new HashMap<>();
 
-    private Organisations(List<Organisation> all, boolean keysNeeded) {
+    private Organisations(List<Organisation> all, boolean keyRequired) {
         this.all = List.copyOf(all);
-        this.keysNeeded = keysNeeded;
+        this.keyRequired = keyRequired;
         all.forEach(organisation -> organisation.keys().forEach(key -> byKey.putIfAbsent(key, organisation)));
     }
 
     /**
-     * A deployment that knows no organisations.
+     * Returns the table of a deployment without organisations.
      *
-     * @return a table by which any request may run in nobody's name
+     * @return a table that authorises every request without a key
      */
     public static Organisations unrestricted() {
         return UNRESTRICTED;
     }
 
     /**
-     * Makes the table of a deployment that names its organisations.
+     * Creates the table of a deployment with organisations.
      *
-     * @param all the organisations; without any, no key is valid
+     * @param all the organisations; if there are none, no key is valid
      * @return the table; see {@link #validationError()}
      */
     public static Organisations of(List<Organisation> all) {
@@ -43,9 +43,9 @@
     }
 
     /**
-     * Finds what makes this table unfit to be in force.
+     * Checks whether this table is valid.
      *
-     * @return the first problem, with the organisations it is about and without keys
+     * @return the first error with the names of its organisations and without keys; empty if the table is valid
      */
     public Optional<String> validationError() {
         Set<String> names = new HashSet<>();
@@ -68,24 +68,24 @@
     }
 
     /**
-     * Judges in whose name a request may run.
+     * Decides whether a request is authorised.
      *
-     * @param keys        the keys that came with it
-     * @param publicRoute whether its route asks for none
-     * @return the organisation, nobody, or why it may not run
+     * @param keys        the keys of the request
+     * @param publicRoute whether its route requires no key
+     * @return the decision
      */
     public AccessDecision authorise(RequestApiKeys keys, boolean publicRoute) {
         Optional<Organisation> holder = keys.single().map(byKey::get);
         if (holder.isPresent()) {
             return new AccessDecision.Authorised(holder.get());
         }
-        if (publicRoute || !keysNeeded) {
+        if (publicRoute || !keyRequired) {
             return ANONYMOUS;
         }
-        return new AccessDecision.Denied(reason(keys));
+        return new AccessDecision.Denied(denialReason(keys));
     }
 
-    private static String reason(RequestApiKeys keys) {
+    private static String denialReason(RequestApiKeys keys) {
         return switch (keys.digests().size()) {
             case 0 -> "no-key";
             case 1 -> "unknown-key";
@@ -94,9 +94,9 @@
     }
 
     /**
-     * All organisations.
+     * Returns all organisations.
      *
-     * @return the organisations as they were given
+     * @return the organisations in the order received
      */
     public List<Organisation> all() {
         return all;
--- a/src/main/java/org/cuminshelf/organisations/package-info.java
+++ b/src/main/java/org/cuminshelf/organisations/package-info.java
@@ -1,2 +1,2 @@
-/** The organisations that callers belong to, and the keys by which a request shows whose it is. */
+/** The organisations that callers belong to, and the API keys by which a request is assigned to one of them. */
 package org.cuminshelf.organisations;
--- a/src/main/java/org/cuminshelf/routes/EngineCapacity.java
+++ b/src/main/java/org/cuminshelf/routes/EngineCapacity.java
@@ -1,17 +1,17 @@
 package org.cuminshelf.routes;
 
 /**
- * What the engines of a service can do.
+ * The capacity of each engine of a service.
  *
- * @param slots          requests that run at once
- * @param kvCacheTokens    tokens of KV cache that fit its memory; 0 if that is not stated
- * @param tokensPerEvent tokens in one event of a stream
- * @param kvBytesPerToken     bytes of KV cache for each token; 0 if that is not stated
+ * @param slots           maximum number of concurrent requests, at least 1
+ * @param kvCacheTokens   size of the KV cache in tokens; 0 if not stated
+ * @param tokensPerEvent  tokens in one event of a stream, at least 1
+ * @param kvBytesPerToken size of the KV cache of one token in bytes; 0 if not stated
  */
 public record EngineCapacity(int slots, long kvCacheTokens, int tokensPerEvent, double kvBytesPerToken) {
 
     /**
-     * Checks what is stated. Absurd figures count as not stated: a policy that divides by them would refuse all.
+     * Replaces invalid values as if they were not stated: a policy that divides by them would refuse all requests.
      */
     public EngineCapacity {
         slots = Math.max(1, slots);
--- a/src/main/java/org/cuminshelf/routes/RequestKind.java
+++ b/src/main/java/org/cuminshelf/routes/RequestKind.java
@@ -1,11 +1,11 @@
 package org.cuminshelf.routes;
 
-/** What may be repeated of a request. */
+/** Whether a request may be repeated. */
 public enum RequestKind {
     /** May run more than once. */
     IDEMPOTENT,
-    /** May run at most once for each request of a caller. */
+    /** May run at most once. */
     NON_IDEMPOTENT,
-    /** Answered by a stream of events; runs at most once unless its route lets it be resumed. */
+    /** Answered by a stream of events; runs at most once unless its route is resumable. */
     STREAM
 }
--- a/src/main/java/org/cuminshelf/routes/Route.java
+++ b/src/main/java/org/cuminshelf/routes/Route.java
@@ -34,23 +34,23 @@
         boolean publicRoute) {
 
     /**
-     * Whether a request may run more than once.
+     * Returns whether a request may run more than once.
      *
-     * @return true for idempotent requests and streams that may be resumed
+     * @return true for idempotent requests and resumable streams
      */
     public boolean isRepeatable() {
         return kind == RequestKind.IDEMPOTENT || kind == RequestKind.STREAM && resumable;
     }
 
     /**
-     * Chooses the service of a request.
+     * Chooses the service of a request in proportion to the weights.
      *
-     * @param choice any number that is spread evenly over requests
+     * @param hash a number distributed uniformly over requests, such as a hash of the request's id
      * @return the name of a service with a weight above 0
      */
-    public String chooseService(long choice) {
+    public String chooseService(long hash) {
         int sum = services.stream().mapToInt(WeightedService::weight).sum();
-        long place = Math.floorMod(choice, (long) sum);
+        long place = Math.floorMod(hash, (long) sum);
         for (WeightedService service : services) {
             place -= service.weight();
             if (place < 0) {
--- a/src/main/java/org/cuminshelf/routes/RouteTable.java
+++ b/src/main/java/org/cuminshelf/routes/RouteTable.java
@@ -10,7 +10,7 @@
 import org.cuminshelf.exchange.CallerLimits;
 import org.cuminshelf.organisations.Organisations;
 
-/** All routes, services and organisations under one version, checked. */
+/** The routes, services, organisations and caller limits of one configuration version. */
 public final class RouteTable {
 
     private static final RouteTable EMPTY =
@@ -39,24 +39,26 @@
     }
 
     /**
-     * The routes of one host by their prefixes. A lookup costs as many steps as the deepest prefix has segments,
-     * however many routes there are; configurations of a thousand routes are usual.
+     * The routes of one host by path prefix. A lookup takes at most as many steps as the deepest prefix has segments,
+     * independently of the number of routes; configurations with a thousand routes are common.
      */
     private static final class HostRoutes {
         private final Map<String, Route> byPrefix = new HashMap<>();
-        private int deepest;
+        private int maxDepth;
 
         private void add(Route route) {
             byPrefix.putIfAbsent(route.pathPrefix(), route);
-            int slashes =
-                    (int) route.pathPrefix().chars().filter(one -> one == '/').count();
-            deepest = Math.max(deepest, slashes);
+            int slashes = (int) route.pathPrefix()
+                    .chars()
+                    .filter(character -> character == '/')
+                    .count();
+            maxDepth = Math.max(maxDepth, slashes);
         }
 
-        private Optional<Route> longest(String path) {
+        private Optional<Route> longestMatch(String path) {
             Route found = null;
             int slash = path.indexOf('/');
-            for (int depth = 1; depth <= deepest && slash >= 0; depth++) {
+            for (int depth = 1; depth <= maxDepth && slash >= 0; depth++) {
                 Route route = byPrefix.get(path.substring(0, slash + 1));
                 found = route == null ? found : route;
                 slash = path.indexOf('/', slash + 1);
@@ -66,7 +68,7 @@
     }
 
     /**
-     * The table before any configuration is known.
+     * Returns the table in force before any configuration is known.
      *
      * @return a table without routes
      */
@@ -75,7 +77,7 @@
     }
 
     /**
-     * Makes the table of a deployment that knows no organisations.
+     * Creates the table of a deployment without organisations.
      *
      * @param version  the version
      * @param routes   the routes
@@ -89,12 +91,12 @@
     }
 
     /**
-     * Makes a table.
+     * Creates a table.
      *
      * @param version       the version
      * @param routes        the routes
      * @param services      the services, by name
-     * @param organisations the organisations, by their keys
+     * @param organisations the organisations with their keys
      * @param limits        what callers may send
      * @return the table; see {@link #validationError()}
      */
@@ -108,32 +110,32 @@
     }
 
     /**
-     * Finds what makes this table unfit to be in force.
+     * Checks whether this table is valid.
      *
-     * @return the first problem, with the route it is about
+     * @return the first error with the name of its route; empty if the table is valid
      */
     public Optional<String> validationError() {
-        Set<String> places = new HashSet<>();
+        Set<String> hostsAndPrefixes = new HashSet<>();
         for (Route route : routes) {
-            String where = "route " + route.name() + ": ";
-            if (!places.add(route.host() + ' ' + route.pathPrefix())) {
-                return Optional.of(where + "another route has the same host and path prefix");
+            String errorPrefix = "route " + route.name() + ": ";
+            if (!hostsAndPrefixes.add(route.host() + ' ' + route.pathPrefix())) {
+                return Optional.of(errorPrefix + "another route has the same host and path prefix");
             }
             if (!route.pathPrefix().startsWith("/") || !route.pathPrefix().endsWith("/")) {
-                return Optional.of(where + "its path prefix must begin and end with a slash");
+                return Optional.of(errorPrefix + "its path prefix must begin and end with a slash");
             }
             if (route.timeoutMillis() <= 0) {
-                return Optional.of(where + "its timeout must be above 0 ms");
+                return Optional.of(errorPrefix + "its timeout must be above 0 ms");
             }
-            Optional<String> wrongService = serviceProblem(route);
-            if (wrongService.isPresent()) {
-                return wrongService.map(where::concat);
+            Optional<String> serviceError = serviceError(route);
+            if (serviceError.isPresent()) {
+                return serviceError.map(errorPrefix::concat);
             }
         }
         return organisations.validationError();
     }
 
-    private Optional<String> serviceProblem(Route route) {
+    private Optional<String> serviceError(Route route) {
         int sum = 0;
         for (WeightedService service : route.services()) {
             if (!services.containsKey(service.service())) {
@@ -148,7 +150,7 @@
     }
 
     /**
-     * The version under which this table was sent.
+     * Returns the version of this table.
      *
      * @return the version, 0 for the empty table
      */
@@ -157,7 +159,7 @@
     }
 
     /**
-     * What callers may send.
+     * Returns the limits on requests of callers.
      *
      * @return the limits
      */
@@ -166,7 +168,7 @@
     }
 
     /**
-     * In whose name requests may run.
+     * Returns the organisations that may send requests.
      *
      * @return the organisations
      */
@@ -175,34 +177,34 @@
     }
 
     /**
-     * All routes.
+     * Returns all routes.
      *
-     * @return the routes as sent
+     * @return the routes in the order received
      */
     public List<Route> routes() {
         return routes;
     }
 
     /**
-     * A service.
+     * Returns a service.
      *
-     * @param name its name
-     * @return the service, if it is in this table
+     * @param name the name of the service
+     * @return the service, or empty if it is unknown
      */
     public Optional<RoutedService> service(String name) {
         return Optional.ofNullable(services.get(name));
     }
 
     /**
-     * Finds the route of a request: that with the longest prefix.
+     * Finds the route of a request: that with the longest matching prefix.
      *
-     * @param host the host as the caller sent it; a port and upper case don't count
-     * @param path the path without query
-     * @return the route, if there is one
+     * @param host the value of the Host header; the port and upper case are ignored
+     * @param path the path without the query
+     * @return the route, or empty if none matches
      */
     public Optional<Route> route(String host, String path) {
         int port = host.lastIndexOf(':');
         String name = (port > 0 ? host.substring(0, port) : host).toLowerCase(Locale.ROOT);
-        return Optional.ofNullable(byHost.get(name)).flatMap(found -> found.longest(path));
+        return Optional.ofNullable(byHost.get(name)).flatMap(found -> found.longestMatch(path));
     }
 }
--- a/src/main/java/org/cuminshelf/routes/RoutedService.java
+++ b/src/main/java/org/cuminshelf/routes/RoutedService.java
@@ -3,10 +3,10 @@
 import java.util.Optional;
 
 /**
- * A service that routes name.
+ * A service that routes refer to.
  *
- * @param name           its name
- * @param maxConnections connections that one upstream takes from all callers together
- * @param engine         what its engines can do, where its upstreams are engines
+ * @param name           the name of the service
+ * @param maxConnections maximum number of connections that one upstream accepts from all clients together
+ * @param engine         the capacity of its engines; empty if its upstreams are not engines
  */
 public record RoutedService(String name, int maxConnections, Optional<EngineCapacity> engine) {}
--- a/src/main/java/org/cuminshelf/routes/package-info.java
+++ b/src/main/java/org/cuminshelf/routes/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The routes of a deployment whose operators send them whole, under versions of their own: which host and path goes to
- * which service, what may be repeated, how long it may take, and in whose name.
+ * The route table of a deployment whose operators send it as one versioned document: the service for each host and
+ * path, whether requests may be repeated, their time limits, and the organisations that may send them.
  */
 package org.cuminshelf.routes;
--- a/src/main/java/org/cuminshelf/usage/CommittedUsage.java
+++ b/src/main/java/org/cuminshelf/usage/CommittedUsage.java
@@ -6,91 +6,91 @@
 import org.cuminshelf.message.UsageWindow;
 
 /**
- * The windows whose counts stand, as a group of control processes has them in its log.
+ * The windows whose counts are committed to the replicated log of a group of control processes.
  *
- * <p>Failure it guards against: two reports of one window with different counts. The first counts of a window that the
- * log holds stand; only they are reported, by whichever process.
+ * <p>Failure it guards against: two reports of one window with different counts. The counts of a window that are
+ * committed first are final, and every process reports only those.
  */
 public final class CommittedUsage {
 
-    /** Windows that wait for an acknowledgement at the most: what is older counts no more. */
-    private static final int MOST_DUE = 64;
+    /** Maximum number of unacknowledged windows; older ones are dropped without a report. */
+    private static final int MAX_UNACKNOWLEDGED = 64;
 
-    private final TreeMap<Long, UsageWindow> due = new TreeMap<>();
-    private long last;
+    private final TreeMap<Long, UsageWindow> unacknowledged = new TreeMap<>();
+    private long lastWindow;
 
     private CommittedUsage() {}
 
     /**
-     * Makes no windows.
+     * Creates an instance without windows.
      *
-     * @return the windows
+     * @return the instance
      */
     public static CommittedUsage create() {
         return new CommittedUsage();
     }
 
     /**
-     * Takes counts that were committed.
+     * Applies committed counts. Counts of the last committed window or an earlier one are ignored.
      *
      * @param window the window with its counts
      */
     public void commit(UsageWindow window) {
-        if (window.getWindow() <= last) {
+        if (window.getWindow() <= lastWindow) {
             return;
         }
-        last = window.getWindow();
-        due.put(last, window);
-        if (due.size() > MOST_DUE) {
-            due.pollFirstEntry();
+        lastWindow = window.getWindow();
+        unacknowledged.put(lastWindow, window);
+        if (unacknowledged.size() > MAX_UNACKNOWLEDGED) {
+            unacknowledged.pollFirstEntry();
         }
     }
 
     /**
-     * Takes the committed word that a report was acknowledged.
+     * Applies the committed acknowledgement of a report.
      *
-     * @param window the number of its window
+     * @param window the number of the reported window
      */
     public void acknowledge(long window) {
-        due.remove(window);
+        unacknowledged.remove(window);
     }
 
     /**
-     * The last window whose counts stand; those before it do too, or are given up.
+     * Returns the last committed window. Earlier windows are committed too, or were dropped.
      *
-     * @return its number, 0 before the first
+     * @return the number of the window, 0 before the first
      */
     public long lastWindow() {
-        return last;
+        return lastWindow;
     }
 
     /**
-     * The window to report next.
+     * Returns the window to report next.
      *
-     * @return the oldest one without an acknowledgement
+     * @return the oldest unacknowledged window; empty if there is none
      */
     public Optional<UsageWindow> nextToReport() {
-        return Optional.ofNullable(due.firstEntry()).map(entry -> entry.getValue());
+        return Optional.ofNullable(unacknowledged.firstEntry()).map(entry -> entry.getValue());
     }
 
     /**
-     * All windows without an acknowledgement.
+     * Returns all unacknowledged windows.
      *
      * @return the windows, oldest first
      */
     public List<UsageWindow> unacknowledged() {
-        return List.copyOf(due.values());
+        return List.copyOf(unacknowledged.values());
     }
 
     /**
-     * Takes what a snapshot holds.
+     * Replaces the state by that of a snapshot.
      *
-     * @param lastWindow the last window whose counts stand
-     * @param waiting    the windows without an acknowledgement
+     * @param lastCommitted the number of the last committed window
+     * @param windows       the unacknowledged windows
      */
-    public void restore(long lastWindow, List<UsageWindow> waiting) {
-        last = lastWindow;
-        due.clear();
-        waiting.forEach(window -> due.put(window.getWindow(), window));
+    public void restore(long lastCommitted, List<UsageWindow> windows) {
+        lastWindow = lastCommitted;
+        unacknowledged.clear();
+        windows.forEach(window -> unacknowledged.put(window.getWindow(), window));
     }
 }
--- a/src/main/java/org/cuminshelf/usage/FleetClock.java
+++ b/src/main/java/org/cuminshelf/usage/FleetClock.java
@@ -13,24 +13,25 @@
 import org.cuminshelf.core.Durations;
 
 /**
- * The time of day that most clocks of the fleet agree on, over the own monotonic clock.
+ * The time of day that most clocks of the fleet agree on, as an offset from the local monotonic clock.
  *
- * <p>Failure it guards against: the time of day of a VM is off by seconds, or jumps, and its calls are counted in the
- * wrong window. Each answer of a control process bounds by how far its clock is ahead of the own monotonic one: the
- * clock was read between the question and the answer. The offset that lies within most clocks' bounds is taken
- * (Marzullo's algorithm, as in NTP), the own clock being one of them, so that a minority that is off changes nothing.
+ * <p>Failure it guards against: the time of day of a VM is wrong by seconds, or jumps, and its calls are counted in the
+ * wrong window. Each answer of a control process bounds the offset of its clock from the local monotonic clock, because
+ * the clock was read between the request and the answer. The offset within the bounds of the most clocks is used
+ * (Marzullo's algorithm, as in NTP). The local time of day is one of these clocks, so a minority of wrong clocks has no
+ * effect.
  */
 public final class FleetClock {
 
-    /** Samples remembered of each clock; the narrowest of them counts. */
-    private static final int SAMPLES = 8;
-    /** By how much two clocks that are right may differ. */
-    private static final long CLOCKS_DIFFER = Durations.nanos(50);
-    /** Change of the own clock against the monotonic one after which all samples are forgotten. */
-    private static final long JUMP = Durations.nanos(200);
+    /** Samples kept for each clock; the one with the narrowest bounds is used. */
+    private static final int MAX_SAMPLES = 8;
+    /** Maximum difference between two correct clocks. */
+    private static final long MAX_CLOCK_DIFFERENCE_NANOS = Durations.nanos(50);
+    /** Change of the local time of day against the monotonic clock after which all samples are discarded. */
+    private static final long JUMP_THRESHOLD_NANOS = Durations.nanos(200);
 
-    /** Time after which a clock that gave no answer any more counts no more, if others do. */
-    private static final long KEPT = Durations.nanos(30_000);
+    /** Time since its last answer after which a clock is ignored, once another clock answers. */
+    private static final long SAMPLE_LIFETIME_NANOS = Durations.nanos(30_000);
 
     /** Bounds of an offset: nanoseconds from the monotonic clock to the time since the start of 1970. */
     private record Bounds(long lowest, long highest) {
@@ -44,18 +45,18 @@
         }
     }
 
-    /** Where the bounds of one clock begin or end. */
+    /** The lower or upper end of the bounds of one clock. */
     private record Edge(long offset, boolean begins) {}
 
     private final Map<Address, Deque<Bounds>> samples = new HashMap<>();
-    private final Map<Address, Long> heardAt = new HashMap<>();
-    private OptionalLong own = OptionalLong.empty();
-    private OptionalLong agreed = OptionalLong.empty();
+    private final Map<Address, Long> lastSampleAtNanos = new HashMap<>();
+    private OptionalLong ownOffsetNanos = OptionalLong.empty();
+    private OptionalLong agreedOffsetNanos = OptionalLong.empty();
 
     private FleetClock() {}
 
     /**
-     * Makes a clock that no other was compared with yet.
+     * Creates a clock without readings.
      *
      * @return the clock
      */
@@ -64,73 +65,79 @@
     }
 
     /**
-     * Takes a reading of the own time of day.
+     * Adds a reading of the local time of day.
      *
-     * @param now        the monotonic time in nanoseconds
+     * @param now        the local monotonic time in nanoseconds
      * @param unixMillis milliseconds since the start of 1970
      */
     public void addOwnReading(long now, long unixMillis) {
-        long offset = Durations.nanos(unixMillis) - now;
-        if (own.isPresent() && Math.abs(offset - own.getAsLong()) > JUMP) {
-            // The VM stood still without its monotonic clock, and then all offsets are another, or this clock jumped.
+        long offsetNanos = Durations.nanos(unixMillis) - now;
+        if (ownOffsetNanos.isPresent() && Math.abs(offsetNanos - ownOffsetNanos.getAsLong()) > JUMP_THRESHOLD_NANOS) {
+            // Either the VM was suspended with its monotonic clock, which changes all offsets, or the time of day
+            // jumped.
             samples.clear();
         }
-        own = OptionalLong.of(offset);
-        agreed = OptionalLong.of(agree());
+        ownOffsetNanos = OptionalLong.of(offsetNanos);
+        agreedOffsetNanos = OptionalLong.of(agreedOffsetNanos());
     }
 
     /**
-     * Takes another process's reading of its time of day.
+     * Adds a reading that another process took of its time of day.
      *
-     * @param clock     the process
-     * @param askedAt   monotonic time of the question in nanoseconds
-     * @param now       monotonic time of the answer in nanoseconds
-     * @param unixMicros what its clock showed in between, microseconds since the start of 1970
+     * @param clock            the process
+     * @param requestedAtNanos the local monotonic time of the request in nanoseconds
+     * @param now              the local monotonic time of the answer in nanoseconds
+     * @param unixMicros       the reading in between, in microseconds since the start of 1970
      */
-    public void addRemoteReading(Address clock, long askedAt, long now, long unixMicros) {
-        long read = TimeUnit.MICROSECONDS.toNanos(unixMicros);
-        Deque<Bounds> of = samples.computeIfAbsent(clock, key -> new ArrayDeque<>());
-        of.add(new Bounds(read - now - CLOCKS_DIFFER / 2, read - askedAt + CLOCKS_DIFFER / 2));
-        if (of.size() > SAMPLES) {
-            of.remove();
+    public void addRemoteReading(Address clock, long requestedAtNanos, long now, long unixMicros) {
+        long readNanos = TimeUnit.MICROSECONDS.toNanos(unixMicros);
+        Deque<Bounds> ofClock = samples.computeIfAbsent(clock, key -> new ArrayDeque<>());
+        ofClock.add(new Bounds(
+                readNanos - now - MAX_CLOCK_DIFFERENCE_NANOS / 2,
+                readNanos - requestedAtNanos + MAX_CLOCK_DIFFERENCE_NANOS / 2));
+        if (ofClock.size() > MAX_SAMPLES) {
+            ofClock.remove();
         }
-        heardAt.put(clock, now);
-        // Clocks run apart in days: those of processes that are gone must not outvote those that are there.
-        heardAt.values().removeIf(at -> now - at > KEPT);
-        samples.keySet().retainAll(heardAt.keySet());
-        agreed = OptionalLong.of(agree());
+        lastSampleAtNanos.put(clock, now);
+        // Clocks drift apart over days: processes that have ended must not outvote those that run.
+        lastSampleAtNanos.values().removeIf(at -> now - at > SAMPLE_LIFETIME_NANOS);
+        samples.keySet().retainAll(lastSampleAtNanos.keySet());
+        agreedOffsetNanos = OptionalLong.of(agreedOffsetNanos());
     }
 
     /**
-     * The time that most clocks agree on.
+     * Returns the time that most clocks agree on.
      *
      * @param now the monotonic time in nanoseconds
-     * @return milliseconds since the start of 1970, or nothing before any clock was read
+     * @return milliseconds since the start of 1970, or empty before the first reading
      */
     public OptionalLong unixMillis(long now) {
-        return agreed.isPresent() ? OptionalLong.of(Durations.millis(now + agreed.getAsLong())) : OptionalLong.empty();
+        return agreedOffsetNanos.isPresent()
+                ? OptionalLong.of(Durations.millis(now + agreedOffsetNanos.getAsLong()))
+                : OptionalLong.empty();
     }
 
-    /** The middle of the offsets that most clocks allow; of two that as many allow, that which is known better. */
-    private long agree() {
+    /** Returns the middle of the offsets within the bounds of the most clocks; on a tie, of the narrower range. */
+    private long agreedOffsetNanos() {
         List<Edge> edges = new ArrayList<>();
         samples.values()
-                .forEach(of -> of.stream()
+                .forEach(ofClock -> ofClock.stream()
                         .min(Comparator.comparingLong(Bounds::width))
                         .ifPresent(bounds -> addEdges(edges, bounds)));
-        own.ifPresent(offset -> addEdges(edges, new Bounds(offset - CLOCKS_DIFFER / 2, offset + CLOCKS_DIFFER / 2)));
+        ownOffsetNanos.ifPresent(offset -> addEdges(
+                edges, new Bounds(offset - MAX_CLOCK_DIFFERENCE_NANOS / 2, offset + MAX_CLOCK_DIFFERENCE_NANOS / 2)));
         edges.sort(Comparator.comparingLong(Edge::offset).thenComparing(edge -> !edge.begins));
-        int open = 0;
-        int most = 0;
+        int overlapping = 0;
+        int maxOverlapping = 0;
         Bounds best = new Bounds(0, Long.MAX_VALUE);
         for (int index = 0; index < edges.size(); index++) {
-            open += edges.get(index).begins ? 1 : -1;
+            overlapping += edges.get(index).begins ? 1 : -1;
             if (index + 1 == edges.size()) {
                 break;
             }
             Bounds between = new Bounds(edges.get(index).offset, edges.get(index + 1).offset);
-            if (open > most || open == most && between.width() < best.width()) {
-                most = open;
+            if (overlapping > maxOverlapping || overlapping == maxOverlapping && between.width() < best.width()) {
+                maxOverlapping = overlapping;
                 best = between;
             }
         }
--- a/src/main/java/org/cuminshelf/usage/UsageAggregator.java
+++ b/src/main/java/org/cuminshelf/usage/UsageAggregator.java
@@ -13,131 +13,141 @@
 import org.cuminshelf.message.UsageWindow;
 
 /**
- * What all entries counted, as they told one control process. Words may come late, twice or in any order: of two counts
- * of one start of an entry the higher is the later. What an entry counted before it ended stays.
+ * The counts that all entries reported to one control process. Reports may arrive late, twice or in any order: of two
+ * counts from the same incarnation of an entry, the higher one is the later. Counts of earlier incarnations are kept.
  */
 public final class UsageAggregator {
 
-    /** Silence after which an entry is not waited for any more. */
-    private static final long LEASE = Durations.nanos(4_000);
+    /** Time without a report after which an entry is no longer waited for. */
+    private static final long LIVENESS_TIMEOUT_NANOS = Durations.nanos(4_000);
 
-    /** One start of an entry. */
-    private record Source(Address entry, long incarnation) {}
+    /** One incarnation of an entry. */
+    private record EntryIncarnation(Address entry, long incarnation) {}
 
-    /** What one start of an entry told. */
-    private static final class Told {
+    /** The counts reported by one incarnation of an entry. */
+    private static final class ReportedUsage {
         private final TreeMap<Long, Map<String, Integer>> windows = new TreeMap<>();
-        /** Version of the entry's counts up to which nothing is missing here. */
-        private long heard;
+        /** Version of the entry's counts up to which every change has been received. */
+        private long receivedVersion;
 
-        private long until;
-        private long heardAt;
+        /** Number of the first window that the entry may still count in; 0 while the entry does not know the time. */
+        private long firstOpenWindow;
+
+        private long lastReportAtNanos;
     }
 
-    private final Map<Source, Told> sources = new HashMap<>();
+    private final Map<EntryIncarnation, ReportedUsage> reportedByEntry = new HashMap<>();
 
     private UsageAggregator() {}
 
     /**
-     * Makes counts of a starting control process.
+     * Creates the aggregator of a starting control process.
      *
-     * @return the counts
+     * @return the aggregator
      */
     public static UsageAggregator create() {
         return new UsageAggregator();
     }
 
     /**
-     * Takes what an entry tells.
+     * Adds the report of an entry.
      *
-     * @param now         the time in nanoseconds
-     * @param entry       its address
-     * @param incarnation its start
-     * @param subscribe   what it tells
-     * @return the version of its counts up to which nothing is missing here
+     * @param now         the monotonic time in nanoseconds
+     * @param entry       the address of the entry
+     * @param incarnation the incarnation of the entry
+     * @param subscribe   the message with the report
+     * @return the version of the entry's counts up to which every change has been received
      */
     public long onReport(long now, Address entry, long incarnation, Subscribe subscribe) {
-        Told told = sources.computeIfAbsent(new Source(entry, incarnation), key -> new Told());
-        told.heardAt = now;
-        told.until = Math.max(told.until, subscribe.getUsageUntil());
+        ReportedUsage reported =
+                reportedByEntry.computeIfAbsent(new EntryIncarnation(entry, incarnation), key -> new ReportedUsage());
+        reported.lastReportAtNanos = now;
+        reported.firstOpenWindow = Math.max(reported.firstOpenWindow, subscribe.getUsageUntil());
         for (UsageWindow window : subscribe.getUsageList()) {
-            Map<String, Integer> counts = told.windows.computeIfAbsent(window.getWindow(), key -> new HashMap<>());
+            Map<String, Integer> counts = reported.windows.computeIfAbsent(window.getWindow(), key -> new HashMap<>());
             for (OrganisationCount row : window.getCountsList()) {
                 counts.merge(row.getOrganisation(), row.getCount(), Math::max);
             }
         }
-        // What was told to a former life of this process is not here, so that the entry has to tell it again.
-        if (subscribe.getUsageSince() <= told.heard) {
-            told.heard = Math.max(told.heard, subscribe.getUsageVersion());
+        // Changes reported to an earlier incarnation of this process are missing here; the entry must report them
+        // again.
+        if (subscribe.getUsageSince() <= reported.receivedVersion) {
+            reported.receivedVersion = Math.max(reported.receivedVersion, subscribe.getUsageVersion());
         }
-        return told.heard;
+        return reported.receivedVersion;
     }
 
     /**
-     * Forgets windows that stand for good, and entries that are gone and left nothing.
+     * Discards the windows whose counts are final, and silent entries without other counts.
      *
-     * @param now  the time in nanoseconds
-     * @param last the number of the last window that stands
+     * @param now        the monotonic time in nanoseconds
+     * @param lastWindow the number of the last window whose counts are final
      */
-    public void discardThrough(long now, long last) {
-        sources.values().forEach(told -> told.windows.headMap(last, true).clear());
-        sources.values().removeIf(told -> told.windows.isEmpty() && !isHeard(now, told));
+    public void discardThrough(long now, long lastWindow) {
+        reportedByEntry
+                .values()
+                .forEach(reported -> reported.windows.headMap(lastWindow, true).clear());
+        reportedByEntry.values().removeIf(reported -> reported.windows.isEmpty() && !isLive(now, reported));
     }
 
-    private static boolean isHeard(long now, Told told) {
-        return now - told.heardAt <= LEASE;
+    private static boolean isLive(long now, ReportedUsage reported) {
+        return now - reported.lastReportAtNanos <= LIVENESS_TIMEOUT_NANOS;
     }
 
     /**
-     * Whether all entries that are heard have told all of a window.
+     * Returns whether all live entries have reported a window completely.
      *
-     * @param now    the time in nanoseconds
-     * @param window its number
-     * @return true if no count of it is to come, as far as is known
+     * @param now    the monotonic time in nanoseconds
+     * @param window the number of the window
+     * @return true if no live entry may still count in the window
      */
     public boolean isComplete(long now, long window) {
-        return sources.values().stream()
-                .filter(told -> isHeard(now, told) && told.until > 0)
-                .allMatch(told -> told.until > window);
+        return reportedByEntry.values().stream()
+                .filter(reported -> isLive(now, reported) && reported.firstOpenWindow > 0)
+                .allMatch(reported -> reported.firstOpenWindow > window);
     }
 
     /**
-     * The window in which the fleet is: that in the middle of what entries say, so that no clock that is off decides.
+     * Returns the current window of the fleet: the median of what the live entries report, so that a wrong clock does
+     * not decide it.
      *
-     * @param now the time in nanoseconds
-     * @return its number, or nothing while no entry knows the time
+     * @param now the monotonic time in nanoseconds
+     * @return the number of the window, or empty while no live entry knows the time
      */
     public OptionalLong currentWindow(long now) {
-        List<Long> until = sources.values().stream()
-                .filter(told -> isHeard(now, told) && told.until > 0)
-                .map(told -> told.until)
+        List<Long> openWindows = reportedByEntry.values().stream()
+                .filter(reported -> isLive(now, reported) && reported.firstOpenWindow > 0)
+                .map(reported -> reported.firstOpenWindow)
                 .sorted()
                 .toList();
-        return until.isEmpty() ? OptionalLong.empty() : OptionalLong.of(until.get((until.size() - 1) / 2));
+        return openWindows.isEmpty()
+                ? OptionalLong.empty()
+                : OptionalLong.of(openWindows.get((openWindows.size() - 1) / 2));
     }
 
     /**
-     * The first window of which anything was counted.
+     * Returns the first window with any count.
      *
-     * @return its number, if there is one
+     * @return the number of the window, or empty if there is none
      */
     public OptionalLong firstWindow() {
-        return sources.values().stream()
-                .filter(told -> !told.windows.isEmpty())
-                .mapToLong(told -> told.windows.firstKey())
+        return reportedByEntry.values().stream()
+                .filter(reported -> !reported.windows.isEmpty())
+                .mapToLong(reported -> reported.windows.firstKey())
                 .min();
     }
 
     /**
-     * What all entries counted in a window.
+     * Returns the sums of all entries for a window.
      *
-     * @param window its number
-     * @return the sums, in the order of the organisations' names
+     * @param window the number of the window
+     * @return the sums, ordered by the names of the organisations
      */
     public UsageWindow sum(long window) {
         TreeMap<String, Integer> sums = new TreeMap<>(Comparator.naturalOrder());
-        sources.values()
-                .forEach(told -> told.windows
+        reportedByEntry
+                .values()
+                .forEach(reported -> reported.windows
                         .getOrDefault(window, Map.of())
                         .forEach((organisation, count) -> sums.merge(organisation, count, Integer::sum)));
         UsageWindow.Builder sum = UsageWindow.newBuilder().setWindow(window);
--- a/src/main/java/org/cuminshelf/usage/UsageCounter.java
+++ b/src/main/java/org/cuminshelf/usage/UsageCounter.java
@@ -8,29 +8,29 @@
 import org.cuminshelf.message.UsageWindow;
 
 /**
- * What one entry counted since its start, by window and organisation. Counts only rise, and each change has a number,
- * so that what was told in vain is told again with the next.
+ * The calls that one entry counted since its start, by window and organisation. Counts never decrease, and each change
+ * increases the version, so that changes in a lost report are included in the next one.
  */
 public final class UsageCounter {
 
-    /** Windows remembered at the most: for as long as all of control may be away. */
-    private static final int MOST_WINDOWS = 24;
+    /** Maximum number of windows kept, for the time that all control processes may be unavailable. */
+    private static final int MAX_WINDOWS = 24;
 
-    private static final class Row {
-        private int count;
-        private long changedAt;
+    private static final class Count {
+        private int value;
+        private long changedAtVersion;
     }
 
-    private final TreeMap<Long, Map<String, Row>> windows = new TreeMap<>();
+    private final TreeMap<Long, Map<String, Count>> windows = new TreeMap<>();
     private long version;
-    private long settled;
+    private long lastFinalWindow;
 
     private UsageCounter() {}
 
     /**
-     * Makes counts of a starting entry.
+     * Creates the counter of a starting entry.
      *
-     * @return the counts
+     * @return the counter
      */
     public static UsageCounter create() {
         return new UsageCounter();
@@ -39,62 +39,62 @@
     /**
      * Counts a call.
      *
-     * @param window       the window in which it began
-     * @param organisation in whose name
-     * @return false if the counts of that window stand for good, so that it comes too late
+     * @param window       the number of the window in which the call began to run
+     * @param organisation the organisation of the call
+     * @return false if the counts of that window are final already, so that the call is not counted
      */
     public boolean count(long window, String organisation) {
-        if (window <= settled) {
+        if (window <= lastFinalWindow) {
             return false;
         }
-        Row row =
-                windows.computeIfAbsent(window, key -> new TreeMap<>()).computeIfAbsent(organisation, key -> new Row());
-        row.count++;
-        row.changedAt = ++version;
-        if (windows.size() > MOST_WINDOWS) {
+        Count count = windows.computeIfAbsent(window, key -> new TreeMap<>())
+                .computeIfAbsent(organisation, key -> new Count());
+        count.value++;
+        count.changedAtVersion = ++version;
+        if (windows.size() > MAX_WINDOWS) {
             windows.pollFirstEntry();
         }
         return true;
     }
 
     /**
-     * Forgets windows whose counts stand for good.
+     * Discards the windows whose counts are final.
      *
-     * @param last the number of the last of them
+     * @param lastWindow the number of the last such window
      */
-    public void discardThrough(long last) {
-        settled = Math.max(settled, last);
-        windows.headMap(settled, true).clear();
+    public void discardThrough(long lastWindow) {
+        lastFinalWindow = Math.max(lastFinalWindow, lastWindow);
+        windows.headMap(lastFinalWindow, true).clear();
     }
 
     /**
-     * The number of the last change.
+     * Returns the version of the counts.
      *
-     * @return the number, 0 before the first
+     * @return the version, 0 before the first change
      */
     public long version() {
         return version;
     }
 
     /**
-     * What changed.
+     * Returns the counts that changed after a version.
      *
-     * @param since a number of a change
-     * @return the rows that changed after it, by window
+     * @param since the version
+     * @return the changed counts, by window
      */
     public List<UsageWindow> changesSince(long since) {
         List<UsageWindow> changed = new ArrayList<>();
-        windows.forEach((window, rows) -> {
-            UsageWindow.Builder told = UsageWindow.newBuilder().setWindow(window);
-            rows.forEach((organisation, row) -> {
-                if (row.changedAt > since) {
-                    told.addCounts(OrganisationCount.newBuilder()
+        windows.forEach((window, counts) -> {
+            UsageWindow.Builder changedCounts = UsageWindow.newBuilder().setWindow(window);
+            counts.forEach((organisation, count) -> {
+                if (count.changedAtVersion > since) {
+                    changedCounts.addCounts(OrganisationCount.newBuilder()
                             .setOrganisation(organisation)
-                            .setCount(row.count));
+                            .setCount(count.value));
                 }
             });
-            if (told.getCountsCount() > 0) {
-                changed.add(told.build());
+            if (changedCounts.getCountsCount() > 0) {
+                changed.add(changedCounts.build());
             }
         });
         return changed;
--- a/src/main/java/org/cuminshelf/usage/package-info.java
+++ b/src/main/java/org/cuminshelf/usage/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What organisations used: calls that began to run, by windows of time, counted at entries and put together at control.
- * Nothing here sends or waits.
+ * Usage of organisations: the number of calls that began to run in each time window, counted by the entries and
+ * aggregated by control. The classes do no input or output.
  */
 package org.cuminshelf.usage;
--- a/src/test/java/org/cuminshelf/routes/RouteTableTest.java
+++ b/src/test/java/org/cuminshelf/routes/RouteTableTest.java
@@ -13,7 +13,7 @@
 import net.jqwik.api.constraints.Size;
 import org.cuminshelf.exchange.CallerLimits;
 
-/** Which route a request takes. */
+/** Tests which route matches a request. */
 class RouteTableTest {
 
     private static RouteTable table(List<String> prefixes) {
@@ -37,30 +37,31 @@
         return RouteTable.of(1, routes, Map.of("s", service), CallerLimits.DEFAULT);
     }
 
-    private static Optional<String> taken(RouteTable table, String path) {
+    private static Optional<String> matchedPrefix(RouteTable table, String path) {
         return table.route("H:80", path).map(Route::pathPrefix);
     }
 
     @Example
-    void theLongestPrefixIsTaken() {
+    void theLongestMatchingPrefixWins() {
         RouteTable table = table(List.of("/", "/a/", "/a/b/", "/a/b/c/d/"));
-        assertThat(taken(table, "/a/b/c/x")).contains("/a/b/");
-        assertThat(taken(table, "/a/b/c/d/")).contains("/a/b/c/d/");
-        assertThat(taken(table, "/a")).contains("/");
-        assertThat(taken(table(List.of("/a/")), "/b/")).isEmpty();
-        assertThat(taken(table(List.of("/a/")), "no-path")).isEmpty();
+        assertThat(matchedPrefix(table, "/a/b/c/x")).contains("/a/b/");
+        assertThat(matchedPrefix(table, "/a/b/c/d/")).contains("/a/b/c/d/");
+        assertThat(matchedPrefix(table, "/a")).contains("/");
+        assertThat(matchedPrefix(table(List.of("/a/")), "/b/")).isEmpty();
+        assertThat(matchedPrefix(table(List.of("/a/")), "no-path")).isEmpty();
         assertThat(table.route("other", "/a/")).isEmpty();
     }
 
-    /* A path of the fewest kinds of segments, so that prefixes are met often, against a look at every route. */
+    /* Compares the lookup with a linear search. Paths have only three different segments, so that prefixes often match. */
     @Property(tries = 300, seed = "61")
-    void theRouteIsThatOfALookAtAllPrefixes(
+    void theRouteIsThatOfALinearSearch(
             @ForAll @Size(max = 8) List<@IntRange(max = 26) Integer> numbers, @ForAll @IntRange(max = 242) int path) {
         List<String> prefixes =
                 numbers.stream().map(RouteTableTest::prefix).distinct().toList();
-        String asked = prefix(path) + "x";
-        Optional<String> expected = prefixes.stream().filter(asked::startsWith).max((a, b) -> a.length() - b.length());
-        assertThat(taken(table(prefixes), asked)).isEqualTo(expected);
+        String requestPath = prefix(path) + "x";
+        Optional<String> expected =
+                prefixes.stream().filter(requestPath::startsWith).max((a, b) -> a.length() - b.length());
+        assertThat(matchedPrefix(table(prefixes), requestPath)).isEqualTo(expected);
     }
 
     private static String prefix(int number) {
@@ -72,8 +73,9 @@
     }
 
     @Example
-    void aPathDeeperThanAnyPrefixTakesThePrefixItBeginsWith() {
-        assertThat(taken(table(List.of("/a/")), "/a" + "/".repeat(16_000))).contains("/a/");
-        assertThat(taken(table(List.of("/a/")), "/".repeat(16_000))).isEmpty();
+    void aPathDeeperThanAnyPrefixMatchesThePrefixItBeginsWith() {
+        assertThat(matchedPrefix(table(List.of("/a/")), "/a" + "/".repeat(16_000)))
+                .contains("/a/");
+        assertThat(matchedPrefix(table(List.of("/a/")), "/".repeat(16_000))).isEmpty();
     }
 }
--- a/src/test/java/org/cuminshelf/usage/FleetClockTest.java
+++ b/src/test/java/org/cuminshelf/usage/FleetClockTest.java
@@ -10,11 +10,11 @@
 import org.cuminshelf.core.Address;
 import org.cuminshelf.core.Durations;
 
-/** The time that most clocks agree on. */
+/** Tests the time of day that most clocks agree on. */
 class FleetClockTest {
 
     private static final long UNIX_MILLIS = 1_700_000_000_000L;
-    private static final int CONTROL = 5;
+    private static final int CONTROL_PROCESSES = 5;
 
     private FleetClock clock;
     private long now;
@@ -33,58 +33,58 @@
         return UNIX_MILLIS + Durations.millis(now);
     }
 
-    /** An answer whose clock was read halfway, and is off. */
-    private void answer(int number, long roundTripMillis, long offMillis) {
-        long askedAt = now;
+    /** Adds an answer from a clock that was read halfway through the round trip and is wrong by an error. */
+    private void answer(int number, long roundTripMillis, long errorMillis) {
+        long requestedAtNanos = now;
         now += Durations.nanos(roundTripMillis / 2);
-        long read = 1_000 * (trueMillis() + offMillis);
+        long unixMicros = 1_000 * (trueMillis() + errorMillis);
         now += Durations.nanos(roundTripMillis - roundTripMillis / 2);
-        clock.addRemoteReading(control(number), askedAt, now, read);
+        clock.addRemoteReading(control(number), requestedAtNanos, now, unixMicros);
     }
 
-    private long error() {
+    private long clockErrorMillis() {
         return clock.unixMillis(now).orElseThrow() - trueMillis();
     }
 
     @Example
-    void nothingIsKnownBeforeAnyClockWasRead() {
+    void theTimeIsUnknownBeforeTheFirstReading() {
         assertThat(clock.unixMillis(now)).isEmpty();
     }
 
     /*
-     * An organisation's calls are counted in the window before or after: the time of day of the entry's VM, or of two
-     * control VMs, is off by seconds.
+     * Guards against counting calls in a neighbouring window because the time of day of the entry's VM, or of two control
+     * VMs, is wrong by seconds.
      */
     @Property(tries = 200, seed = "7")
-    void aMinorityOfClocksThatAreOffChangesNothing(
-            @ForAll boolean ownIsOff,
-            @ForAll @IntRange(min = -9_000, max = 9_000) int ownOff,
-            @ForAll @IntRange(min = -9_000, max = 9_000) int othersOff,
-            @ForAll @IntRange(min = 2, max = 60) int roundTrip) {
-        clock.addOwnReading(now, trueMillis() + (ownIsOff ? ownOff : 0));
-        int others = ownIsOff ? 1 : 2;
-        for (int number = 1; number <= CONTROL; number++) {
-            answer(number, roundTrip, number <= others ? othersOff : 0);
+    void aMinorityOfWrongClocksHasNoEffect(
+            @ForAll boolean ownIsWrong,
+            @ForAll @IntRange(min = -9_000, max = 9_000) int ownErrorMillis,
+            @ForAll @IntRange(min = -9_000, max = 9_000) int otherErrorMillis,
+            @ForAll @IntRange(min = 2, max = 60) int roundTripMillis) {
+        clock.addOwnReading(now, trueMillis() + (ownIsWrong ? ownErrorMillis : 0));
+        int wrongClocks = ownIsWrong ? 1 : 2;
+        for (int number = 1; number <= CONTROL_PROCESSES; number++) {
+            answer(number, roundTripMillis, number <= wrongClocks ? otherErrorMillis : 0);
         }
-        assertThat(error()).isBetween(-40L - roundTrip / 2, 40L + roundTrip / 2);
+        assertThat(clockErrorMillis()).isBetween(-40L - roundTripMillis / 2, 40L + roundTripMillis / 2);
     }
 
-    /* An answer that took a second says little; one that took 4 ms says where the clock is. */
+    /* The bounds from a round trip of 1 s are wide; those from one of 4 ms locate the clock. */
     @Example
-    void theQuickestAnswerOfAClockCounts() {
-        for (int number = 1; number <= CONTROL; number++) {
+    void theAnswerWithTheShortestRoundTripOfAClockCounts() {
+        for (int number = 1; number <= CONTROL_PROCESSES; number++) {
             answer(number, 4, 20);
             answer(number, 1_000, 20);
         }
-        assertThat(error()).isBetween(15L, 25L);
+        assertThat(clockErrorMillis()).isBetween(15L, 25L);
     }
 
     /*
-     * Usage is counted in the wrong window after months: control VMs that were replaced long ago go on counting as
-     * clocks, though the own monotonic clock has run apart from theirs by then.
+     * Guards against counting usage in the wrong window after months: if control VMs that were replaced long ago still
+     * counted as clocks, their offsets would be wrong, because the local monotonic clock has drifted since.
      */
     @Example
-    void clocksThatAreGoneDoNotOutvoteThoseThatAreThere() {
+    void clocksOfEndedProcessesDoNotOutvoteThoseOfRunningOnes() {
         for (int number = 11; number <= 15; number++) {
             answer(number, 4, -700);
         }
@@ -92,20 +92,20 @@
         for (int number = 1; number <= 3; number++) {
             answer(number, 4, 0);
         }
-        assertThat(error()).isBetween(-40L, 40L);
+        assertThat(clockErrorMillis()).isBetween(-40L, 40L);
     }
 
     /*
-     * A VM was suspended for 7 s. Its monotonic clock stood still, so that all that was learnt of other clocks is 7 s
-     * behind.
+     * Guards against wrong offsets after a VM was suspended for 7 s. Its monotonic clock stopped, so all earlier samples
+     * are 7 s behind.
      */
     @Example
-    void whatWasLearntBeforeTheVmStoodStillIsForgotten() {
+    void samplesFromBeforeTheVmWasSuspendedAreDiscarded() {
         clock.addOwnReading(now, trueMillis());
-        for (int number = 1; number <= CONTROL; number++) {
+        for (int number = 1; number <= CONTROL_PROCESSES; number++) {
             answer(number, 4, 0);
         }
         clock.addOwnReading(now, trueMillis() + 7_000);
-        assertThat(error()).isEqualTo(7_000);
+        assertThat(clockErrorMillis()).isEqualTo(7_000);
     }
 }
--- a/src/test/java/org/cuminshelf/usage/UsageAggregatorTest.java
+++ b/src/test/java/org/cuminshelf/usage/UsageAggregatorTest.java
@@ -17,15 +17,15 @@
 import org.cuminshelf.message.Subscribe;
 import org.cuminshelf.message.UsageWindow;
 
-/** Counts of entries put together. */
+/** Tests the aggregation of the counts of entries. */
 class UsageAggregatorTest {
 
     private static final Address ENTRY = Address.of("10.0.1.1:7000");
-    private UsageAggregator tally;
+    private UsageAggregator aggregator;
 
     @BeforeTry
     void start() {
-        tally = UsageAggregator.create();
+        aggregator = UsageAggregator.create();
     }
 
     private static Map<String, Integer> counts(UsageWindow window) {
@@ -34,92 +34,93 @@
         return counts;
     }
 
-    private static Subscribe told(UsageCounter ledger, long since, long until) {
+    private static Subscribe report(UsageCounter counter, long since, long firstOpenWindow) {
         return Subscribe.newBuilder()
-                .setUsageVersion(ledger.version())
+                .setUsageVersion(counter.version())
                 .setUsageSince(since)
-                .addAllUsage(ledger.changesSince(since))
-                .setUsageUntil(until)
+                .addAllUsage(counter.changesSince(since))
+                .setUsageUntil(firstOpenWindow)
                 .build();
     }
 
     /*
-     * Usage is reported twice or too low: words of an entry to control are lost, come late or twice. Whatever came, the
-     * sum is what the entry counted once its last word is there.
+     * Guards against usage that is counted twice or too low when reports of an entry to control are lost, late or
+     * repeated. Once the last report has arrived, the sum equals what the entry counted.
      */
     @Property(tries = 100, seed = "11")
-    void lostLateAndRepeatedWordsChangeNoSum(@ForAll long seed) {
+    void lostLateAndRepeatedReportsDoNotChangeTheSum(@ForAll long seed) {
         Random random = new Random(seed);
-        UsageCounter ledger = UsageCounter.create();
+        UsageCounter counter = UsageCounter.create();
         List<Subscribe> late = new ArrayList<>();
-        Map<String, Integer> truth = new HashMap<>();
-        long heard = 0;
+        Map<String, Integer> expected = new HashMap<>();
+        long receivedVersion = 0;
         for (int step = 0; step < 40; step++) {
             String organisation = "o" + random.nextInt(4);
-            ledger.count(5, organisation);
-            truth.merge(organisation, 1, Integer::sum);
-            Subscribe word = told(ledger, heard, 5);
+            counter.count(5, organisation);
+            expected.merge(organisation, 1, Integer::sum);
+            Subscribe report = report(counter, receivedVersion, 5);
             switch (random.nextInt(4)) {
-                case 0 -> late.add(word);
-                case 1 -> heard = tally.onReport(0, ENTRY, 1, word);
+                case 0 -> late.add(report);
+                case 1 -> receivedVersion = aggregator.onReport(0, ENTRY, 1, report);
                 case 2 -> {
-                    tally.onReport(0, ENTRY, 1, word);
-                    heard = tally.onReport(0, ENTRY, 1, word);
+                    aggregator.onReport(0, ENTRY, 1, report);
+                    receivedVersion = aggregator.onReport(0, ENTRY, 1, report);
                 }
                 default -> {
-                    // It is lost.
+                    // The report is lost.
                 }
             }
         }
-        heard = tally.onReport(0, ENTRY, 1, told(ledger, heard, 6));
-        late.forEach(word -> tally.onReport(0, ENTRY, 1, word));
-        assertThat(heard).isEqualTo(ledger.version());
-        assertThat(counts(tally.sum(5))).isEqualTo(truth);
+        receivedVersion = aggregator.onReport(0, ENTRY, 1, report(counter, receivedVersion, 6));
+        late.forEach(report -> aggregator.onReport(0, ENTRY, 1, report));
+        assertThat(receivedVersion).isEqualTo(counter.version());
+        assertThat(counts(aggregator.sum(5))).isEqualTo(expected);
     }
 
-    /* An entry is killed within a window: what it told before counts, and what its next start counts comes on top. */
+    /* An entry is killed within a window: its reported counts stay, and those of its next incarnation are added. */
     @Example
-    void whatAnEntryCountedBeforeItWasKilledStays() {
+    void countsThatAnEntryReportedBeforeItWasKilledStay() {
         UsageCounter before = UsageCounter.create();
         before.count(5, "o");
         before.count(5, "o");
-        tally.onReport(0, ENTRY, 1, told(before, 0, 5));
+        aggregator.onReport(0, ENTRY, 1, report(before, 0, 5));
         UsageCounter after = UsageCounter.create();
         after.count(5, "o");
-        tally.onReport(0, ENTRY, 2, told(after, 0, 6));
-        assertThat(counts(tally.sum(5))).containsExactly(Map.entry("o", 3));
+        aggregator.onReport(0, ENTRY, 2, report(after, 0, 6));
+        assertThat(counts(aggregator.sum(5))).containsExactly(Map.entry("o", 3));
     }
 
-    /* A control process is restarted and hears changes only: it says so, and is told all that does not stand yet. */
+    /* A restarted control process receives only changes: its answer makes the entry report all counts again. */
     @Example
-    void aControlProcessThatHeardNothingBeforeIsToldAllAgain() {
-        UsageCounter ledger = UsageCounter.create();
-        ledger.count(5, "a");
-        long toldBefore = ledger.version();
-        ledger.count(5, "b");
-        long heard = tally.onReport(0, ENTRY, 1, told(ledger, toldBefore, 5));
-        assertThat(heard).isZero();
-        tally.onReport(0, ENTRY, 1, told(ledger, heard, 5));
-        assertThat(counts(tally.sum(5))).containsOnlyKeys("a", "b");
+    void aRestartedControlProcessReceivesAllCountsAgain() {
+        UsageCounter counter = UsageCounter.create();
+        counter.count(5, "a");
+        long reportedBefore = counter.version();
+        counter.count(5, "b");
+        long receivedVersion = aggregator.onReport(0, ENTRY, 1, report(counter, reportedBefore, 5));
+        assertThat(receivedVersion).isZero();
+        aggregator.onReport(0, ENTRY, 1, report(counter, receivedVersion, 5));
+        assertThat(counts(aggregator.sum(5))).containsOnlyKeys("a", "b");
     }
 
     @Example
-    void aWindowIsWholeOnceAllEntriesThatAreHeardAreBeyondIt() {
+    void aWindowIsCompleteOnceAllLiveEntriesHavePassedIt() {
         Address other = Address.of("10.0.1.2:7000");
-        tally.onReport(0, ENTRY, 1, Subscribe.newBuilder().setUsageUntil(6).build());
-        tally.onReport(0, other, 1, Subscribe.newBuilder().setUsageUntil(5).build());
-        assertThat(tally.isComplete(0, 5)).isFalse();
+        aggregator.onReport(0, ENTRY, 1, Subscribe.newBuilder().setUsageUntil(6).build());
+        aggregator.onReport(0, other, 1, Subscribe.newBuilder().setUsageUntil(5).build());
+        assertThat(aggregator.isComplete(0, 5)).isFalse();
         long later = Durations.nanos(5_000);
-        tally.onReport(later, ENTRY, 1, Subscribe.newBuilder().setUsageUntil(6).build());
-        assertThat(tally.isComplete(later, 5)).isTrue();
+        aggregator.onReport(
+                later, ENTRY, 1, Subscribe.newBuilder().setUsageUntil(6).build());
+        assertThat(aggregator.isComplete(later, 5)).isTrue();
     }
 
-    /* One entry's clock is hours ahead. Windows must not be settled that the others have not begun. */
+    /* One entry's clock is hours ahead. Windows that the other entries have not begun must not be committed. */
     @Example
-    void theWindowOfTheFleetIsThatInTheMiddle() {
+    void theWindowOfTheFleetIsTheMedian() {
         for (int number = 1; number <= 5; number++) {
             Address entry = Address.of("10.0.1." + number + ":7000");
-            tally.onReport(
+            aggregator.onReport(
                     0,
                     entry,
                     1,
@@ -127,19 +128,19 @@
                             .setUsageUntil(number == 5 ? 9_000 : 7)
                             .build());
         }
-        assertThat(tally.currentWindow(0)).hasValue(7);
+        assertThat(aggregator.currentWindow(0)).hasValue(7);
     }
 
     @Example
-    void theFirstCountsOfAWindowThatWereWrittenDownStand() {
-        CommittedUsage settled = CommittedUsage.create();
-        settled.commit(window(5, 3));
-        settled.commit(window(5, 4));
-        assertThat(settled.nextToReport()).hasValue(window(5, 3));
-        settled.acknowledge(5);
-        settled.commit(window(5, 4));
-        assertThat(settled.nextToReport()).isEmpty();
-        assertThat(settled.lastWindow()).isEqualTo(5);
+    void theFirstCommittedCountsOfAWindowAreFinal() {
+        CommittedUsage usage = CommittedUsage.create();
+        usage.commit(window(5, 3));
+        usage.commit(window(5, 4));
+        assertThat(usage.nextToReport()).hasValue(window(5, 3));
+        usage.acknowledge(5);
+        usage.commit(window(5, 4));
+        assertThat(usage.nextToReport()).isEmpty();
+        assertThat(usage.lastWindow()).isEqualTo(5);
     }
 
     private static UsageWindow window(long number, int count) {
