--- a/src/test/java/org/cuminshelf/routes/RouteTableTest.java
+++ b/src/test/java/org/cuminshelf/routes/RouteTableTest.java
@@ -52,7 +52,7 @@
         assertThat(table.route("other", "/a/")).isEmpty();
     }
 
-    /* Compares the lookup with a linear search. Paths have only three different segments, so that prefixes often match. */
+    /* Compares the lookup with a linear search. Paths use only three segments, so that prefixes match often. */
     @Property(tries = 300, seed = "61")
     void theRouteIsThatOfALinearSearch(
             @ForAll @Size(max = 8) List<@IntRange(max = 26) Integer> numbers, @ForAll @IntRange(max = 242) int path) {
--- a/src/test/java/org/cuminshelf/usage/FleetClockTest.java
+++ b/src/test/java/org/cuminshelf/usage/FleetClockTest.java
@@ -52,8 +52,8 @@
     }
 
     /*
-     * Guards against counting calls in a neighbouring window because the time of day of the entry's VM, or of two control
-     * VMs, is wrong by seconds.
+     * Guards against counting calls in a neighbouring window because the time of day of the entry's VM, or of two
+     * control VMs, is wrong by seconds.
      */
     @Property(tries = 200, seed = "7")
     void aMinorityOfWrongClocksHasNoEffect(
@@ -96,8 +96,8 @@
     }
 
     /*
-     * Guards against wrong offsets after a VM was suspended for 7 s. Its monotonic clock stopped, so all earlier samples
-     * are 7 s behind.
+     * Guards against wrong offsets after a VM was suspended for 7 s. Its monotonic clock stopped, so all earlier
+     * samples are 7 s behind.
      */
     @Example
     void samplesFromBeforeTheVmWasSuspendedAreDiscarded() {
