--- a/src/main/java/org/cuminshelf/usage/FleetClock.java
+++ b/src/main/java/org/cuminshelf/usage/FleetClock.java
@@ -78,7 +78,7 @@
             samples.clear();
         }
         ownOffsetNanos = OptionalLong.of(offsetNanos);
-        agreedOffsetNanos = OptionalLong.of(agreedOffsetNanos());
+        agreedOffsetNanos = OptionalLong.of(computeAgreedOffsetNanos());
     }
 
     /**
@@ -102,7 +102,7 @@
         // Clocks drift apart over days: processes that have ended must not outvote those that run.
         lastSampleAtNanos.values().removeIf(at -> now - at > SAMPLE_LIFETIME_NANOS);
         samples.keySet().retainAll(lastSampleAtNanos.keySet());
-        agreedOffsetNanos = OptionalLong.of(agreedOffsetNanos());
+        agreedOffsetNanos = OptionalLong.of(computeAgreedOffsetNanos());
     }
 
     /**
@@ -118,7 +118,7 @@
     }
 
     /** Returns the middle of the offsets within the bounds of the most clocks; on a tie, of the narrower range. */
-    private long agreedOffsetNanos() {
+    private long computeAgreedOffsetNanos() {
         List<Edge> edges = new ArrayList<>();
         samples.values()
                 .forEach(ofClock -> ofClock.stream()
