--- a/src/main/java/org/cuminshelf/entry/AttemptSystem.java
+++ b/src/main/java/org/cuminshelf/entry/AttemptSystem.java
@@ -25,9 +25,9 @@
  *
  * <p>Failures it guards against:
  * <ul>
- *   <li>A dispatched attempt gets no response, so it is unknown whether the request ran. A request that may not be
+ *   <li>A dispatched attempt gets no response, so it is unknown whether the request ran. An exchange that may not be
  *       repeated is sent to another upstream only after the sidecar has confirmed, over a new connection, that the
- *       attempt did not run and never will.</li>
+ *       attempt did not run and never will. A generation continues elsewhere after a timeout.</li>
  *   <li>The sidecar restarted. It knows nothing of the attempts of its earlier incarnation: a request that may not be
  *       repeated ends as "may have run".</li>
  *   <li>Parts of an answer arrive late, twice or out of order. Each chunk names its attempt and its offset: a chunk of
--- a/src/main/java/org/cuminshelf/entry/CallRow.java
+++ b/src/main/java/org/cuminshelf/entry/CallRow.java
@@ -25,7 +25,7 @@
         CLAIMING,
         /** Queries the sidecar of the attempt that holds the key about that attempt. */
         QUERYING_HOLDER,
-        /** An attempt was dispatched. */
+        /** An attempt was dispatched and runs, or may run. */
         RUNNING,
         /** The answer is complete and is being recorded under the idempotency key. */
         RECORDING,
--- a/src/main/java/org/cuminshelf/entry/ClaimSystem.java
+++ b/src/main/java/org/cuminshelf/entry/ClaimSystem.java
@@ -380,6 +380,7 @@
                 .setGroup(group(call));
     }
 
+    /** Returns the group that stores the key: that of the service's home region, or else that of this entry. */
     private String group(CallRow call) {
         return Optional.ofNullable(state.config.config().services().get(call.target()))
                 .flatMap(ServiceConfig::homeRegion)
--- a/src/main/java/org/cuminshelf/entry/EntryCore.java
+++ b/src/main/java/org/cuminshelf/entry/EntryCore.java
@@ -212,6 +212,7 @@
         answers.finishFailed(call, ran, cause, DEADLINE_RETRY_AFTER_MILLIS, "", out);
     }
 
+    /** Removes finished calls, except those whose answer is still to be recorded. */
     private void removeFinishedCalls() {
         for (CallRow call : answers.drainFinished()) {
             claims.cancel(call);
--- a/src/main/java/org/cuminshelf/entry/Router.java
+++ b/src/main/java/org/cuminshelf/entry/Router.java
@@ -19,12 +19,15 @@
     private static final double NANOS_PER_SECOND = 1e9;
     private static final double MILLIS_PER_SECOND = 1e3;
     /** Share of the model's token gap up to which streams are added; the reported mean hides slower streams. */
-    private static final double GAP_MARGIN = 0.9;
+    private static final double MAX_TOKEN_GAP_SHARE = 0.9;
 
     private static final double OTHER_ZONE_PENALTY_SECONDS = 0.001;
+    /** Penalty of an engine that has not loaded the adapter of the generation. */
     private static final double ADAPTER_LOAD_PENALTY_SECONDS = 0.5;
+    /** Penalty of an engine whose role does not match the next step of the call. */
     private static final double OTHER_ROLE_PENALTY_SECONDS = 2;
-    private static final long BLOCK_TOKENS = 64;
+    /** Prompt tokens in one block of the prefix hashes. */
+    private static final long PREFIX_BLOCK_TOKENS = 64;
     /** Assumed duration of a call to a service. */
     private static final double SECONDS_PER_SERVICE_CALL = 0.01;
 
@@ -120,7 +123,7 @@
 
     private double maxTokenGapSeconds(CallRow call) {
         ModelConfig model = state.config.config().models().get(call.target());
-        return model.tokenGapMillis() / MILLIS_PER_SECOND * GAP_MARGIN;
+        return model.tokenGapMillis() / MILLIS_PER_SECOND * MAX_TOKEN_GAP_SHARE;
     }
 
     private Choice estimate(CallRow call, UpstreamRow row, boolean disaggregated) {
@@ -214,7 +217,7 @@
             }
             cachedBlocks++;
         }
-        long cached = Math.min(generation.getPromptTokens(), cachedBlocks * BLOCK_TOKENS);
+        long cached = Math.min(generation.getPromptTokens(), cachedBlocks * PREFIX_BLOCK_TOKENS);
         return generation.getPromptTokens() - cached + call.deliveredTokens.size();
     }
 
--- a/src/main/java/org/cuminshelf/entry/UpstreamDirectory.java
+++ b/src/main/java/org/cuminshelf/entry/UpstreamDirectory.java
@@ -253,6 +253,7 @@
         return selected;
     }
 
+    /** Returns the upstreams in or outside this entry's zone, ordered by their rendezvous hash with this entry. */
     private List<UpstreamRow> ranked(List<UpstreamRow> all, boolean sameZone) {
         return all.stream()
                 .filter(row -> row.member.getZone().equals(settings.zone()) == sameZone)
