--- a/src/main/java/org/cuminshelf/direct/LoadGossip.java
+++ b/src/main/java/org/cuminshelf/direct/LoadGossip.java
@@ -43,7 +43,8 @@
      * Messages a second that all entries together send at the most, up to {@link #LONGEST_GAP}. Each costs some four
      * system calls at its two ends; unbounded they grew with the square of the entries, to 640 a second at each of 33.
      * A heavy day there took 0.144 of a core for each entry before and 0.098 with the bound and the sums kept in
-     * {@link UpstreamInstance}, on machines of other load. At 18 entries news within 110 ms was worth as much as
+     * {@link UpstreamInstance}, on machines of other load. At 18 entries news within 110 ms was worth as
+     * much as
      * news within
      * 20; at 33 that was not measured.
      */
