--- a/src/main/java/org/cuminshelf/direct/AttemptRunner.java
+++ b/src/main/java/org/cuminshelf/direct/AttemptRunner.java
@@ -19,47 +19,53 @@
 import org.eclipse.jetty.http.HttpFields;
 
 /**
- * Sends attempts to upstreams, takes what comes back, and notices when nothing does. What an outcome means for the call
- * is decided by {@link CallDispatcher}.
+ * Sends attempts to upstreams, processes their responses, and detects attempts that make no progress.
+ * {@link CallDispatcher} decides what an outcome means for the call.
  */
 final class AttemptRunner {
 
-    /** What becomes of attempts. */
+    /** Receives the outcomes of attempts. */
     interface OutcomeListener {
 
-        /** An upstream showed the first event of its run. */
+        /** Called when the first event of an attempt's stream arrives. */
         void onFirstEvent(long now, DirectAttempt attempt);
 
-        /** An upstream answered in full, with success or without. */
+        /** Called when a response is complete, whatever its status. */
         void onCompleted(long now, DirectAttempt attempt);
 
-        /** The connection failed before the answer was whole; {@code sent} tells whether any of the request left. */
+        /**
+         * Called when the connection fails before the response is complete.
+         *
+         * @param now         the time in nanoseconds
+         * @param attempt     the attempt, already closed
+         * @param requestSent whether any byte of the request was sent
+         */
         void onConnectionFailed(long now, DirectAttempt attempt, boolean requestSent);
 
-        /** Nothing was heard for too long; the attempt is stopped. */
+        /** Called after an attempt without progress was cancelled. */
         void onTimeout(long now, DirectAttempt attempt);
 
-        /** Whether a silent attempt may be given up for another. */
+        /** Whether an attempt without progress may be cancelled in favour of another one. */
         boolean mayAbandon(long now, DirectAttempt attempt);
     }
 
     /**
-     * Silence of a stream that had begun after which a resumable one goes on elsewhere, where its engine still answers
-     * others: it may only be busy, and starting anew costs it a whole prompt. Callers leave after 2 s.
+     * Time without events after which a resumable stream moves to another engine, while its own still sends to other
+     * requests: that engine may only be busy, and a restart costs a whole prefill. Callers disconnect after 2 s.
      */
     private static final long STREAM_STALL_NANOS = Durations.nanos(1_500);
-    /** The same where nothing at all comes from the engine. */
+    /** The same where the upstream sends nothing on any request. */
     private static final long UPSTREAM_SILENCE_NANOS = Durations.nanos(600);
-    /** Silence before the first byte after which an idempotent request is sent elsewhere, at the least. */
+    /** Lower bound of the time without a byte after which an idempotent request is sent to another upstream. */
     private static final long MIN_RESPONSE_TIMEOUT_NANOS = Durations.nanos(150);
-    /** Times the usual answer time that an idempotent request may take before it is sent elsewhere. */
+    /** Multiple of the upstream's smoothed latency that an idempotent request may take before that. */
     private static final int RESPONSE_TIMEOUT_LATENCY_FACTOR = 4;
-    /** Silence before the first event after which a resumable stream is started elsewhere, beyond what is expected. */
+    /** Time to the first event, beyond the estimate, after which a resumable stream is started on another engine. */
     private static final long FIRST_EVENT_MARGIN_NANOS = Durations.nanos(1_500);
-    /** Times the expected time to a first event that adds to it. */
+    /** Multiple of the estimated time to the first event that is added to the margin. */
     private static final int FIRST_EVENT_ESTIMATE_FACTOR = 3;
 
-    /** Events of a stream from which the time between two is told: fewer say more of the first than of the rest. */
+    /** Events that a stream needs for its mean gap to be observed; with fewer the first event dominates the mean. */
     private static final int MIN_EVENTS_FOR_GAP = 5;
 
     private static final double NANOS_PER_MILLI = 1e6;
@@ -111,11 +117,11 @@
     }
 
     /**
-     * Sends a call to the upstream chosen for it.
+     * Sends an attempt of a call.
      *
      * @param now    the time in nanoseconds
      * @param call   the call
-     * @param choice where it goes
+     * @param choice the upstream selected for it
      */
     void send(long now, DirectCall call, UpstreamSelector.Choice choice) {
         UpstreamInstance upstream = choice.upstream();
@@ -151,7 +157,7 @@
         attempt.exchange = client.send(upstream.address, upstream.id, request, new ResponseHandler(attempt));
     }
 
-    /** The place of a call in an engine's queue: by the rank of its organisation, or that of its route. */
+    /** The priority of a call in the engine's queue, derived from that of its organisation or else its route. */
     private static int queuePriority(DirectCall call) {
         return Math.clamp(DEFAULT_QUEUE_PRIORITY - 2 + call.priority(), 0, MAX_QUEUE_PRIORITY);
     }
@@ -166,7 +172,7 @@
                 + FIRST_EVENT_ESTIMATE_FACTOR * Durations.nanos((long) attempt.estimate.firstEventMillis());
     }
 
-    /** Takes the answer to one attempt. */
+    /** Handles the response to one attempt; ignores what arrives after the attempt has ended. */
     private final class ResponseHandler implements UpstreamHandler {
 
         private final DirectAttempt attempt;
@@ -213,7 +219,7 @@
         backpressureListener.onResponseHead(
                 now, attempt.upstream, attempt.sentAtNanos, requestId, status, attempt.metadata);
         if (attempt.metadata.requestId().filter(id -> !id.equals(requestId)).isPresent()) {
-            // An upstream may answer twice, or late: these bytes belong to another request.
+            // An upstream may respond twice or late, so these bytes belong to another request.
             attempt.exchange.cancel();
             onConnectionFailed(now, attempt, true, "the answer names another request");
         }
@@ -260,7 +266,7 @@
         progressChecks.set(attempt.number, now + UPSTREAM_SILENCE_NANOS);
     }
 
-    /** Learns from the first event of an attempt. */
+    /** Records the first event of an attempt, and feeds its timing to the engine model. */
     private void onFirstEvent(long now, DirectAttempt attempt) {
         if (attempt.firstEventAtNanos == Core.NEVER) {
             attempt.firstEventAtNanos = now;
@@ -303,7 +309,7 @@
         outcomeListener.onCompleted(now, attempt);
     }
 
-    /** Learns from a stream that went through at one engine how far apart its events are. */
+    /** Feeds the mean gap between events to the engine model, if one engine produced the whole stream. */
     private void observeEventGap(DirectAttempt attempt) {
         DirectCall call = attempt.call;
         if (attempt.prefillOnly || call.deliveredEvents < MIN_EVENTS_FOR_GAP || call.attemptCount != 1) {
@@ -340,7 +346,7 @@
         outcomeListener.onConnectionFailed(now, attempt, requestSent);
     }
 
-    // ---- time
+    // ---- progress checks
 
     void tick(long now) {
         Optional<Long> due = progressChecks.poll(now);
@@ -350,7 +356,7 @@
         }
     }
 
-    /** Looks after an attempt of which nothing was heard for a while. */
+    /** Cancels an attempt that made no progress for too long, if another may be sent; else schedules a later check. */
     private void checkProgress(long now, DirectAttempt attempt) {
         DirectCall call = attempt.call;
         if (attempt.ended || call.closed) {
@@ -369,10 +375,11 @@
             progressChecks.set(attempt.number, now + timeoutNanos);
             return;
         }
-        // Kept connections may have gone silent without a reset; none of them is used again.
+        // Idle connections may be dead without a reset, so none of them is reused.
         client.discardIdleConnections(attempt.upstream.address, attempt.upstream.id);
         if (now - attempt.upstream.lastResponseAtNanos >= UPSTREAM_SILENCE_NANOS) {
-            // It may be busy as long as it answers others, and avoiding it would overload the rest.
+            // Only a wholly silent upstream counts as failed: one that sends to others may be busy, and avoiding it
+            // would overload the rest.
             attempt.upstream.recordFailure(now);
         }
         cancel(attempt);
@@ -390,7 +397,7 @@
         outcomeListener.onTimeout(now, attempt);
     }
 
-    /** Ends an attempt and has its upstream stop working on it. */
+    /** Closes an attempt and cancels its exchange, so that the upstream stops working on it. */
     void cancel(DirectAttempt attempt) {
         close(attempt);
         if (attempt.exchange != null) {
--- a/src/main/java/org/cuminshelf/direct/BackpressureListener.java
+++ b/src/main/java/org/cuminshelf/direct/BackpressureListener.java
@@ -8,7 +8,7 @@
 import org.cuminshelf.backpressure.UpstreamRateLimits;
 import org.cuminshelf.core.Address;
 
-/** Hears what answers, and other entries, say of what upstreams ask for, and notes what changed. */
+/** Applies the backpressure signals in responses and in other entries' reports, and logs what changes. */
 final class BackpressureListener {
 
     private static final int FIRST_NON_SUCCESS_STATUS = 300;
@@ -24,14 +24,14 @@
     }
 
     /**
-     * Takes the head of an answer.
+     * Applies the signals in the head of a response.
      *
-     * @param now      when it came, in nanoseconds
-     * @param upstream the upstream to which the request was sent
-     * @param sentAtNanos   when the request was sent, in nanoseconds
-     * @param requestId  the request's id
-     * @param status   the status of the answer
-     * @param metadata    what the head says
+     * @param now         when it arrived, in nanoseconds
+     * @param upstream    the instance that the request was sent to
+     * @param sentAtNanos when the request was sent, in nanoseconds
+     * @param requestId   id of the request
+     * @param status      status of the response
+     * @param metadata    the parsed head
      */
     void onResponseHead(
             long now,
@@ -48,7 +48,7 @@
             upstreams.markDraining(now, upstream.id, true, requestId);
         }
         demands.backoff().ifPresent(pause -> applyPause(now, upstream, requestId, pause));
-        // Neither a failure nor the answer to an earlier request shows the end of a need by what it leaves out.
+        // A missing limit or pause counts as lifted only in a success that belongs to this very request.
         boolean conclusive = status < FIRST_NON_SUCCESS_STATUS
                 && metadata.requestId().filter(id -> !id.equals(requestId)).isEmpty();
         if (conclusive) {
@@ -75,7 +75,7 @@
         log.note("upstream", upstream.id, "outcome", "rest-asked", "ms", pause.toMillis(), "request", requestId);
     }
 
-    /** Takes what another entry heard from an upstream. */
+    /** Applies a limit that another entry received from an upstream. */
     void onEntryReport(long now, UpstreamInstance upstream, Address entry, UpstreamRateLimits.LimitReport reported) {
         backpressure
                 .limits()
--- a/src/main/java/org/cuminshelf/direct/CallDispatcher.java
+++ b/src/main/java/org/cuminshelf/direct/CallDispatcher.java
@@ -19,15 +19,15 @@
 import org.eclipse.jetty.http.HttpFields;
 
 /**
- * Carries calls to their one answer: places them, and decides after each failure what may still be done. The rule is
- * the verdict's: what did not run may go elsewhere; what may have run goes elsewhere only if it may be repeated, and is
- * never answered as "not run".
+ * Dispatches calls to upstreams until each has exactly one final response, and decides after each failed attempt
+ * whether to retry. The {@link Verdict} decides: a request that did not run may be sent to another upstream; one that
+ * may have run is retried only if its route allows that, and is never reported to its caller as "not run".
  */
 final class CallDispatcher {
 
-    /** Calls that wait which are tried in vain at one time: what engines can't take now they can't for the others. */
+    /** Failed placements after which a pass over the queue stops: the remaining calls would find no capacity either. */
     private static final int MAX_FAILED_PLACEMENTS = 3;
-    /** Least time left for which another attempt is worth sending. */
+    /** Remaining time below which no further attempt is sent. */
     private static final long MIN_REMAINING_NANOS = Durations.nanos(60);
 
     private final UpstreamProtocol protocol;
@@ -94,7 +94,7 @@
                 new AttemptOutcomeListener());
     }
 
-    /** Gives answers that no call stands behind. */
+    /** Returns the writer of responses, for requests that never became a call. */
     CallerResponses responses() {
         return responses;
     }
@@ -108,7 +108,7 @@
         return Math.min(Math.min(callsDue, attemptRunner.nextDue()), poisonGuard.nextDue());
     }
 
-    // ---- the way of a call
+    // ---- placement
 
     void start(long now, DirectCall call) {
         Optional<PoisonGuard.Refusal> refusal = poisonGuard.refusal(now, call);
@@ -137,7 +137,7 @@
         switch (admission.decide(now, call)) {
             case AdmissionControl.Decision.Send(UpstreamSelector.Choice choice) -> sendAttempt(now, call, choice);
             case AdmissionControl.Decision.Wait() -> {
-                // It is tried again with the others that wait.
+                // The call is in the queue; retryWaiting() decides on it again.
             }
             case AdmissionControl.Decision.Refuse(Verdict.NotRun verdict, String reason) -> {
                 call.lastFailure = Optional.of(verdict);
@@ -146,7 +146,7 @@
         }
     }
 
-    /** Tries calls that wait, as long as engines take any. */
+    /** Tries to place queued calls, in order, until too many fail; calls whose wait is over are always decided. */
     private void retryWaiting(long now) {
         int failures = 0;
         for (DirectCall call : waitingCalls.due(now)) {
@@ -162,7 +162,7 @@
         invariants.check(
                 call.isRetryable() || !call.mayHaveRun,
                 "at-most-once",
-                () -> "request " + call.intent.id() + " is sent again though it may have run");
+                () -> "request " + call.intent.id() + " is not retryable but is sent again after it may have run");
         waitingCalls.remove(call);
         call.fairnessClaim.ifPresent(SizeFairness.Claim::onSent);
         call.offeredLoad.ifPresent(work -> work.onSent(choice));
@@ -175,8 +175,9 @@
     }
 
     /**
-     * Keeps a permit of the engine that is to go on, where all that could do so state limits. Guards against prompts
-     * that are read in vain: many would be read for one permit, of which the first to be ready uses it.
+     * Reserves a rate limit permit of the engine that will take over after the prefill, if every engine that could do
+     * so has a limit. Without a reservation many prompts would be prefilled for one permit; the first to finish would
+     * use it, and the others would have been prefilled for nothing.
      */
     private void reservePermit(long now, DirectCall call) {
         call.reservedPermit = selector.handoverEngineToReserve(now, call).map(row -> row.id);
@@ -188,7 +189,7 @@
         call.reservedPermit = Optional.empty();
     }
 
-    // ---- what became of an attempt
+    // ---- outcomes of attempts
 
     private final class AttemptOutcomeListener implements AttemptRunner.OutcomeListener {
 
@@ -200,7 +201,7 @@
         @Override
         public void onCompleted(long now, DirectAttempt attempt) {
             if (!attempt.prefillOnly && !attempt.metadata.notExecuted()) {
-                // A plain call begins to run when it arrives there; that a stream began was seen by its first event.
+                // A non-streaming request starts running on arrival; for a stream, onFirstEvent() has recorded it.
                 usageMeter.recordStart(attempt.call, attempt.sentAtNanos);
             }
             if (attempt.prefillOnly) {
@@ -216,7 +217,7 @@
         @Override
         public void onConnectionFailed(long now, DirectAttempt attempt, boolean requestSent) {
             if (!requestSent) {
-                // It never arrived anywhere: that counts neither as an attempt nor as a repeat.
+                // The request never left this process: it does not count as an attempt.
                 attempt.call.attemptCount -= attempt.prefillOnly ? 0 : 1;
                 onAttemptFailed(
                         now,
@@ -242,14 +243,14 @@
         }
     }
 
-    /** A plain call that was sent had most likely begun; a stream would have shown an event. */
+    /** Counts a non-streaming call as run, as it most likely was; a stream would have produced an event. */
     private void recordUsageWithoutResponse(DirectAttempt attempt) {
         if (!attempt.call.isStream()) {
             usageMeter.recordStart(attempt.call, attempt.sentAtNanos);
         }
     }
 
-    /** Taking a prompt in runs nothing; whatever else was sent and not answered may have run. */
+    /** Returns the verdict on a sent attempt without a response: a prefill runs nothing, all else may have run. */
     private static Verdict verdictWithoutResponse(DirectAttempt attempt, Cause cause) {
         return attempt.prefillOnly
                 ? new Verdict.NotRun(cause, CallerResponses.DEFAULT_RETRY_AFTER_MILLIS)
@@ -258,7 +259,7 @@
 
     private void forwardResponse(long now, DirectAttempt attempt) {
         responses.forwardResponse(now, attempt);
-        // Whoever answered took the KV cache.
+        // The engine that responded has fetched the KV cache.
         attempt.call.kvCache = Optional.empty();
         attempt.call.fairnessClaim.ifPresent(claim -> claim.onEnded(attempt.isSuccess()));
         if (attempt.isSuccess()) {
@@ -267,7 +268,7 @@
         close(attempt.call);
     }
 
-    /** The upstream answered in full, but not with success. */
+    /** Handles a complete response that is not a success. */
     private void onErrorResponse(long now, DirectAttempt attempt) {
         DirectCall call = attempt.call;
         if (attempt.metadata.isFromOtherInstance(attempt.upstream.name)) {
@@ -290,7 +291,7 @@
         onAttemptFailed(now, attempt, new Verdict.HasRun(Cause.UPSTREAM_ERROR), !retry);
     }
 
-    /** The upstream takes nothing at this moment, which is no failure. */
+    /** Handles a rejection for lack of capacity, which does not count as a failure of the upstream. */
     private void onOverloadRejection(long now, DirectAttempt attempt) {
         log.note(
                 "attempt",
@@ -335,16 +336,17 @@
         } else {
             attempt.upstream.recordFailure(now);
         }
-        // Taking a prompt in runs nothing: whatever came back, the request did not run there.
+        // A prefill runs nothing, so whatever the response, the request did not run there.
         onAttemptFailed(now, attempt, new Verdict.NotRun(Cause.UPSTREAM_ERROR, 0));
     }
 
-    // ---- after a failure
+    // ---- retries and failures
 
     private void onAttemptFailed(long now, DirectAttempt attempt, Verdict verdict) {
         onAttemptFailed(now, attempt, verdict, true);
     }
 
+    /** Retries a call after a failed attempt if that is safe and allowed, else fails it; {@code arrived} is unused. */
     private void onAttemptFailed(long now, DirectAttempt attempt, Verdict verdict, boolean arrived) {
         DirectCall call = attempt.call;
         if (call.closed) {
@@ -358,7 +360,7 @@
         if (attempt.prefillOnly) {
             call.singleEngineOnly = true;
         } else if (call.kvCache.isPresent()) {
-            // A refusal may leave the KV cache where it is: another engine may have room for it.
+            // After a rejection the KV cache may still be there, so one more engine is tried with it.
             call.failedHandovers++;
             if (!(verdict instanceof Verdict.NotRun) || call.failedHandovers > 1) {
                 releaseKvCache(call);
@@ -379,7 +381,7 @@
         return call.attemptCount < call.route.maxAttempts() && now + MIN_REMAINING_NANOS < call.deadlineNanos;
     }
 
-    /** Gives the final answer at once. */
+    /** Sends the final error response and closes the call; does nothing if it is closed already. */
     private void failCall(long now, DirectCall call, String reason) {
         if (call.closed) {
             return;
@@ -389,7 +391,7 @@
         close(call);
     }
 
-    // ---- time, and callers that leave
+    // ---- deadlines, quarantine and disconnects
 
     void tick(long now) {
         Optional<Long> due = callDeadlines.poll(now);
@@ -403,7 +405,7 @@
         retryWaiting(now);
     }
 
-    /** Ends all calls of a request that turned out to be poison, wherever they wait or run. */
+    /** Cancels all open calls of a request that was quarantined, whether they are queued or running. */
     private void cancelQuarantined(long now, Fingerprint request) {
         List<DirectCall> copies = openCalls.values().stream()
                 .filter(call -> call.fingerprint().equals(request))
@@ -454,7 +456,7 @@
         releaseKvCache(call);
     }
 
-    /** Frees a KV cache that nobody will take; it would fill the engine's memory until it lapses. */
+    /** Asks the engine to release a KV cache that will not be used, as it fills memory there until it expires. */
     private void releaseKvCache(DirectCall call) {
         if (call.kvCache.isEmpty()) {
             return;
@@ -472,7 +474,7 @@
                         new ReleaseResponseHandler(row, call.intent.id(), now)));
     }
 
-    /** The answer to the release of a KV cache, which lapses by itself whatever comes back. */
+    /** Handles the response to a KV cache release. The outcome does not matter, as the cache expires anyway. */
     private final class ReleaseResponseHandler implements UpstreamHandler {
 
         private final UpstreamInstance upstream;
@@ -498,21 +500,21 @@
 
         @Override
         public void onBody(ByteBuffer bytes) {
-            // Nothing is asked for.
+            // The body of the response is not used.
         }
 
         @Override
         public void onComplete() {
-            // As above.
+            // Nothing to do: the head has been processed.
         }
 
         @Override
         public void onFailed(boolean sent, String reason) {
-            // The cache lapses by itself.
+            // The cache expires without a release.
         }
     }
 
-    /** When the next check is due, for tests of a table that should be empty. */
+    /** Whether no call or attempt is open and nothing is scheduled; for tests that check for leaks. */
     boolean isIdle() {
         return openCalls.isEmpty() && attemptRunner.isEmpty() && nextDue() == Core.NEVER;
     }
--- a/src/main/java/org/cuminshelf/direct/CallerResponses.java
+++ b/src/main/java/org/cuminshelf/direct/CallerResponses.java
@@ -9,12 +9,12 @@
 import org.eclipse.jetty.http.HttpHeader;
 
 /**
- * Gives callers their answers, and writes the line of each request. A status says what is known: 503 only of what did
- * not run and never will, 502 and 504 of what may have run.
+ * Writes responses to callers and logs the outcome of each request. The status states what is known: 503 is used only
+ * if the request did not run and never will; 502 and 504 mean that it may have run.
  */
 final class CallerResponses {
 
-    /** When to come back after a refusal, in milliseconds: soon enough for an upstream's place to have come free. */
+    /** Retry-After of a rejection with no better estimate; long enough for an upstream slot to become free. */
     static final long DEFAULT_RETRY_AFTER_MILLIS = 200;
 
     private static final int BAD_GATEWAY = 502;
@@ -29,7 +29,7 @@
         this.log = log;
     }
 
-    /** Begins the answer to a call with the first bytes of an attempt's. */
+    /** Sends the head of a streamed response to the caller, unless that has happened already. */
     void startResponse(long now, DirectAttempt attempt) {
         DirectCall call = attempt.call;
         if (!call.responseStarted) {
@@ -39,7 +39,7 @@
         }
     }
 
-    /** Passes an upstream's answer on whole. */
+    /** Forwards a complete upstream response, or the remainder of a successful stream, and logs the outcome. */
     void forwardResponse(long now, DirectAttempt attempt) {
         DirectCall call = attempt.call;
         if (call.isStream() && attempt.isSuccess()) {
@@ -85,7 +85,10 @@
                 Durations.millis(now - call.arrivedAtNanos));
     }
 
-    /** Tells a caller that its call is given up: cut, may have run, or did not run. */
+    /**
+     * Reports a failed call to its caller: aborts a response that has started; otherwise sends 502 or 504 if the
+     * request may have run, and 503 with Retry-After if it did not.
+     */
     void reportFailure(long now, DirectCall call, String reason) {
         if (call.responseStarted) {
             call.exchange.abort();
@@ -138,7 +141,7 @@
                 Durations.millis(now - call.arrivedAtNanos));
     }
 
-    /** The caller left before its answer was whole. */
+    /** Logs that the caller disconnected before its response was complete. */
     void logDisconnect(long now, DirectCall call) {
         log.noteCompletion(
                 call.intent.id(),
@@ -154,13 +157,13 @@
                 Durations.millis(now - call.arrivedAtNanos));
     }
 
-    /** Refuses a request that came before the routes were confirmed. */
+    /** Refuses a request that cannot be routed because no configuration has been confirmed yet. */
     void refuseNotReady(CallerExchange exchange, CallIntent intent) {
         log.note("request", intent.id(), "outcome", "not-run", "reason", "no confirmed configuration yet");
         refuse(exchange, "This process has no confirmed configuration yet.", DEFAULT_RETRY_AFTER_MILLIS);
     }
 
-    /** Refuses what a newer configuration than the one in force here may know. */
+    /** Refuses a request, with Retry-After, whose route or key may be defined in a newer configuration. */
     void refuseOutdated(CallerExchange exchange) {
         refuse(
                 exchange,
@@ -169,9 +172,8 @@
     }
 
     /**
-     * Refuses a request under which upstreams crashed. With 503, which is true of this attempt and keeps a request that
-     * is refused wrongly from being lost: a status of the caller's own fault would tell it never to ask again, also
-     * once the request is released.
+     * Refuses a request under which upstreams crashed. The status is 503, not 4xx, so that a request that is refused by
+     * mistake is not lost: a client error would make callers give up for good, even once the request is released.
      */
     void refuse(DirectCall call, PoisonGuard.Refusal refusal) {
         refuse(
@@ -199,7 +201,7 @@
         exchange.answer(UNAVAILABLE, headers, ByteBuffer.wrap(text.getBytes(StandardCharsets.UTF_8)));
     }
 
-    /** Answers with a status and a line of text of our own. */
+    /** Sends a complete response with a plain text body. */
     void respond(CallerExchange exchange, int status, String text) {
         HttpFields headers = HttpFields.build().put(HttpHeader.CONTENT_TYPE, "text/plain");
         exchange.answer(status, headers, ByteBuffer.wrap(text.getBytes(StandardCharsets.UTF_8)));
--- a/src/main/java/org/cuminshelf/direct/ConfigSourceSelector.java
+++ b/src/main/java/org/cuminshelf/direct/ConfigSourceSelector.java
@@ -9,24 +9,24 @@
 import org.cuminshelf.core.Durations;
 
 /**
- * Chooses the control process from which this entry gets the body of a newer configuration.
+ * Selects the control process from which this entry fetches the body of a newer configuration. Control processes
+ * announce versions only; the entry fetches one body at a time from one of them, and tries another after a timeout.
  *
- * <p>Failure it guards against: a configuration of a thousand routes takes the system down for seconds. It is some
- * 300 KB, and every control process sent it to every entry, again with each change of the directory and each answer,
- * until the entry said that it has it. Five copies fill an entry's link of 7 Mbit/s for longer than it takes to ask for
- * five more, and requests share that link: on a calm day of 18 entries 0.18 of what was asked for in the two seconds
- * after such a change was earned, and 0.95 before it. So control tells versions only; here one body is under way at a
- * time, from one control process, and another one is asked only after a silence.
+ * <p>Failure it guards against: a configuration of a thousand routes, some 300 KB, congests the entries' links for
+ * seconds. When every control process sent the body with each update until the entry acknowledged it, five copies
+ * occupied an entry's 7 Mbit/s link for longer than it takes to request five more, and caller requests share that link.
+ * With 18 entries at low load, goodput in the two seconds after such a change fell from 0.95 to 0.18 of the offered
+ * load.
  */
 final class ConfigSourceSelector {
 
     /**
-     * Silence after which another control process is asked. A body of a thousand routes is deflated to 18 KB, 20 ms of
-     * the smallest link; the rest is for a control process that is busy. Two such silences stay within the time in
+     * Timeout after which another control process is asked. A body of a thousand routes is 18 KB compressed, which
+     * takes 20 ms on the slowest link; the rest allows for a busy control process. Two timeouts fit in the time within
      * which a change must be in force.
      */
     private static final long RESPONSE_TIMEOUT_NANOS = Durations.nanos(800);
-    /** How long what a control process told counts; it tells twice a second. */
+    /** Validity of an announcement; control processes announce their version twice a second. */
     private static final long ANNOUNCEMENT_RETENTION_NANOS = Durations.nanos(2_000);
 
     private record Announcement(long version, long receivedAtNanos) {}
@@ -36,7 +36,7 @@
     private long requestedAtNanos;
     private boolean parsing;
 
-    /** A control process told the version that it holds. */
+    /** Records the version that a control process announced. */
     void onVersionAnnounced(long now, Address control, long version) {
         announcements.put(control, new Announcement(version, now));
         announcements
@@ -44,7 +44,10 @@
                 .removeIf(announcement -> now - announcement.receivedAtNanos > ANNOUNCEMENT_RETENTION_NANOS);
     }
 
-    /** Chooses whom to ask now for a body that is newer than the one held, if anyone is to be asked. */
+    /**
+     * Selects the control process to fetch a body newer than the held version from. Prefers one that has not just timed
+     * out, then the highest version, then the highest address; returns empty if no fetch is due.
+     */
     Optional<Address> selectSource(long now, long heldVersion) {
         if (now < nextDue(heldVersion)) {
             return Optional.empty();
@@ -62,29 +65,29 @@
         return chosen;
     }
 
-    /** A body came and is being read. */
+    /** Records that a newer body was received and is being parsed. */
     void onBodyReceived() {
         pendingSource = Optional.empty();
         parsing = true;
     }
 
-    /** A body was read. */
+    /** Records that the body was parsed, with or without success. */
     void onBodyParsed() {
         parsing = false;
     }
 
-    /** A control process has no newer body after all. */
+    /** Records that a control process responded without a newer body. */
     void onNoNewerBody(Address control) {
         announcements.remove(control);
         pendingSource = Optional.empty();
     }
 
-    /** Whether a control process told of a version above the one held. */
+    /** Whether a control process has announced a version above the held one. */
     boolean knowsNewerThan(long heldVersion) {
         return announcements.values().stream().anyMatch(announcement -> announcement.version > heldVersion);
     }
 
-    /** When someone is to be asked next. */
+    /** When the next fetch is due; {@link Core#NEVER} if there is nothing to fetch or a body is being parsed. */
     long nextDue(long heldVersion) {
         if (!knowsNewerThan(heldVersion) || parsing) {
             return Core.NEVER;
--- a/src/main/java/org/cuminshelf/direct/ControlSubscription.java
+++ b/src/main/java/org/cuminshelf/direct/ControlSubscription.java
@@ -21,19 +21,21 @@
 import org.cuminshelf.routes.RouteTable;
 
 /**
- * What this entry hears from control: the routes in force, the upstreams, the control processes and the other entries.
+ * This entry's subscription to the control processes: receives the routes, the upstreams, the control processes and the
+ * other entries, and reports the offered load, crashes and usage.
  *
- * <p>Failure it guards against: an entry without a disk restarts and is taught older routes by a control process that
- * was cut off. It is ready only once a quorum confirmed a version to it, and from then on takes only higher ones.
+ * <p>Failure it guards against: a restarted entry, which has no persistent state, installs outdated routes from a
+ * control process that was cut off from the others. The entry is ready only once a quorum has confirmed a version to
+ * it, and afterwards installs only higher versions.
  */
 final class ControlSubscription {
 
     private static final long SUBSCRIBE_INTERVAL_NANOS = Durations.nanos(500);
     private static final long SUBSCRIBE_INTERVAL_NOT_READY_NANOS = Durations.nanos(50);
-    /** Time in which all upstreams announce themselves: two heartbeats of 1.2 s, for one that is late. */
+    /** Time in which all upstreams send a heartbeat: two intervals of 1.2 s, as one heartbeat may be late. */
     private static final long WARM_UP_NANOS = Durations.nanos(2_400);
 
-    /** Silence of all control processes after which this entry may have missed a configuration: three questions. */
+    /** Time without a voter's update, three subscribe intervals, after which a configuration may have been missed. */
     private static final long MAX_CONTROL_SILENCE_NANOS = Durations.nanos(1_500);
 
     private final DirectSettings settings;
@@ -51,9 +53,9 @@
     private volatile RouteTable routes = RouteTable.empty();
     private volatile long configVersion;
     private volatile boolean ready;
-    /** The version that a quorum confirmed to be the newest accepted when this entry asked; none yet if negative. */
+    /** The version that a quorum confirmed to be the latest accepted one; negative if none has been confirmed yet. */
     private long confirmedVersion = -1;
-    /** The highest version that could not be read, so that it is not fetched over and over. */
+    /** The highest version that could not be parsed, which is not fetched again. */
     private long unreadableVersion;
 
     private long readySinceNanos = Core.NEVER;
@@ -91,33 +93,33 @@
         return configVersion;
     }
 
-    /** Whether a quorum confirmed the routes in force, and there are any. */
+    /** Whether a quorum has confirmed the installed configuration, and there is one. */
     boolean isReady() {
         return ready && configVersion > 0;
     }
 
-    /** Whether upstreams may be there that announced themselves to nobody since the control processes started. */
+    /** Whether upstreams may exist that have not yet sent a heartbeat to the restarted control processes. */
     boolean isWarmingUp(long now) {
         return now - readySinceNanos < WARM_UP_NANOS;
     }
 
-    /** Whether a newer configuration is accepted, or may be, than the one in force here. */
+    /** Whether a newer configuration than the installed one is, or may be, accepted. */
     boolean mayBeOutdated(long now) {
         return configSource.knowsNewerThan(highestProcessedVersion())
                 || now - lastVoterUpdateNanos > MAX_CONTROL_SILENCE_NANOS;
     }
 
-    /** The entries that control hears from, this one among them. */
+    /** The addresses of all entries subscribed to control, including this one. */
     List<Address> entries() {
         return entries;
     }
 
     /**
-     * Counts work that a generation asked of engines.
+     * Adds the work of a generation to the totals that are reported to control.
      *
-     * @param service       the service it is for
-     * @param readMicros    microseconds of an engine that only reads prompts
-     * @param runningMicros microseconds of a place at an engine that generates
+     * @param service       the service that it is for
+     * @param readMicros    microseconds of a prefill engine
+     * @param runningMicros microseconds of a slot of a decode engine
      */
     void addOfferedWork(String service, long readMicros, long runningMicros) {
         OfferedWork previous = offeredWork.getOrDefault(service, OfferedWork.getDefaultInstance());
@@ -130,7 +132,7 @@
                         .build());
     }
 
-    /** Takes other control processes to begin with, for the time when none of those known is left. */
+    /** Replaces the seeds, which are contacted in addition to the known control processes. */
     void replaceSeeds(List<Address> newSeeds) {
         seeds = newSeeds;
     }
@@ -163,7 +165,7 @@
         }
     }
 
-    /** Takes the body of a configuration, which is read beside the way of requests. */
+    /** Receives the body of a configuration, and installs it once the reader has parsed it off the request path. */
     void onConfigBody(long now, Address from, ConfigBody body) {
         if (body.getDeflated().isEmpty() || body.getVersion() <= highestProcessedVersion()) {
             configSource.onNoNewerBody(from);
@@ -173,13 +175,13 @@
         routeTableReader.read(body.getDeflated().toByteArray(), parsed -> {
             configSource.onBodyParsed();
             install(from, body.getVersion(), parsed);
-            // Tells control that it is in force, and asks for what came in the meantime.
+            // Reports the installed version to control at once, and learns of newer ones.
             nextSubscribeNanos = now;
             updateReadiness(now);
         });
     }
 
-    /** The highest version that is not to be fetched again. */
+    /** The highest version that is installed or was found to be unreadable, and is not fetched again. */
     private long highestProcessedVersion() {
         return Math.max(configVersion, unreadableVersion);
     }
@@ -187,7 +189,7 @@
     private void install(Address from, long newVersion, Optional<RouteTable> parsed) {
         long previousVersion = configVersion;
         if (newVersion <= previousVersion) {
-            // The answer of a control process that was given up for silent came after that of the next.
+            // A control process that had timed out responded after the one that was asked instead.
             log.note(
                     "config",
                     String.valueOf(newVersion),
--- a/src/main/java/org/cuminshelf/direct/CrashDetector.java
+++ b/src/main/java/org/cuminshelf/direct/CrashDetector.java
@@ -14,37 +14,48 @@
 import org.cuminshelf.poison.Fingerprint;
 
 /**
- * Tells upstreams that crashed from connections that broke.
+ * Distinguishes crashes of upstream instances from other connection failures.
  *
- * <p>A broken connection alone shows no crash: resets, cuts, drains and ends that were announced look the same. So once
- * an attempt broke that had been sent, a new connection is opened to the same address, without a request on it. Where
- * the VM refuses it, the process there has ended. Where nothing comes back, the VM may be down: then the word that
- * another start has the address, or the name, shows it later. Where it is opened, the process lives, and what broke is
- * held against nobody. An upstream that said it leaves ends as it should.
+ * <p>A failed connection alone proves no crash: resets, network cuts, drains and announced shutdowns look the same. So
+ * after a sent attempt has failed, this class opens a new connection to the same address without sending a request:
+ * <ul>
+ *   <li>If the VM refuses it, the process has ended: a crash.</li>
+ *   <li>If there is no response, the VM may be down. The crash is confirmed once another instance appears with the same
+ *       address or name.</li>
+ *   <li>If it is accepted, the process is alive, and no request is blamed.</li>
+ * </ul>
+ * An instance that announced its shutdown is never reported as crashed.
  */
 final class CrashDetector {
 
-    /** Takes crashes. */
+    /** Receives confirmed crashes. */
     interface Listener {
-        /** A request was at a start that crashed. */
+        /**
+         * Called for each request that was running on a crashed instance.
+         *
+         * @param now         the time in nanoseconds
+         * @param upstream    id of the instance
+         * @param request     the request
+         * @param involvement whether the request had just begun to run
+         */
         void onCrash(long now, String upstream, Fingerprint request, Involvement involvement);
     }
 
     /**
-     * Time since the first event of a run up to which it counts as just begun. What crashes an upstream does so as it
-     * begins to run, within some 120 ms where that was seen; twice that and more, as events come late.
+     * Time after its first event for which a run counts as just begun. Poison requests crash an upstream as they begin
+     * to run, within some 120 ms; the value is more than twice that, as events arrive late.
      */
     private static final long JUST_BEGUN_NANOS = Durations.nanos(300);
-    /** How long a broken attempt waits for a sign of a crash: upstreams are back, and announced, within some 4 s. */
+    /** Time for which a crash may be confirmed; restarted upstreams have sent a heartbeat within some 4 s. */
     private static final long RETENTION_NANOS = Durations.nanos(10_000);
-    /** How long the answer that a process listens holds for attempts that break after it. */
+    /** Time for which an accepted probe also clears attempts that fail after it. */
     private static final long LISTENING_VALIDITY_NANOS = Durations.nanos(200);
-    /** Starts looked at together at the most; of more the oldest is given up. */
+    /** Upper bound of suspected instances; the oldest is dropped for a new one. */
     private static final int MAX_SUSPECTS = 256;
-    /** Suspect attempts kept of one start at the most, as many as a crash is told with. */
+    /** Upper bound of requests per suspected instance; a crash report carries as many. */
     private static final int MAX_REQUESTS_PER_SUSPECT = 128;
 
-    /** What broke at one start. */
+    /** An instance that may have crashed, and the requests that failed there. */
     private static final class Suspect {
         private final UpstreamInstance upstream;
         private final long sinceNanos;
@@ -64,7 +75,7 @@
     private final DecisionLog log;
     private final Listener listener;
     private final Map<String, Suspect> suspects = new LinkedHashMap<>();
-    /** Starts known to have crashed, and since when. */
+    /** Ids of crashed instances, and when each crash was confirmed. */
     private final Map<String, Long> crashedSinceNanos = new HashMap<>();
 
     CrashDetector(
@@ -76,7 +87,7 @@
         this.listener = listener;
     }
 
-    /** An attempt that had been sent broke. */
+    /** Records the failed connection of an attempt that had been sent, and probes the upstream if necessary. */
     void onAttemptFailed(long now, DirectAttempt attempt) {
         UpstreamInstance upstream = attempt.upstream;
         if (upstream.shutdownAnnounced) {
@@ -139,7 +150,7 @@
         }
     }
 
-    /** Looks whether another start has the address or the name of one that broke; if so the former has ended. */
+    /** Confirms the crash if a newer instance has the address or the name of the suspected one. */
     private void checkForSuccessor(long now, Suspect suspect) {
         UpstreamInstance suspectedInstance = suspect.upstream;
         boolean replaced = upstreams.instances().stream()
@@ -170,7 +181,7 @@
                 (request, involvement) -> listener.onCrash(now, suspect.upstream.id, request, involvement));
     }
 
-    /** Looks whether the upstreams that are known now show a crash, and forgets what showed none. */
+    /** Checks all suspects after the upstream table has changed. */
     void onUpstreamsChanged(long now) {
         for (Suspect suspect : List.copyOf(suspects.values())) {
             if (!isListening(suspect)) {
@@ -179,7 +190,7 @@
         }
     }
 
-    /** Forgets what showed no crash in time. */
+    /** Drops suspects whose crash was not confirmed in time, and old confirmed crashes. */
     void tick(long now) {
         Iterator<Suspect> oldest = suspects.values().iterator();
         while (oldest.hasNext()) {
--- a/src/main/java/org/cuminshelf/direct/DecisionLog.java
+++ b/src/main/java/org/cuminshelf/direct/DecisionLog.java
@@ -1,27 +1,30 @@
 package org.cuminshelf.direct;
 
-/** Takes one line for each decision that touches a request or changes what the process believes. It never blocks. */
+/**
+ * Logs decisions: one line for each that affects a request or changes the state on which requests are decided.
+ * Implementations never block.
+ */
 public interface DecisionLog {
 
     /**
-     * Notes a decision.
+     * Logs a decision.
      *
-     * @param kind   what it is about, such as {@code upstream} or {@code request}
-     * @param id     names that which it is about
-     * @param fields names and values by turns: the inputs, their age or version, the outcome
+     * @param kind   kind of its subject, such as {@code upstream} or {@code request}
+     * @param id     id of its subject
+     * @param fields alternating names and values: the inputs, their age or version, the outcome
      */
     void note(String kind, String id, Object... fields);
 
     /**
-     * Notes the ordinary end of a request; under load only some of these are written.
+     * Logs the normal end of a request; under load only a sample of these is written.
      *
-     * @param id     names the request
-     * @param fields names and values by turns
+     * @param id     id of the request
+     * @param fields alternating names and values
      */
     void noteCompletion(String id, Object... fields);
 
     /**
-     * A log that keeps nothing.
+     * Returns a log that discards everything.
      *
      * @return the log
      */
--- a/src/main/java/org/cuminshelf/direct/DirectAttempt.java
+++ b/src/main/java/org/cuminshelf/direct/DirectAttempt.java
@@ -5,17 +5,17 @@
 import org.cuminshelf.exchange.UpstreamExchange;
 import org.eclipse.jetty.http.HttpFields;
 
-/** One request sent to one upstream. */
+/** One attempt to run a call, or only its prefill, on an upstream. Times are monotonic nanoseconds. */
 final class DirectAttempt {
 
     final long number;
     final DirectCall call;
     final UpstreamInstance upstream;
-    /** Whether only the prompt is to be taken in. */
+    /** Whether the attempt only prefills the prompt, for another engine to decode. */
     final boolean prefillOnly;
 
     final PromptEstimate estimate;
-    /** Streams that ran there when it was sent. */
+    /** Attempts of all entries on the upstream when this one was sent. */
     final int streamsAtSend;
 
     final long sentAtNanos;
@@ -25,17 +25,19 @@
     UpstreamExchange exchange;
     int status;
     HttpFields headers = HttpFields.EMPTY;
+    /** {@code null} until the head of the response arrives. */
     ResponseMetadata metadata;
+
     boolean ended;
-    /** Whether it went on from a KV cache that another engine made. */
+    /** Whether the upstream was given a KV cache that another engine prefilled. */
     final boolean usedKvCache;
 
-    /** Whether the upstream showed no sign yet that the prompt was taken in. */
+    /** Whether the prompt is still in the estimated prompt queue of the upstream. */
     boolean promptPending;
 
     long lastProgressAtNanos;
 
-    /** When its upstream showed the first event of its run; {@link Core#NEVER} until then. */
+    /** When the first event arrived; {@link Core#NEVER} until then. */
     long firstEventAtNanos = Core.NEVER;
 
     DirectAttempt(long number, DirectCall call, UpstreamSelector.Choice choice, long now) {
@@ -50,7 +52,7 @@
         this.lastProgressAtNanos = now;
     }
 
-    /** Tokens that it takes in the engine's memory once it is done. */
+    /** Tokens that the finished request occupies in the engine's KV memory; 0 if it is not a generation. */
     int memoryTokens() {
         return call.intent
                 .generation()
@@ -62,7 +64,7 @@
         return metadata != null;
     }
 
-    /** Whether the answer so far is that of a run that succeeded. */
+    /** Whether the head of the response reports success and is authentic. */
     boolean isSuccess() {
         int firstNonSuccessStatus = 300;
         return hasHead() && status < firstNonSuccessStatus && metadata.authentic();
--- a/src/main/java/org/cuminshelf/direct/DirectCall.java
+++ b/src/main/java/org/cuminshelf/direct/DirectCall.java
@@ -15,75 +15,85 @@
 import org.cuminshelf.verdict.Verdict;
 import org.eclipse.jetty.http.HttpHeader;
 
-/** One request of a caller, from its arrival to its one answer. */
+/**
+ * A request of a caller, from its arrival to its final response. Times are those of the entry's monotonic clock, in
+ * nanoseconds.
+ */
 final class DirectCall {
 
+    /** Identifies the call within this process; unlike the request id it is unique. */
     final long number;
+
     final ReceivedRequest request;
     final CallerExchange exchange;
     final CallIntent intent;
     final Route route;
     final String service;
-    /** The organisation in whose name it runs, where there is one. */
+    /** The organisation that the request is attributed to, if any. */
     final Optional<Organisation> organisation;
 
     final long arrivedAtNanos;
-    /** When the caller stops waiting or the route's timeout is reached, whichever is first. */
+    /** The caller's own deadline or the end of the route's timeout, whichever is earlier. */
     final long deadlineNanos;
 
-    /** Upstreams that this request is not sent to again. */
+    /** Ids of the upstream instances that are not tried again. */
     final Set<String> excludedUpstreams = new HashSet<>();
-    /** Upstreams to which it was sent, as the route limits them. */
+    /** Attempts so far, without prefills; the route limits them. */
     int attemptCount;
 
+    /** The latest attempt, running or ended; {@code null} before the first. */
     DirectAttempt lastAttempt;
-    /** KV cache taken in for it by another engine, until an engine took it. */
+    /** The KV cache of its prompt at the engine that prefilled it, until another engine has fetched it. */
     Optional<KvCacheHandle> kvCache = Optional.empty();
 
-    /** Start of an upstream with a limit of which a permit is kept for it, until it is sent there. */
+    /** Id of the rate limited upstream instance that has a permit reserved for this call, until the call is sent. */
     Optional<String> reservedPermit = Optional.empty();
 
-    /** Engines that would not go on from the KV cache. */
+    /** Number of engines that failed to continue from the KV cache. */
     int failedHandovers;
 
-    /** Whether one engine is to do the whole of it, as taking the prompt in apart failed. */
+    /** Whether one engine must do both prefill and decode, because a separate prefill has failed. */
     boolean singleEngineOnly;
 
     /** Whether an earlier attempt may have run. */
     boolean mayHaveRun;
 
-    /** Whether a part of the answer was given to the caller. */
+    /** Whether a streamed response to the caller has started. */
     boolean responseStarted;
 
-    /** The last event given to the caller, or that it said it holds. */
+    /** Id of the last event sent to the caller, or that the caller stated to have. */
     OptionalLong lastEventId;
 
+    /** Number of events sent to the caller. */
     int deliveredEvents;
-    /** Milliseconds to the first event that were expected when it was placed. */
+    /** Estimated milliseconds to the first event when the first attempt was placed. */
     double estimatedFirstEventMillis;
 
-    /** Milliseconds of it that were for the prompts before its own. */
+    /** The part of that estimate spent in the engine's prompt queue, in milliseconds. */
     double estimatedQueueMillis;
 
-    /** Milliseconds that taking the prompt in apart took, its wait included; 0 if it wasn't. */
+    /** Duration of the separate prefill in milliseconds, including its wait; 0 if there was none. */
     long prefillMillis;
 
     long responseStartedAtNanos;
     long lastEventAtNanos;
-    /** Longest pause between two events so far, in nanoseconds. */
+    /** Longest gap between two events so far, in nanoseconds. */
     long longestGapNanos;
 
-    /** Its claim to the share of its size, where it is a generation. */
+    /** Its claim on the share of its size group, if it is a generation. */
     Optional<SizeFairness.Claim> fairnessClaim = Optional.empty();
 
-    /** What it asks of engines, where it is a generation. */
+    /** The engine time that it needs, reported to control for planning, if it is a generation. */
     Optional<OfferedLoad> offeredLoad = Optional.empty();
 
+    /** Verdict of the last failed attempt or rejected placement. */
     Optional<Verdict> lastFailure = Optional.empty();
-    /** Whether it was counted for the usage of its organisation. */
+    /** Whether it was counted in the usage of its organisation. */
     boolean usageCounted;
 
+    /** Whether its final response was sent or its caller has disconnected. */
     boolean closed;
+
     private Fingerprint fingerprint;
 
     DirectCall(
@@ -108,7 +118,7 @@
         this.lastEventId = intent.resumeAfter();
     }
 
-    /** What makes it the same request when it comes again; computed when first asked for, as few calls need it. */
+    /** The hash that identifies copies of the same request; computed on first use, as few calls need it. */
     Fingerprint fingerprint() {
         if (fingerprint == null) {
             String host =
@@ -118,12 +128,15 @@
         return fingerprint;
     }
 
-    /** The name of its organisation for logs, {@code none} without one. */
+    /** The organisation's name for the log, or {@code none}. */
     String organisationName() {
         return organisation.map(Organisation::name).orElse("none");
     }
 
-    /** Names who asks, the same each time: the organisation, as its keys change, or the key; empty without either. */
+    /**
+     * A stable identity of the caller: the organisation, as its keys change, or else the digest of the key; empty if
+     * there is neither.
+     */
     private String callerIdentity() {
         return organisation
                 .map(Organisation::name)
@@ -131,7 +144,7 @@
                 .orElse("");
     }
 
-    /** Its rank, 0 first: that of its organisation goes before that of its route. */
+    /** Its priority, 0 being the highest: that of its organisation, or else that of its route. */
     int priority() {
         return organisation
                 .map(Organisation::priority)
@@ -143,12 +156,12 @@
         return route.kind() == RequestKind.STREAM;
     }
 
-    /** Tokens of its prompt, 0 where it is no generation. */
+    /** Tokens of its prompt; 0 if it is not a generation. */
     int promptTokens() {
         return intent.generation().map(GenerationShape::promptTokens).orElse(0);
     }
 
-    /** Whether work on it may be stopped, or started anew, without harm. */
+    /** Whether it may be cancelled or run again without harm. */
     boolean isRetryable() {
         return route.isRepeatable();
     }
--- a/src/main/java/org/cuminshelf/direct/DirectCore.java
+++ b/src/main/java/org/cuminshelf/direct/DirectCore.java
@@ -22,11 +22,14 @@
 import org.cuminshelf.organisations.Organisation;
 import org.cuminshelf.routes.Route;
 
-/** The decisions of an entry that reaches upstreams straight. */
+/**
+ * The decision core of an entry that connects to upstreams directly, without sidecars. It does no I/O, and its process
+ * calls it under one lock.
+ */
 public final class DirectCore implements Core, CallerHandler {
 
     private static final long HOUSEKEEPING_INTERVAL_NANOS = Durations.nanos(250);
-    /** Time a caller is given where it names none; callers of today wait 8 s at most. */
+    /** Deadline of requests that state none; current callers wait 8 s at most. */
     private static final long DEFAULT_DEADLINE_MILLIS = 8_000;
 
     private static final int UNAUTHORIZED = 401;
@@ -95,16 +98,16 @@
     }
 
     /**
-     * Makes the core of a starting entry.
+     * Creates the core of a starting entry.
      *
-     * @param settings   its place
-     * @param self       its own address for messages
-     * @param protocol   how the deployment's callers and upstreams write
-     * @param routeTableReader     reads the accepted configuration
-     * @param client     where requests to upstreams leave
-     * @param clock      monotonic nanoseconds
-     * @param invariants receives the outcome of assertions
-     * @param log        takes decisions
+     * @param settings         its location, seeds and limits
+     * @param self             its own address for messages
+     * @param protocol         translates the HTTP requests and responses of the deployment
+     * @param routeTableReader parses configurations
+     * @param client           sends requests to upstreams
+     * @param clock            monotonic clock in nanoseconds
+     * @param invariants       receives the results of invariant checks
+     * @param log              receives the decisions
      * @return the core
      */
     public static DirectCore start(
@@ -133,7 +136,7 @@
         }
     }
 
-    /** Starts a request that arrived now or, before this entry was ready, earlier. */
+    /** Starts a request that arrived now, or earlier while this entry was not ready. */
     private void start(long arrivedAtNanos, ReceivedRequest request, CallerExchange exchange, CallIntent intent) {
         String host = Optional.ofNullable(request.headers().get("Host")).orElse("");
         Optional<Route> route = control.routes().route(host, request.path());
@@ -155,11 +158,11 @@
     }
 
     /**
-     * Refuses what the configuration in force does not know.
+     * Refuses a request whose route or key the installed configuration does not contain.
      *
-     * <p>Failure it guards against: a caller uses a route or a key that was just added, at an entry that hasn't taken
-     * the new configuration in or is cut off from control, and is told for good that there is none. Such an entry says
-     * that the request did not run, and that the caller may come back.
+     * <p>Failure it guards against: a caller uses a route or key that was just added, and an entry that has not
+     * installed that configuration yet, or is cut off from control, rejects it for good. Such an entry responds with
+     * 503 and Retry-After instead.
      */
     private void refuseUnknown(CallerExchange exchange, CallIntent intent, String reason, int status, String text) {
         boolean outdated = control.mayBeOutdated(clock.getAsLong());
@@ -245,7 +248,7 @@
             case WALL_CLOCK -> usageMeter.onWallClock(now, input.getWallClock().getEpochMs());
             case STOP -> draining = true;
             default -> {
-                // Not a message for such an entry.
+                // Other messages are not addressed to this kind of entry.
             }
         }
     }
@@ -277,28 +280,28 @@
         return Math.min(due, loadGossip.nextDue(callDispatcher.openCalls() > 0));
     }
 
-    // ---- what the process asks
+    // ---- state and settings for the process
 
     /**
-     * Tells whether this entry may be given new callers.
+     * Tells whether this entry accepts new callers.
      *
-     * @return true once a quorum confirmed the routes, until it leaves
+     * @return true once a quorum has confirmed the routes, until the entry drains
      */
     public boolean isReady() {
         return control.isReady() && !draining;
     }
 
     /**
-     * Takes other control processes to begin with.
+     * Replaces the addresses of the control processes that are contacted initially.
      *
-     * @param seeds their addresses
+     * @param seeds the addresses
      */
     public void replaceSeeds(List<Address> seeds) {
         control.replaceSeeds(seeds);
     }
 
     /**
-     * What callers may send.
+     * The limits on caller requests.
      *
      * @return the limits in force
      */
@@ -307,7 +310,7 @@
     }
 
     /**
-     * The version of the routes in force here.
+     * The version of the installed configuration.
      *
      * @return the version, 0 before the first
      */
@@ -316,7 +319,7 @@
     }
 
     /**
-     * Counts the requests that may have crashed an upstream and have not ended well since.
+     * Counts the requests that may have crashed an upstream and have not succeeded since.
      *
      * @return their number
      */
@@ -325,7 +328,7 @@
     }
 
     /**
-     * Counts the requests that are refused because upstreams crash when they run them.
+     * Counts the requests in quarantine, which are refused because upstreams crash when they run them.
      *
      * @return their number
      */
@@ -334,7 +337,7 @@
     }
 
     /**
-     * Counts the upstreams that state a limit on requests now.
+     * Counts the upstreams with a stated rate limit in force.
      *
      * @return their number
      */
@@ -343,7 +346,7 @@
     }
 
     /**
-     * Counts the upstreams that asked this entry for rest which isn't over.
+     * Counts the upstreams that asked this entry to pause, with the pause not over.
      *
      * @return their number
      */
@@ -352,7 +355,7 @@
     }
 
     /**
-     * Counts the calls not answered yet.
+     * Counts the calls without a final response, including requests that wait for the first configuration.
      *
      * @return their number
      */
--- a/src/main/java/org/cuminshelf/direct/DirectSettings.java
+++ b/src/main/java/org/cuminshelf/direct/DirectSettings.java
@@ -5,14 +5,14 @@
 import org.cuminshelf.core.Address;
 
 /**
- * What an entry that reaches upstreams straight is told about its place.
+ * Settings of an entry that connects to upstreams directly, without sidecars.
  *
  * @param region  the region of the VM
  * @param zone    the availability zone of the VM
  * @param vm      the name of the VM
- * @param seeds   control processes known at the start; the others are learnt from them
- * @param retryLimits how often all entries together may send requests once more
- * @param usageWindowMillis length of the windows in which usage is counted; nothing where it isn't
+ * @param seeds   control processes to contact initially; they report the others
+ * @param retryLimits limits on retries, for all entries together
+ * @param usageWindowMillis length of the usage windows in milliseconds; empty if usage is not metered
  */
 public record DirectSettings(
         String region,
@@ -23,13 +23,13 @@
         OptionalLong usageWindowMillis) {
 
     /**
-     * A place where no usage is counted.
+     * Creates settings without usage metering.
      *
      * @param region  the region of the VM
      * @param zone    the availability zone of the VM
      * @param vm      the name of the VM
-     * @param seeds   control processes known at the start
-     * @param retryLimits how often all entries together may send requests once more
+     * @param seeds   control processes to contact initially
+     * @param retryLimits limits on retries, for all entries together
      */
     public DirectSettings(String region, String zone, String vm, List<Address> seeds, RetryLimits retryLimits) {
         this(region, zone, vm, seeds, retryLimits, OptionalLong.empty());
--- a/src/main/java/org/cuminshelf/direct/EventSplitter.java
+++ b/src/main/java/org/cuminshelf/direct/EventSplitter.java
@@ -7,8 +7,9 @@
 import java.util.OptionalLong;
 
 /**
- * Cuts a stream of bytes into whole events, each ended by an empty line. Guards against an upstream that breaks off in
- * the middle of an event: half an event passed on would be joined with the first event of the run that goes on.
+ * Splits a byte stream into complete server-sent events, each terminated by an empty line. Only complete events may be
+ * forwarded: if an upstream fails in the middle of an event, a forwarded fragment would be joined with the first event
+ * of the upstream that resumes the stream.
  */
 final class EventSplitter {
 
@@ -17,10 +18,10 @@
     private static final byte CARRIAGE_RETURN = '\r';
 
     /**
-     * A whole event.
+     * A complete event.
      *
-     * @param bytes its bytes, with the empty line at its end
-     * @param id    its number, where it has one
+     * @param bytes its bytes, including the terminating empty line
+     * @param id    the value of its numeric {@code id} field, if there is one
      */
     record Event(byte[] bytes, OptionalLong id) {}
 
@@ -37,7 +38,7 @@
         size += count;
     }
 
-    /** Takes the next whole event, if there is one. */
+    /** Removes and returns the next complete event, or empty if there is none. */
     Optional<Event> next() {
         int lineStart = 0;
         for (int at = 0; at < size; at++) {
@@ -53,7 +54,7 @@
         return Optional.empty();
     }
 
-    /** What follows the last whole event. */
+    /** Returns the bytes after the last complete event. */
     byte[] remainder() {
         return Arrays.copyOf(buffer, size);
     }
@@ -73,7 +74,7 @@
                     return OptionalLong.of(
                             Long.parseLong(line.substring("id:".length()).trim()));
                 } catch (NumberFormatException e) {
-                    // An id that is no number can't be resumed from: the event counts as one without.
+                    // A stream cannot be resumed after a non-numeric id, so the event counts as one without id.
                     return OptionalLong.empty();
                 }
             }
--- a/src/main/java/org/cuminshelf/direct/HopByHopHeaders.java
+++ b/src/main/java/org/cuminshelf/direct/HopByHopHeaders.java
@@ -4,7 +4,7 @@
 import java.util.Set;
 import org.eclipse.jetty.http.HttpField;
 
-/** Headers that concern one connection only and are not passed on. */
+/** The hop-by-hop HTTP headers, which are not forwarded. */
 public final class HopByHopHeaders {
 
     private static final Set<String> NAMES = Set.of(
@@ -21,10 +21,10 @@
     private HopByHopHeaders() {}
 
     /**
-     * Tells whether a header concerns one connection only.
+     * Tells whether a header is hop-by-hop.
      *
      * @param field the header
-     * @return true if it is not to be passed on
+     * @return true if it must not be forwarded
      */
     public static boolean contains(HttpField field) {
         return NAMES.contains(field.getName().toLowerCase(Locale.ROOT));
--- a/src/main/java/org/cuminshelf/direct/PoisonGuard.java
+++ b/src/main/java/org/cuminshelf/direct/PoisonGuard.java
@@ -20,42 +20,46 @@
 import org.cuminshelf.poison.Quarantine;
 
 /**
- * Refuses poison requests, and finds them together with the other entries.
+ * Detects poison requests, which crash the upstreams that run them, together with the other entries, and refuses them.
  *
- * <p>Failure it guards against: a request crashes each upstream that runs it, its caller sends it again, under another
- * id and to another entry, and it is placed like any other: one such request was seen to end sixteen engines, with 5 to
- * 55 streams of others each time. What an entry sees of crashes goes to all control processes, and from them to all
- * entries, so that messages grow with the number of entries, and an entry that was restarted, or doesn't hear another,
- * knows as much as the rest. Entries come to the same conclusion from the same crashes; whichever is first tells it.
+ * <p>Failure it guards against: a caller retries a poison request under another id and at another entry, and it is
+ * placed like any other. One such request ended sixteen engines, each with 5 to 55 streams of other callers.
  *
- * <p>Where no crash is known a request costs one comparison here; else a hash of its body.
+ * <p>Entries report crashes to all control processes, which distribute them to all entries. So the number of messages
+ * grows only linearly with the number of entries, and an entry that was restarted or is cut off from another one has
+ * the same information. All entries draw the same conclusion from the same crashes; the first to do so publishes it.
+ *
+ * <p>A request costs one comparison while no crash is known, otherwise a hash of its body.
  */
 final class PoisonGuard {
 
-    /**
-     * When to come back with a quarantined request, in milliseconds: an operator has to look at it first. Callers that
-     * honour it stop asking.
-     */
+    /** Retry-After of a quarantined request: an operator has to examine it first, and callers should stop retrying. */
     static final long QUARANTINED_RETRY_AFTER_MILLIS = 3_600_000;
-    /** When to come back with one of which it isn't known yet whether it is poison: once all crashes are told. */
+    /** Retry-After of a request that may be poison: by then all crashes are reported and the case is decided. */
     static final long UNSETTLED_RETRY_AFTER_MILLIS = 500;
-    /** Starts that crashed under a request from which it isn't placed again within a call. */
+    /** Crashes under a request from which it is no longer retried within a call. */
     private static final int MAX_CRASHES_PER_CALL = 2;
-    /** Number of changes that came from control: below all of this entry's own, and above none. */
+    /** Change number of what was received from control: above 0, which means none, and below all local changes. */
     private static final long LEARNED_CHANGE_NUMBER = 1;
     /**
-     * How long a start that crashed gets no calls: until it is forgotten, 5 s after its last heartbeat at control and
-     * 6 s after that here. What comes back is another start. Guards against each entry finding out by a call of its
-     * own: a route with one attempt loses it, so that a crash costs as many calls as there are entries. At a hundred
-     * entries in virtual time 0.66 of the calls around three crashes were served without it, 0.92 with it.
+     * Time for which a crashed instance gets no calls: until it is removed, 5 s after its last heartbeat at control and
+     * 6 s after that here. A restarted upstream is another instance. Otherwise each entry would find out by a failed
+     * call, and one crash would cost as many calls as there are entries on routes with a single attempt. In a
+     * simulation of a hundred entries, 0.92 of the calls around three crashes were served with this rule, and 0.66
+     * without it.
      */
     private static final long CRASHED_AVOIDANCE_NANOS = Durations.nanos(12_000);
-    /** Least time between two urgent words to control: a crash is seen in several broken attempts. */
+    /** Minimum time between two urgent reports to control, as one crash fails several attempts. */
     private static final long MIN_URGENT_REPORT_INTERVAL_NANOS = Durations.nanos(10);
-    /** How often requests are counted for the metrics, which other threads read. */
+    /** Interval of counting requests for the metrics, which other threads read. */
     private static final long COUNT_INTERVAL_NANOS = Durations.nanos(1_000);
 
-    /** How the log names a refusal, and when the caller may come back. */
+    /**
+     * Why a call is refused.
+     *
+     * @param outcome          the outcome for the log
+     * @param retryAfterMillis when the caller may retry, in milliseconds from now
+     */
     record Refusal(String outcome, long retryAfterMillis) {}
 
     private final PoisonRegistry register = new PoisonRegistry();
@@ -63,7 +67,7 @@
     private final CrashDetector crashDetector;
     private final String vm;
     private final DecisionLog log;
-    /** Up to which of this entry's changes each control process has heard. */
+    /** The highest local change number that each control process has acknowledged. */
     private final Map<Address, Long> acknowledgedChanges = new HashMap<>();
 
     private final ChangeSequence localChanges = this::nextChangeNumber;
@@ -88,7 +92,7 @@
 
     // ---- calls
 
-    /** Why a call is refused before anything is done for it, if it is. */
+    /** Returns the reason to refuse a new call, or empty if it may be placed. */
     Optional<Refusal> refusal(long now, DirectCall call) {
         if (register.isEmpty()) {
             return Optional.empty();
@@ -102,21 +106,21 @@
         return Optional.empty();
     }
 
-    /** An attempt that had been sent broke. */
+    /** Records the failed connection of an attempt that had been sent. */
     void onAttemptFailed(long now, DirectAttempt attempt) {
         crashDetector.onAttemptFailed(now, attempt);
     }
 
     /**
-     * Whether a call may be placed once more. Guards against a request that ends upstream after upstream within one
-     * call, faster than anybody can tell: from the second on its caller has to come back.
+     * Whether a call may be retried. Within one call a poison request could crash one upstream after another before any
+     * report of the crashes arrives, so after the second crash its caller has to send it again.
      */
     boolean mayRetry(DirectCall call) {
         return register.isEmpty()
                 || register.crashedUpstreams(call.fingerprint()).size() < MAX_CRASHES_PER_CALL;
     }
 
-    /** A call ended well, so it is no poison. */
+    /** Records a success, which clears the request of suspicion. */
     void onSuccess(long now, DirectCall call) {
         if (register.isEmpty()) {
             return;
@@ -152,7 +156,7 @@
         upstreams.instance(upstream).ifPresent(row -> row.avoid(now + CRASHED_AVOIDANCE_NANOS));
     }
 
-    // ---- what control tells and hears
+    // ---- exchange with control
 
     void onUpdate(long now, Address control, Update update) {
         acknowledgedChanges.put(control, update.getPoisonHeard());
@@ -168,7 +172,7 @@
         crashDetector.onUpstreamsChanged(now);
     }
 
-    /** Adds what a control process has not heard yet. */
+    /** Adds the local changes that a control process has not acknowledged. */
     void addChanges(Address control, Subscribe.Builder subscribe) {
         long since = acknowledgedChanges.getOrDefault(control, 0L);
         subscribe
@@ -178,12 +182,12 @@
                 .addAllQuarantined(register.quarantine().changedSince(since));
     }
 
-    /** When control has to be told of news. */
+    /** When an urgent report to control is due; {@link Core#NEVER} if there is none. */
     long nextReportDue() {
         return reportUrgent ? nextUrgentReportNanos : Core.NEVER;
     }
 
-    /** All control processes were told. */
+    /** Records that reports were sent to all control processes. */
     void onReported(long now) {
         reportUrgent = false;
         nextUrgentReportNanos = now + MIN_URGENT_REPORT_INTERVAL_NANOS;
@@ -207,7 +211,9 @@
         return register.nextDue();
     }
 
-    /** Takes the requests that came to be quarantined since the last question; their calls are to be stopped. */
+    /**
+     * Returns the requests quarantined since the previous call, whose open calls must be cancelled; logs all changes.
+     */
     List<Fingerprint> takeQuarantined() {
         List<Fingerprint> quarantined = new ArrayList<>();
         for (QuarantinedRequest row : register.takeChangedRows()) {
@@ -234,12 +240,12 @@
         return quarantined;
     }
 
-    /** Requests that may have crashed an upstream and were not cleared, as of the last second; any thread may ask. */
+    /** Requests that may have crashed an upstream and were not cleared; updated once a second, safe for any thread. */
     long suspects() {
         return suspects;
     }
 
-    /** Requests that are refused, as of the last second; any thread may ask. */
+    /** Requests in quarantine; updated once a second, safe for any thread. */
     long quarantined() {
         return quarantined;
     }
--- a/src/main/java/org/cuminshelf/direct/ResponseMetadata.java
+++ b/src/main/java/org/cuminshelf/direct/ResponseMetadata.java
@@ -4,13 +4,13 @@
 import org.cuminshelf.backpressure.BackpressureSignals;
 
 /**
- * What the head of an upstream's answer says about the request.
+ * What the head of an upstream response states about the request and the upstream.
  *
- * @param requestId   the request it answers, as far as it says
- * @param notExecuted whether the upstream states that the request did not run
- * @param instanceId     identity of the start that answered, as far as it says
- * @param authentic   whether the answer is that of a run, by the upstream's own mark
- * @param backpressure   what it asks of those that send requests
+ * @param requestId    id of the request that it belongs to, if stated
+ * @param notExecuted  whether the upstream states that the request did not run
+ * @param instanceId   id of the upstream instance that responded, if stated
+ * @param authentic    whether it carries the upstream's mark of a genuine response
+ * @param backpressure limits and pauses that the upstream requests of its clients
  */
 public record ResponseMetadata(
         Optional<String> requestId,
@@ -19,7 +19,7 @@
         boolean authentic,
         BackpressureSignals backpressure) {
 
-    /** Whether another start of an upstream has the address by now. */
+    /** Whether the request was rejected because another instance has the address now. */
     boolean isFromOtherInstance(String expectedInstance) {
         return notExecuted && instanceId.isPresent() && !instanceId.get().equals(expectedInstance);
     }
--- a/src/main/java/org/cuminshelf/direct/RouteTableReader.java
+++ b/src/main/java/org/cuminshelf/direct/RouteTableReader.java
@@ -9,24 +9,24 @@
 import org.tinylog.Logger;
 
 /**
- * Reads configurations beside the way of requests. Read under the entry's lock, a document of some 300 KB would hold up
- * every request until all of it is read; how long that is was not measured apart.
+ * Reads configuration documents off the request path. Parsing a document of some 300 KB under the entry's lock would
+ * block every request meanwhile.
  */
 public interface RouteTableReader {
 
     /**
-     * Reads a configuration.
+     * Reads a configuration document.
      *
      * @param deflated the document, deflated
-     * @param onRead takes the routes, or nothing if the document can't be read; it is called under the core's lock,
-     *     at once or later
+     * @param onRead   receives the routes, or empty if the document is invalid; called under the core's lock, before
+     *     this method returns or later
      */
     void read(byte[] deflated, Consumer<Optional<RouteTable>> onRead);
 
     /**
-     * Makes a reader that reads at once.
+     * Creates a reader that parses and calls back before it returns.
      *
-     * @param parser reads a document
+     * @param parser parses an inflated document
      * @return the reader
      */
     static RouteTableReader synchronous(Function<byte[], Optional<RouteTable>> parser) {
@@ -34,11 +34,11 @@
     }
 
     /**
-     * Reads a deflated document.
+     * Inflates and parses a document.
      *
      * @param deflated the document, deflated
-     * @param parser   reads it
-     * @return the routes, or nothing if it can't be read
+     * @param parser   parses an inflated document
+     * @return the routes, or empty if the document is invalid
      */
     static Optional<RouteTable> parse(byte[] deflated, Function<byte[], Optional<RouteTable>> parser) {
         try {
--- a/src/main/java/org/cuminshelf/direct/ThrottledUpstreamClient.java
+++ b/src/main/java/org/cuminshelf/direct/ThrottledUpstreamClient.java
@@ -10,10 +10,11 @@
 import org.cuminshelf.exchange.UpstreamRequest;
 
 /**
- * The way to upstreams, which keeps to what they ask for.
+ * An upstream client that enforces the rate limits and pauses that upstreams request. A request that is not admitted
+ * fails at once as not sent.
  *
- * <p>Failure it guards against: a kind of request that nobody thought of, such as the release of a KV cache, goes to an
- * upstream past the choice that looks at its limit and its rest. Whatever is sent passes here, or is not sent.
+ * <p>All requests go through it, because placement checks limits only for attempts: other requests, such as the release
+ * of a KV cache, would bypass them.
  */
 final class ThrottledUpstreamClient implements UpstreamClient {
 
--- a/src/main/java/org/cuminshelf/direct/UpstreamClient.java
+++ b/src/main/java/org/cuminshelf/direct/UpstreamClient.java
@@ -7,34 +7,34 @@
 import org.cuminshelf.exchange.UpstreamHandler;
 import org.cuminshelf.exchange.UpstreamRequest;
 
-/** Where requests to upstreams leave. A handler may be called before the sending returns. */
+/** Sends requests to upstreams. */
 public interface UpstreamClient {
 
     /**
-     * Sends a request.
+     * Sends a request. The handler may be called before this method returns.
      *
-     * @param address  where
-     * @param instanceId identity of the upstream's start
-     * @param request  the request
-     * @param handler  takes the answer
-     * @return the exchange, to cancel it
+     * @param address    address of the upstream
+     * @param instanceId id of the upstream instance
+     * @param request    the request
+     * @param handler    receives the response or the failure
+     * @return the exchange, which can be cancelled
      */
     UpstreamExchange send(Address address, String instanceId, UpstreamRequest request, UpstreamHandler handler);
 
     /**
-     * Forgets kept connections to an upstream, which may have gone silent.
+     * Discards the idle connections to an upstream, which may be dead without a reset, so that none is reused.
      *
-     * @param address  where
-     * @param instanceId identity of the upstream's start
+     * @param address    address of the upstream
+     * @param instanceId id of the upstream instance
      */
     void discardIdleConnections(Address address, String instanceId);
 
     /**
-     * Opens a connection without a request on it, and keeps it for the next one.
+     * Opens a connection without sending a request, and keeps it in the pool for the next one.
      *
-     * @param address  where
-     * @param instanceId identity of the upstream's start
-     * @param onResult takes what that showed
+     * @param address    address of the upstream
+     * @param instanceId id of the upstream instance
+     * @param onResult   receives whether the connection was accepted
      */
     void probe(Address address, String instanceId, Consumer<Reachability> onResult);
 }
--- a/src/main/java/org/cuminshelf/direct/UpstreamInstance.java
+++ b/src/main/java/org/cuminshelf/direct/UpstreamInstance.java
@@ -14,36 +14,36 @@
 import org.cuminshelf.message.UpstreamBeat;
 import org.cuminshelf.message.UpstreamLoad;
 
-/** One start of one upstream as this entry sees it. */
+/** This entry's view of one upstream instance, that is, one run of an upstream process. Times are monotonic. */
 final class UpstreamInstance {
 
-    /** First pause after failures in a row; long enough to let a restart finish, short against a day's burst. */
+    /** Backoff after the first failures in a row: long enough for a restart, short compared with a load peak. */
     private static final long INITIAL_BACKOFF_NANOS = Durations.nanos(400);
 
     private static final long MAX_BACKOFF_NANOS = Durations.nanos(6_000);
-    /** Failures in a row after which an upstream is avoided: one alone is ordinary. */
+    /** Failures in a row after which an instance is avoided, as single failures are normal. */
     private static final int MIN_FAILURES_BEFORE_BACKOFF = 2;
 
     private static final double LATENCY_SMOOTHING_FACTOR = 0.1;
 
-    /** Names this start. */
+    /** Id of this instance. */
     final String id;
-    /** Names the upstream, whichever start of it. */
+    /** Name of the upstream; the same for all of its instances. */
     final String name;
-    /** When this entry first heard of it, in nanoseconds. */
+    /** When this entry first received its heartbeat, in nanoseconds. */
     final long knownSinceNanos;
-    /** When it started, in Unix milliseconds. */
+    /** When the instance started, in Unix milliseconds. */
     final long startedAtMillis;
 
     final Address address;
     final String service;
     final String zone;
     final PrefixCacheTracker promptCache = new PrefixCacheTracker();
-    /** Control processes that list it. */
+    /** Control processes whose directories list it. */
     final Set<Address> listedBy = new HashSet<>();
-    /** What the other entries have under way there. */
+    /** The load that each of the other entries last reported for it. */
     private final Map<Address, UpstreamLoad> loadByEntry = new HashMap<>();
-    /** Sums over the other entries, kept as they tell: placement asks for them several times for each call. */
+    /** Sums over the other entries, updated with each report, as placement reads them several times per call. */
     private int remoteAttempts;
 
     private long remoteMemoryTokens;
@@ -52,22 +52,22 @@
     int slots = 1;
     Role role = Role.ROLE_MIXED;
     boolean draining;
-    /** Whether the upstream itself said that it leaves, or is gone; it then ends as it should. */
+    /** Whether the upstream itself announced its shutdown, so that its end is no crash. */
     boolean shutdownAnnounced;
-    /** Whether control is changing its role. */
+    /** Whether control is changing its role; it gets no new work meanwhile. */
     boolean roleChanging;
-    /** When no control process listed it any more; {@link Core#NEVER} while one does. */
+    /** When the last control process stopped listing it; {@link Core#NEVER} while one does. */
     long unlistedSinceNanos = Core.NEVER;
 
-    /** Attempts of this entry under way there. */
+    /** Running attempts of this entry. */
     int localAttempts;
-    /** Tokens that this entry's attempts there take in its memory. */
+    /** Tokens that running attempts of this entry occupy in its KV memory. */
     long localMemoryTokens;
 
-    /** Prompts of all entries there that were not taken in yet, as far as this one knows. */
+    /** Prompts of all entries that it has not yet prefilled, as far as known here. */
     final PromptQueue pendingPrompts = PromptQueue.empty();
 
-    /** When anything last came from it on any request. */
+    /** When it last sent any bytes, on any request of this entry. */
     long lastResponseAtNanos = Long.MIN_VALUE / 2;
 
     private int consecutiveFailures;
@@ -84,7 +84,7 @@
         this.zone = heartbeat.getZone();
     }
 
-    /** Takes what it said of itself; an older word changes nothing. Returns whether anything changed. */
+    /** Applies a heartbeat unless it is older than the last one. Returns whether the state changed. */
     boolean applyHeartbeat(UpstreamBeat heartbeat) {
         if (heartbeat.getSequence() < heartbeatSequence) {
             return false;
@@ -103,13 +103,13 @@
         return changed;
     }
 
-    /** It said that it leaves; it does not come back under the same identity. */
+    /** Marks the instance as shutting down; it never serves again under the same id. */
     void startDraining() {
         draining = true;
         shutdownAnnounced = true;
     }
 
-    /** Takes what another entry has under way there. */
+    /** Replaces the load and the pending prompts that another entry reported. */
     void applyLoad(Address entry, UpstreamLoad load, List<PromptQueue.PendingPrompt> waiting) {
         addRemoteLoad(load, 1);
         Optional.ofNullable(loadByEntry.put(entry, load)).ifPresent(previous -> addRemoteLoad(previous, -1));
@@ -126,17 +126,17 @@
         remoteMemoryTokens += (long) sign * load.getTokens();
     }
 
-    /** Whether it generates, so that a prompt there is taken in between the tokens of its streams. */
+    /** Whether it generates tokens, so that prompts are prefilled between the decode steps of its streams. */
     boolean generatesTokens() {
         return role != Role.ROLE_PREFILL;
     }
 
-    /** Attempts there of all entries, as far as this one knows. */
+    /** Running attempts of all entries, as far as known here. */
     int totalAttempts() {
         return localAttempts + remoteAttempts;
     }
 
-    /** Tokens that the attempts of all entries take in its memory, as far as this one knows. */
+    /** Tokens that running attempts of all entries occupy in its KV memory, as far as known here. */
     long totalMemoryTokens() {
         return localMemoryTokens + remoteMemoryTokens;
     }
@@ -145,7 +145,7 @@
         return now < avoidUntilNanos;
     }
 
-    /** Until when it is avoided, in nanoseconds; in the past if it isn't. */
+    /** End of the current backoff in nanoseconds; in the past if there is none. */
     long avoidedUntilNanos() {
         return avoidUntilNanos;
     }
@@ -158,15 +158,15 @@
                 : smoothedLatencyNanos + LATENCY_SMOOTHING_FACTOR * (latencyNanos - smoothedLatencyNanos);
     }
 
-    /** Usual time to an answer, or 0 before the first. */
+    /** Exponentially smoothed latency of successful responses; 0 before the first. */
     long smoothedLatencyNanos() {
         return (long) smoothedLatencyNanos;
     }
 
     /**
-     * Notes a failure. After several in a row the upstream is avoided for a while that doubles; it is tried again with
-     * the request that comes then. Guards against an upstream that is gone or broken while control still lists it:
-     * every request sent there would be lost until its lease ends.
+     * Records a failure. After several in a row the instance is avoided with an exponential backoff, and tried again
+     * with the first request after it. Without that, every request sent to an instance that is dead but still listed by
+     * control would be lost until its lease ends.
      */
     void recordFailure(long now) {
         consecutiveFailures++;
@@ -176,7 +176,7 @@
         }
     }
 
-    /** Avoids it for a while without a failure: it said that it is full. */
+    /** Avoids the instance until a time without recording a failure. */
     void avoid(long untilNanos) {
         avoidUntilNanos = Math.max(avoidUntilNanos, untilNanos);
     }
--- a/src/main/java/org/cuminshelf/direct/UpstreamProtocol.java
+++ b/src/main/java/org/cuminshelf/direct/UpstreamProtocol.java
@@ -5,28 +5,31 @@
 import org.cuminshelf.exchange.UpstreamRequest;
 import org.eclipse.jetty.http.HttpFields;
 
-/** How a deployment's callers and upstreams write what the decisions are about. It translates and decides nothing. */
+/**
+ * Translates between the HTTP conventions of a deployment's callers and upstreams and the model of this package. It
+ * makes no decisions.
+ */
 public interface UpstreamProtocol {
 
     /**
-     * Reads what a caller asks for.
+     * Reads the parameters of a caller's request.
      *
      * @param request the request
-     * @return what it asks for
+     * @return its parameters
      */
     CallIntent readIntent(ReceivedRequest request);
 
     /**
-     * Writes an attempt.
+     * Builds the upstream request of an attempt.
      *
      * @param request the caller's request
-     * @param plan    what the attempt asks
+     * @param plan    the parameters of the attempt
      * @return the request to the upstream
      */
     UpstreamRequest attemptRequest(ReceivedRequest request, AttemptPlan plan);
 
     /**
-     * Writes the word that a KV cache isn't needed any more.
+     * Builds the request that releases a KV cache.
      *
      * @param handle the cache
      * @return the request to the engine that holds it
@@ -34,19 +37,19 @@
     UpstreamRequest releaseRequest(KvCacheHandle handle);
 
     /**
-     * Reads the head of an answer.
+     * Reads the head of a response.
      *
-     * @param status  the status
+     * @param status  the HTTP status
      * @param headers all headers
-     * @return what it says
+     * @return what they state
      */
     ResponseMetadata readMetadata(int status, HttpFields headers);
 
     /**
-     * Reads the answer to an attempt that only took the prompt in.
+     * Reads the response to a prefill-only attempt.
      *
-     * @param body the answer
-     * @return the name of the KV cache at the engine, if the answer holds one
+     * @param body the response body
+     * @return the engine's handle of the KV cache, or empty if the body contains none
      */
     Optional<String> readCacheHandle(byte[] body);
 }
--- a/src/main/java/org/cuminshelf/direct/UpstreamTable.java
+++ b/src/main/java/org/cuminshelf/direct/UpstreamTable.java
@@ -21,47 +21,49 @@
 import org.cuminshelf.message.UpstreamLoad;
 
 /**
- * The upstreams that this entry knows.
+ * The upstream instances known to this entry, from the directories of the control processes and from responses.
  *
  * <p>Failures it guards against:
  * <ul>
- *   <li>All control processes were just killed and know nobody yet. An upstream that none lists any more is kept for
- *       {@link #UNLISTED_RETENTION_NANOS}, in which a living one has announced itself several times.</li>
- *   <li>A delayed announcement of an upstream that is gone arrives late and brings it back. Starts that ended are
- *       remembered for {@link #ENDED_RETENTION_NANOS} and never taken in again.</li>
- *   <li>An upstream starts again under its name, and what it held and how fast it was is believed of the new start:
- *       prompts count on parts that it lost. Each start has a row of its own, and the newest ends those before.</li>
- *   <li>Another upstream has the address. It refuses, its identity being another, and the old one ends here.</li>
+ *   <li>All control processes restart at once with empty directories. An instance that none of them lists is kept for
+ *       {@link #UNLISTED_RETENTION_NANOS}, in which a live one sends several heartbeats.</li>
+ *   <li>A delayed heartbeat revives an instance that has ended. Ended instances are remembered for
+ *       {@link #ENDED_RETENTION_NANOS} and not added again.</li>
+ *   <li>An upstream restarts under its name, and the state of the old instance, such as its cached prompt prefixes, its
+ *       speed and its running work, is attributed to the new one. Each instance has its own entry in this table, and
+ *       the newest one replaces those before it.</li>
+ *   <li>Another upstream takes over the address. It rejects requests for the old instance id, which ends the old
+ *       instance here.</li>
  * </ul>
  */
 final class UpstreamTable {
 
     private static final long UNLISTED_RETENTION_NANOS = Durations.nanos(6_000);
     private static final long ENDED_RETENTION_NANOS = Durations.nanos(60_000);
-    /** What another entry told counts for as long; it tells ten times a second. */
+    /** Validity of a load report of another entry; entries report ten times a second. */
     private static final long LOAD_RETENTION_NANOS = Durations.nanos(1_000);
 
     /**
-     * Starts of a name that ended.
+     * The ended instances of one upstream name: all that started up to a time.
      *
-     * @param lastStartMillis when the last of them started, in Unix milliseconds
-     * @param endedAtNanos   when that was told, in nanoseconds
+     * @param lastStartMillis start of the latest of them, in Unix milliseconds
+     * @param endedAtNanos    when this entry learned of its end, in nanoseconds
      */
     private record EndedInstances(long lastStartMillis, long endedAtNanos) {}
 
     /**
-     * What another entry told last.
+     * The last load report of another entry.
      *
-     * @param receivedAtNanos   when, in nanoseconds
-     * @param instances the upstreams where it has something under way
+     * @param receivedAtNanos when it was received, in nanoseconds
+     * @param instances       the instances that it names
      */
     private record ReportedLoad(long receivedAtNanos, Set<UpstreamInstance> instances) {}
 
-    /** In the order in which they became known, so that equal inputs give equal decisions. */
+    /** By id, in the order in which they were added, so that decisions are deterministic. */
     private final Map<String, UpstreamInstance> instances = new LinkedHashMap<>();
 
     private final Map<String, List<UpstreamInstance>> byService = new HashMap<>();
-    /** The newest start of each name. */
+    /** The newest instance of each upstream name. */
     private final Map<String, UpstreamInstance> newestByName = new HashMap<>();
 
     private final LinkedHashMap<String, EndedInstances> endedByName = new LinkedHashMap<>();
@@ -150,7 +152,7 @@
         }
     }
 
-    /** Whether a word is of a start that ended, or that a newer one of the same name followed. */
+    /** Whether a heartbeat is from an instance that has ended or that a newer one of the same name has replaced. */
     private boolean isObsolete(UpstreamBeat heartbeat) {
         EndedInstances ended = endedByName.get(heartbeat.getName());
         UpstreamInstance newest = newestByName.get(heartbeat.getName());
@@ -180,7 +182,7 @@
         }
     }
 
-    /** A start said that it leaves, to this entry or to another one; it gets no new work. */
+    /** Marks an instance that announced its shutdown, to this entry or another one; it gets no new work. */
     void markDraining(long now, String id, boolean reportedDirectly, String source) {
         if (leavers.add(now, id, reportedDirectly)) {
             instance(id).ifPresent(UpstreamInstance::startDraining);
@@ -188,12 +190,12 @@
         }
     }
 
-    /** A start ended; it is never taken in again. */
+    /** Removes an instance that has ended; it is not added again. */
     void markEnded(long now, UpstreamInstance instance, String reason) {
         markEnded(now, instance.name, instance.startedAtMillis, reason);
     }
 
-    /** All starts of a name up to a time ended. */
+    /** Removes all instances of a name that started up to a time. */
     private void markEnded(long now, String name, long lastStartMillis, String reason) {
         EndedInstances previous = endedByName.remove(name);
         endedByName.put(
@@ -215,8 +217,8 @@
     }
 
     /**
-     * Takes what another entry has under way. Only upstreams that it names, or named before, are touched: with all of
-     * them looked at, this took four tenths of the processor time of an entry's decisions at 33 entries.
+     * Applies another entry's load report. Only instances named in this report or the previous one are visited: with 33
+     * entries, visiting all instances took four tenths of the CPU time that an entry spends on decisions.
      */
     void applyLoad(long now, Address entry, EntryLoad load) {
         Set<UpstreamInstance> reported = new HashSet<>();
@@ -238,7 +240,7 @@
         }
     }
 
-    /** Forgets what is too old. */
+    /** Removes unlisted instances, remembered ends and load reports that are too old. */
     void tick(long now) {
         List<UpstreamInstance> silent = instances.values().stream()
                 .filter(instance -> instance.unlistedSinceNanos != Core.NEVER
@@ -258,7 +260,7 @@
         });
     }
 
-    /** It fell silent; unlike a start that ended it may announce itself again. */
+    /** Removes an instance without heartbeats; unlike an ended one it may be added again. */
     private void removeSilent(UpstreamInstance instance) {
         remove(instance);
         log.note("upstream", instance.id, "state", "silent", "service", instance.service);
