--- a/src/main/java/org/cuminshelf/direct/AttemptRunner.java
+++ b/src/main/java/org/cuminshelf/direct/AttemptRunner.java
@@ -150,7 +150,7 @@
                 queuePriority(call),
                 attempt.prefillOnly,
                 attempt.prefillOnly ? Optional.empty() : call.kvCache,
-                choice.prefixSource().map(row -> row.address),
+                choice.prefixSource().map(instance -> instance.address),
                 call.lastEventId);
         UpstreamRequest request = protocol.attemptRequest(call.request, plan);
         progressChecks.set(attempt.number, now + responseTimeoutNanos(call, attempt));
@@ -203,9 +203,9 @@
         }
 
         @Override
-        public void onFailed(boolean sent, String reason) {
+        public void onFailed(boolean requestSent, String reason) {
             if (!attempt.ended) {
-                AttemptRunner.this.onConnectionFailed(clock.getAsLong(), attempt, sent, reason);
+                AttemptRunner.this.onConnectionFailed(clock.getAsLong(), attempt, requestSent, reason);
             }
         }
     }
--- a/src/main/java/org/cuminshelf/direct/BackpressureListener.java
+++ b/src/main/java/org/cuminshelf/direct/BackpressureListener.java
@@ -40,22 +40,22 @@
             String requestId,
             int status,
             ResponseMetadata metadata) {
-        if (metadata.isFromOtherInstance(upstream.name)) {
+        if (metadata.isFromOtherUpstream(upstream.name)) {
             return;
         }
-        BackpressureSignals demands = metadata.backpressure();
-        if (demands.leaving()) {
+        BackpressureSignals signals = metadata.backpressure();
+        if (signals.leaving()) {
             upstreams.markDraining(now, upstream.id, true, requestId);
         }
-        demands.backoff().ifPresent(pause -> applyPause(now, upstream, requestId, pause));
-        // A missing limit or pause counts as lifted only in a success that belongs to this very request.
+        signals.backoff().ifPresent(backoff -> applyBackoff(now, upstream, requestId, backoff));
+        // A missing limit or backoff counts as lifted only in a success that belongs to this very request.
         boolean conclusive = status < FIRST_NON_SUCCESS_STATUS
                 && metadata.requestId().filter(id -> !id.equals(requestId)).isEmpty();
         if (conclusive) {
             backpressure.backoffs().onAnswer(upstream.id, sentAtNanos);
         }
-        if (conclusive || !(demands.limit() instanceof AdvertisedLimit.Unlimited)) {
-            applyLimit(now, upstream, sentAtNanos, requestId, demands.limit());
+        if (conclusive || !(signals.limit() instanceof AdvertisedLimit.Unlimited)) {
+            applyLimit(now, upstream, sentAtNanos, requestId, signals.limit());
         }
     }
 
@@ -70,9 +70,9 @@
                 .ifPresent(change -> logChange(upstream, change, "request", requestId));
     }
 
-    private void applyPause(long now, UpstreamInstance upstream, String requestId, Duration pause) {
-        backpressure.backoffs().onBackoffRequested(now, upstream.id, pause);
-        log.note("upstream", upstream.id, "outcome", "rest-asked", "ms", pause.toMillis(), "request", requestId);
+    private void applyBackoff(long now, UpstreamInstance upstream, String requestId, Duration backoff) {
+        backpressure.backoffs().onBackoffRequested(now, upstream.id, backoff);
+        log.note("upstream", upstream.id, "outcome", "rest-asked", "ms", backoff.toMillis(), "request", requestId);
     }
 
     /** Applies a limit that another entry received from an upstream. */
--- a/src/main/java/org/cuminshelf/direct/CallDispatcher.java
+++ b/src/main/java/org/cuminshelf/direct/CallDispatcher.java
@@ -47,7 +47,7 @@
     private final AttemptRunner attemptRunner;
     private final Map<Long, DirectCall> openCalls = new HashMap<>();
     private final Deadlines<Long> callDeadlines = Deadlines.create();
-    private final AdmissionQueue waitingCalls = new AdmissionQueue();
+    private final AdmissionQueue admissionQueue = new AdmissionQueue();
     private final AdmissionControl admission;
     private final SizeFairness sizeFairness = new SizeFairness();
 
@@ -80,7 +80,7 @@
         this.backpressureListener = backpressureListener;
         this.poisonGuard = poisonGuard;
         this.usageMeter = usageMeter;
-        this.admission = new AdmissionControl(selector, control, waitingCalls);
+        this.admission = new AdmissionControl(selector, control, admissionQueue);
         this.responses = new CallerResponses(control, log);
         this.attemptRunner = new AttemptRunner(
                 protocol,
@@ -104,7 +104,7 @@
     }
 
     long nextDue() {
-        long callsDue = Math.min(waitingCalls.nextDue(), callDeadlines.next());
+        long callsDue = Math.min(admissionQueue.nextDue(), callDeadlines.next());
         return Math.min(Math.min(callsDue, attemptRunner.nextDue()), poisonGuard.nextDue());
     }
 
@@ -149,8 +149,8 @@
     /** Tries to place queued calls, in order, until too many fail; calls whose wait is over are always decided. */
     private void retryWaiting(long now) {
         int failures = 0;
-        for (DirectCall call : waitingCalls.due(now)) {
-            if (failures < MAX_FAILED_PLACEMENTS || waitingCalls.isExpired(now, call)) {
+        for (DirectCall call : admissionQueue.due(now)) {
+            if (failures < MAX_FAILED_PLACEMENTS || admissionQueue.isExpired(now, call)) {
                 DirectAttempt previous = call.lastAttempt;
                 place(now, call);
                 failures += call.lastAttempt == previous ? 1 : 0;
@@ -163,7 +163,7 @@
                 call.isRetryable() || !call.mayHaveRun,
                 "at-most-once",
                 () -> "request " + call.intent.id() + " is not retryable but is sent again after it may have run");
-        waitingCalls.remove(call);
+        admissionQueue.remove(call);
         call.fairnessClaim.ifPresent(SizeFairness.Claim::onSent);
         call.offeredLoad.ifPresent(work -> work.onSent(choice));
         selector.onSent(now, choice);
@@ -180,8 +180,8 @@
      * use it, and the others would have been prefilled for nothing.
      */
     private void reservePermit(long now, DirectCall call) {
-        call.reservedPermit = selector.handoverEngineToReserve(now, call).map(row -> row.id);
-        call.reservedPermit.ifPresent(start -> backpressure.limits().takePermit(now, start));
+        call.reservedPermit = selector.handoverEngineToReserve(now, call).map(instance -> instance.id);
+        call.reservedPermit.ifPresent(instanceId -> backpressure.limits().takePermit(now, instanceId));
     }
 
     private void releasePermit(DirectCall call) {
@@ -271,7 +271,7 @@
     /** Handles a complete response that is not a success. */
     private void onErrorResponse(long now, DirectAttempt attempt) {
         DirectCall call = attempt.call;
-        if (attempt.metadata.isFromOtherInstance(attempt.upstream.name)) {
+        if (attempt.metadata.isFromOtherUpstream(attempt.upstream.name)) {
             upstreams.markEnded(now, attempt.upstream, "another start has its address");
             onAttemptFailed(now, attempt, new Verdict.NotRun(Cause.WRONG_INCARNATION, 0));
             return;
@@ -328,7 +328,7 @@
             place(now, call);
             return;
         }
-        if (attempt.metadata.isFromOtherInstance(attempt.upstream.name)) {
+        if (attempt.metadata.isFromOtherUpstream(attempt.upstream.name)) {
             upstreams.markEnded(now, attempt.upstream, "another start has its address");
         } else if (attempt.metadata.notExecuted()) {
             onOverloadRejection(now, attempt);
@@ -407,10 +407,10 @@
 
     /** Cancels all open calls of a request that was quarantined, whether they are queued or running. */
     private void cancelQuarantined(long now, Fingerprint request) {
-        List<DirectCall> copies = openCalls.values().stream()
+        List<DirectCall> matching = openCalls.values().stream()
                 .filter(call -> call.fingerprint().equals(request))
                 .toList();
-        for (DirectCall call : copies) {
+        for (DirectCall call : matching) {
             call.lastFailure =
                     Optional.of(new Verdict.NotRun(Cause.UPSTREAM_ERROR, PoisonGuard.QUARANTINED_RETRY_AFTER_MILLIS));
             cancel(now, call, "quarantined");
@@ -449,7 +449,7 @@
 
     private void close(DirectCall call) {
         call.closed = true;
-        waitingCalls.remove(call);
+        admissionQueue.remove(call);
         openCalls.remove(call.number);
         callDeadlines.clear(call.number);
         releasePermit(call);
@@ -465,13 +465,13 @@
         call.kvCache = Optional.empty();
         long now = clock.getAsLong();
         upstreams.instances().stream()
-                .filter(row -> row.address.equals(handle.engine()))
+                .filter(instance -> instance.address.equals(handle.engine()))
                 .findFirst()
-                .ifPresent(row -> client.send(
-                        row.address,
-                        row.id,
+                .ifPresent(instance -> client.send(
+                        instance.address,
+                        instance.id,
                         protocol.releaseRequest(handle),
-                        new ReleaseResponseHandler(row, call.intent.id(), now)));
+                        new ReleaseResponseHandler(instance, call.intent.id(), now)));
     }
 
     /** Handles the response to a KV cache release. The outcome does not matter, as the cache expires anyway. */
@@ -509,7 +509,7 @@
         }
 
         @Override
-        public void onFailed(boolean sent, String reason) {
+        public void onFailed(boolean requestSent, String reason) {
             // The cache expires without a release.
         }
     }
--- a/src/main/java/org/cuminshelf/direct/ControlSubscription.java
+++ b/src/main/java/org/cuminshelf/direct/ControlSubscription.java
@@ -40,7 +40,7 @@
 
     private final DirectSettings settings;
     private final RouteTableReader routeTableReader;
-    private final ConfigSourceSelector configSource = new ConfigSourceSelector();
+    private final ConfigSourceSelector configSourceSelector = new ConfigSourceSelector();
     private final UpstreamTable upstreams;
     private final PoisonGuard poisonGuard;
     private final UsageMeter usageMeter;
@@ -105,7 +105,7 @@
 
     /** Whether a newer configuration than the installed one is, or may be, accepted. */
     boolean mayBeOutdated(long now) {
-        return configSource.knowsNewerThan(highestProcessedVersion())
+        return configSourceSelector.knowsNewerThan(highestProcessedVersion())
                 || now - lastVoterUpdateNanos > MAX_CONTROL_SILENCE_NANOS;
     }
 
@@ -118,17 +118,17 @@
      * Adds the work of a generation to the totals that are reported to control.
      *
      * @param service       the service that it is for
-     * @param readMicros    microseconds of a prefill engine
-     * @param runningMicros microseconds of a slot of a decode engine
+     * @param prefillMicros microseconds of a prefill engine
+     * @param decodeMicros  microseconds of a slot of a decode engine
      */
-    void addOfferedWork(String service, long readMicros, long runningMicros) {
+    void addOfferedWork(String service, long prefillMicros, long decodeMicros) {
         OfferedWork previous = offeredWork.getOrDefault(service, OfferedWork.getDefaultInstance());
         offeredWork.put(
                 service,
                 OfferedWork.newBuilder()
                         .setModel(service)
-                        .setPrefill(previous.getPrefill() + readMicros)
-                        .setDecode(previous.getDecode() + runningMicros)
+                        .setPrefill(previous.getPrefill() + prefillMicros)
+                        .setDecode(previous.getDecode() + decodeMicros)
                         .build());
     }
 
@@ -147,7 +147,7 @@
             entriesHash = update.getEntriesHash();
         }
         lastVoterUpdateNanos = update.getVoter() ? now : lastVoterUpdateNanos;
-        configSource.onVersionAnnounced(now, from, update.getConfigVersion());
+        configSourceSelector.onVersionAnnounced(now, from, update.getConfigVersion());
         if (update.getConfirmed()) {
             confirmedVersion = update.getConfigVersion();
         }
@@ -168,12 +168,12 @@
     /** Receives the body of a configuration, and installs it once the reader has parsed it off the request path. */
     void onConfigBody(long now, Address from, ConfigBody body) {
         if (body.getDeflated().isEmpty() || body.getVersion() <= highestProcessedVersion()) {
-            configSource.onNoNewerBody(from);
+            configSourceSelector.onNoNewerBody(from);
             return;
         }
-        configSource.onBodyReceived();
+        configSourceSelector.onBodyReceived();
         routeTableReader.read(body.getDeflated().toByteArray(), parsed -> {
-            configSource.onBodyParsed();
+            configSourceSelector.onBodyParsed();
             install(from, body.getVersion(), parsed);
             // Reports the installed version to control at once, and learns of newer ones.
             nextSubscribeNanos = now;
@@ -226,7 +226,7 @@
     }
 
     void tick(long now, Outbox out) {
-        configSource
+        configSourceSelector
                 .selectSource(now, highestProcessedVersion())
                 .ifPresent(address -> out.send(
                         address,
@@ -260,6 +260,6 @@
     long nextDue() {
         return Math.min(
                 Math.min(nextSubscribeNanos, poisonGuard.nextReportDue()),
-                configSource.nextDue(highestProcessedVersion()));
+                configSourceSelector.nextDue(highestProcessedVersion()));
     }
 }
--- a/src/main/java/org/cuminshelf/direct/CrashDetector.java
+++ b/src/main/java/org/cuminshelf/direct/CrashDetector.java
@@ -99,13 +99,17 @@
             return;
         }
         Suspect known = suspects.get(upstream.id);
-        boolean first = known == null || isListening(known) && now - known.probedAtNanos > LISTENING_VALIDITY_NANOS;
-        Suspect suspect = first ? addSuspect(now, upstream) : known;
+        boolean probeNeeded =
+                known == null || isListening(known) && now - known.probedAtNanos > LISTENING_VALIDITY_NANOS;
+        Suspect suspect = probeNeeded ? addSuspect(now, upstream) : known;
         if (!isListening(suspect) && suspect.involvements.size() < MAX_REQUESTS_PER_SUSPECT) {
             suspect.involvements.merge(request, involvement(now, attempt), CrashDetector::stronger);
         }
-        if (first) {
-            client.probe(upstream.address, upstream.id, seen -> onProbeResult(clock.getAsLong(), suspect, seen));
+        if (probeNeeded) {
+            client.probe(
+                    upstream.address,
+                    upstream.id,
+                    reachability -> onProbeResult(clock.getAsLong(), suspect, reachability));
         }
     }
 
@@ -121,7 +125,7 @@
 
     private static boolean isListening(Suspect suspect) {
         return suspect.reachability
-                .filter(seen -> seen == Reachability.LISTENING)
+                .filter(reachability -> reachability == Reachability.LISTENING)
                 .isPresent();
     }
 
--- a/src/main/java/org/cuminshelf/direct/DirectCore.java
+++ b/src/main/java/org/cuminshelf/direct/DirectCore.java
@@ -324,7 +324,7 @@
      * @return their number
      */
     public long suspectedRequests() {
-        return poisonGuard.suspects();
+        return poisonGuard.suspectCount();
     }
 
     /**
@@ -333,7 +333,7 @@
      * @return their number
      */
     public long quarantinedRequests() {
-        return poisonGuard.quarantined();
+        return poisonGuard.quarantinedCount();
     }
 
     /**
@@ -346,11 +346,11 @@
     }
 
     /**
-     * Counts the upstreams that asked this entry to pause, with the pause not over.
+     * Counts the upstreams whose requested backoff of this entry is not over.
      *
      * @return their number
      */
-    public long restingUpstreams() {
+    public long upstreamsInBackoff() {
         return backpressure.backoffs().activeCount(clock.getAsLong());
     }
 
--- a/src/main/java/org/cuminshelf/direct/PoisonGuard.java
+++ b/src/main/java/org/cuminshelf/direct/PoisonGuard.java
@@ -36,7 +36,7 @@
     /** Retry-After of a quarantined request: an operator has to examine it first, and callers should stop retrying. */
     static final long QUARANTINED_RETRY_AFTER_MILLIS = 3_600_000;
     /** Retry-After of a request that may be poison: by then all crashes are reported and the case is decided. */
-    static final long UNSETTLED_RETRY_AFTER_MILLIS = 500;
+    static final long SETTLING_RETRY_AFTER_MILLIS = 500;
     /** Crashes under a request from which it is no longer retried within a call. */
     private static final int MAX_CRASHES_PER_CALL = 2;
     /** Change number of what was received from control: above 0, which means none, and below all local changes. */
@@ -62,7 +62,7 @@
      */
     record Refusal(String outcome, long retryAfterMillis) {}
 
-    private final PoisonRegistry register = new PoisonRegistry();
+    private final PoisonRegistry registry = new PoisonRegistry();
     private final UpstreamTable upstreams;
     private final CrashDetector crashDetector;
     private final String vm;
@@ -71,12 +71,12 @@
     private final Map<Address, Long> acknowledgedChanges = new HashMap<>();
 
     private final ChangeSequence localChanges = this::nextChangeNumber;
-    private long version = LEARNED_CHANGE_NUMBER;
+    private long lastChangeNumber = LEARNED_CHANGE_NUMBER;
     private boolean reportUrgent;
     private long nextUrgentReportNanos = Long.MIN_VALUE;
     private long nextCountNanos = Long.MIN_VALUE;
-    private volatile long suspects;
-    private volatile long quarantined;
+    private volatile long suspectCount;
+    private volatile long quarantinedCount;
 
     PoisonGuard(UpstreamClient client, UpstreamTable upstreams, LongSupplier clock, String vm, DecisionLog log) {
         this.upstreams = upstreams;
@@ -87,21 +87,21 @@
 
     private long nextChangeNumber(boolean urgent) {
         reportUrgent |= urgent;
-        return ++version;
+        return ++lastChangeNumber;
     }
 
     // ---- calls
 
     /** Returns the reason to refuse a new call, or empty if it may be placed. */
     Optional<Refusal> refusal(long now, DirectCall call) {
-        if (register.isEmpty()) {
+        if (registry.isEmpty()) {
             return Optional.empty();
         }
-        if (register.isQuarantined(call.fingerprint())) {
+        if (registry.isQuarantined(call.fingerprint())) {
             return Optional.of(new Refusal("quarantined", QUARANTINED_RETRY_AFTER_MILLIS));
         }
-        if (register.isSettling(now, call.fingerprint())) {
-            return Optional.of(new Refusal("upstreams-crashed", UNSETTLED_RETRY_AFTER_MILLIS));
+        if (registry.isSettling(now, call.fingerprint())) {
+            return Optional.of(new Refusal("upstreams-crashed", SETTLING_RETRY_AFTER_MILLIS));
         }
         return Optional.empty();
     }
@@ -116,27 +116,27 @@
      * report of the crashes arrives, so after the second crash its caller has to send it again.
      */
     boolean mayRetry(DirectCall call) {
-        return register.isEmpty()
-                || register.crashedUpstreams(call.fingerprint()).size() < MAX_CRASHES_PER_CALL;
+        return registry.isEmpty()
+                || registry.crashedUpstreams(call.fingerprint()).size() < MAX_CRASHES_PER_CALL;
     }
 
     /** Records a success, which clears the request of suspicion. */
     void onSuccess(long now, DirectCall call) {
-        if (register.isEmpty()) {
+        if (registry.isEmpty()) {
             return;
         }
-        int crashes = register.crashedUpstreams(call.fingerprint()).size();
-        if (register.onSuccess(now, call.fingerprint(), vm, localChanges) && crashes >= MAX_CRASHES_PER_CALL) {
+        int crashes = registry.crashedUpstreams(call.fingerprint()).size();
+        if (registry.onSuccess(now, call.fingerprint(), vm, localChanges) && crashes >= MAX_CRASHES_PER_CALL) {
             log.note("poison", call.fingerprint().toString(), "outcome", "cleared", "crashes", crashes);
         }
     }
 
     private void onCrash(long now, String upstream, Fingerprint request, Involvement involvement) {
         avoidInstance(now, upstream);
-        if (!register.onCrash(now, upstream, request, involvement, localChanges)) {
+        if (!registry.onCrash(now, upstream, request, involvement, localChanges)) {
             return;
         }
-        int crashes = register.crashedUpstreams(request).size();
+        int crashes = registry.crashedUpstreams(request).size();
         if (crashes >= MAX_CRASHES_PER_CALL) {
             log.note(
                     "poison",
@@ -153,7 +153,7 @@
     }
 
     private void avoidInstance(long now, String upstream) {
-        upstreams.instance(upstream).ifPresent(row -> row.avoid(now + CRASHED_AVOIDANCE_NANOS));
+        upstreams.instance(upstream).ifPresent(instance -> instance.avoid(now + CRASHED_AVOIDANCE_NANOS));
     }
 
     // ---- exchange with control
@@ -162,9 +162,9 @@
         acknowledgedChanges.put(control, update.getPoisonHeard());
         update.getCrashesList().stream()
                 .map(UpstreamCrash::getUpstream)
-                .filter(upstream -> !register.hasCrashed(upstream))
+                .filter(upstream -> !registry.hasCrashed(upstream))
                 .forEach(upstream -> avoidInstance(now, upstream));
-        register.merge(
+        registry.merge(
                 now,
                 update.getCrashesList(),
                 update.getQuarantinedList(),
@@ -174,12 +174,12 @@
 
     /** Adds the local changes that a control process has not acknowledged. */
     void addChanges(Address control, Subscribe.Builder subscribe) {
-        long since = acknowledgedChanges.getOrDefault(control, 0L);
+        long acknowledged = acknowledgedChanges.getOrDefault(control, 0L);
         subscribe
-                .setPoisonVersion(version)
-                .setPoisonSince(since)
-                .addAllCrashes(register.crashesChangedSince(since))
-                .addAllQuarantined(register.quarantine().changedSince(since));
+                .setPoisonVersion(lastChangeNumber)
+                .setPoisonSince(acknowledged)
+                .addAllCrashes(registry.crashesChangedSince(acknowledged))
+                .addAllQuarantined(registry.quarantine().changedSince(acknowledged));
     }
 
     /** When an urgent report to control is due; {@link Core#NEVER} if there is none. */
@@ -197,56 +197,56 @@
 
     void tick(long now) {
         crashDetector.tick(now);
-        if (now >= register.nextDue()) {
-            register.quarantinePoison(now, vm, localChanges);
+        if (now >= registry.nextDue()) {
+            registry.quarantinePoison(now, vm, localChanges);
         }
         if (now >= nextCountNanos) {
             nextCountNanos = now + COUNT_INTERVAL_NANOS;
-            suspects = register.suspectCount();
-            quarantined = register.quarantine().quarantinedCount();
+            suspectCount = registry.suspectCount();
+            quarantinedCount = registry.quarantine().quarantinedCount();
         }
     }
 
     long nextDue() {
-        return register.nextDue();
+        return registry.nextDue();
     }
 
     /**
      * Returns the requests quarantined since the previous call, whose open calls must be cancelled; logs all changes.
      */
     List<Fingerprint> takeQuarantined() {
-        List<Fingerprint> quarantined = new ArrayList<>();
-        for (QuarantinedRequest row : register.takeChangedRows()) {
-            Fingerprint request = Quarantine.fingerprint(row);
+        List<Fingerprint> newlyQuarantined = new ArrayList<>();
+        for (QuarantinedRequest change : registry.takeChangedRows()) {
+            Fingerprint request = Quarantine.fingerprint(change);
             log.note(
                     "poison",
                     request.toString(),
                     "outcome",
-                    row.getReleased() ? "released" : "quarantined",
+                    change.getReleased() ? "released" : "quarantined",
                     "generation",
-                    row.getGeneration(),
+                    change.getGeneration(),
                     "upstreams",
-                    row.getUpstreamsList(),
+                    change.getUpstreamsList(),
                     "found-by",
-                    row.getFoundBy(),
+                    change.getFoundBy(),
                     "released-by",
-                    row.getReleasedBy(),
+                    change.getReleasedBy(),
                     "reason",
-                    row.getReason());
-            if (!row.getReleased()) {
-                quarantined.add(request);
+                    change.getReason());
+            if (!change.getReleased()) {
+                newlyQuarantined.add(request);
             }
         }
-        return quarantined;
+        return newlyQuarantined;
     }
 
     /** Requests that may have crashed an upstream and were not cleared; updated once a second, safe for any thread. */
-    long suspects() {
-        return suspects;
+    long suspectCount() {
+        return suspectCount;
     }
 
     /** Requests in quarantine; updated once a second, safe for any thread. */
-    long quarantined() {
-        return quarantined;
+    long quarantinedCount() {
+        return quarantinedCount;
     }
 }
--- a/src/main/java/org/cuminshelf/direct/ResponseMetadata.java
+++ b/src/main/java/org/cuminshelf/direct/ResponseMetadata.java
@@ -8,19 +8,19 @@
  *
  * @param requestId    id of the request that it belongs to, if stated
  * @param notExecuted  whether the upstream states that the request did not run
- * @param instanceId   id of the upstream instance that responded, if stated
+ * @param upstreamName name of the upstream that responded, if stated
  * @param authentic    whether it carries the upstream's mark of a genuine response
- * @param backpressure limits and pauses that the upstream requests of its clients
+ * @param backpressure limits and backoffs that the upstream requests of its clients
  */
 public record ResponseMetadata(
         Optional<String> requestId,
         boolean notExecuted,
-        Optional<String> instanceId,
+        Optional<String> upstreamName,
         boolean authentic,
         BackpressureSignals backpressure) {
 
-    /** Whether the request was rejected because another instance has the address now. */
-    boolean isFromOtherInstance(String expectedInstance) {
-        return notExecuted && instanceId.isPresent() && !instanceId.get().equals(expectedInstance);
+    /** Whether the request was rejected because another upstream has the address now. */
+    boolean isFromOtherUpstream(String expectedName) {
+        return notExecuted && upstreamName.isPresent() && !upstreamName.get().equals(expectedName);
     }
 }
--- a/src/main/java/org/cuminshelf/direct/ThrottledUpstreamClient.java
+++ b/src/main/java/org/cuminshelf/direct/ThrottledUpstreamClient.java
@@ -10,7 +10,7 @@
 import org.cuminshelf.exchange.UpstreamRequest;
 
 /**
- * An upstream client that enforces the rate limits and pauses that upstreams request. A request that is not admitted
+ * An upstream client that enforces the rate limits and backoffs that upstreams request. A request that is not admitted
  * fails at once as not sent.
  *
  * <p>All requests go through it, because placement checks limits only for attempts: other requests, such as the release
--- a/src/main/java/org/cuminshelf/direct/UpstreamTable.java
+++ b/src/main/java/org/cuminshelf/direct/UpstreamTable.java
@@ -69,11 +69,11 @@
     private final LinkedHashMap<String, EndedInstances> endedByName = new LinkedHashMap<>();
     private final HeldDirectories directoryVersions = HeldDirectories.none();
     private final Map<Address, ReportedLoad> loadByEntry = new HashMap<>();
-    private final LeavingUpstreams leavers;
+    private final LeavingUpstreams leavingUpstreams;
     private final DecisionLog log;
 
-    UpstreamTable(LeavingUpstreams leavers, DecisionLog log) {
-        this.leavers = leavers;
+    UpstreamTable(LeavingUpstreams leavingUpstreams, DecisionLog log) {
+        this.leavingUpstreams = leavingUpstreams;
         this.log = log;
     }
 
@@ -166,7 +166,7 @@
             markEnded(now, previous, "it started again");
         }
         UpstreamInstance instance = new UpstreamInstance(now, heartbeat);
-        if (leavers.contains(instance.id)) {
+        if (leavingUpstreams.contains(instance.id)) {
             instance.startDraining();
         }
         instances.put(instance.id, instance);
@@ -184,7 +184,7 @@
 
     /** Marks an instance that announced its shutdown, to this entry or another one; it gets no new work. */
     void markDraining(long now, String id, boolean reportedDirectly, String source) {
-        if (leavers.add(now, id, reportedDirectly)) {
+        if (leavingUpstreams.add(now, id, reportedDirectly)) {
             instance(id).ifPresent(UpstreamInstance::startDraining);
             log.note("upstream", id, "outcome", "leaving-stated", "source", source);
         }
@@ -242,11 +242,11 @@
 
     /** Removes unlisted instances, remembered ends and load reports that are too old. */
     void tick(long now) {
-        List<UpstreamInstance> silent = instances.values().stream()
+        List<UpstreamInstance> expired = instances.values().stream()
                 .filter(instance -> instance.unlistedSinceNanos != Core.NEVER
                         && now - instance.unlistedSinceNanos > UNLISTED_RETENTION_NANOS)
                 .toList();
-        silent.forEach(this::removeSilent);
+        expired.forEach(this::removeUnlisted);
         Iterator<EndedInstances> oldest = endedByName.values().iterator();
         while (oldest.hasNext() && now - oldest.next().endedAtNanos > ENDED_RETENTION_NANOS) {
             oldest.remove();
@@ -261,7 +261,7 @@
     }
 
     /** Removes an instance without heartbeats; unlike an ended one it may be added again. */
-    private void removeSilent(UpstreamInstance instance) {
+    private void removeUnlisted(UpstreamInstance instance) {
         remove(instance);
         log.note("upstream", instance.id, "state", "silent", "service", instance.service);
     }
--- a/src/main/java/org/cuminshelf/process/DirectEntryProcess.java
+++ b/src/main/java/org/cuminshelf/process/DirectEntryProcess.java
@@ -182,7 +182,7 @@
                 registry,
                 "cuminshelf_resting_upstreams",
                 "Upstreams that asked this entry for rest.",
-                core::restingUpstreams);
+                core::upstreamsInBackoff);
         EntryProcess.gauge(registry, "cuminshelf_invariant_breach_count", "Promises found broken.", invariants::count);
     }
 
--- a/src/test/java/org/cuminshelf/direct/CallDispatcherTest.java
+++ b/src/test/java/org/cuminshelf/direct/CallDispatcherTest.java
@@ -13,14 +13,14 @@
     private static final String EVENT_1 = "id: 1\ndata: a\n\n";
     private static final String EVENT_2 = "id: 2\ndata: b\n\n";
 
-    private static DirectFixture plain(RequestKind kind, int attempts) {
+    private static DirectFixture entryWithServices(RequestKind kind, int attempts) {
         return new DirectFixture(DirectFixture.route(kind, attempts, false))
                 .becomeReady()
                 .addUpstream("u1", Role.ROLE_MIXED)
                 .addUpstream("u2", Role.ROLE_MIXED);
     }
 
-    private static DirectFixture stream(boolean resumable) {
+    private static DirectFixture entryWithDecodeEngines(boolean resumable) {
         return new DirectFixture(DirectFixture.route(RequestKind.STREAM, 2, resumable))
                 .becomeReady()
                 .addUpstream("u1", Role.ROLE_DECODE)
@@ -28,13 +28,13 @@
     }
 
     @Example
-    void anAnswerIsPassedOnAsItCame() {
-        DirectFixture entry = plain(RequestKind.NON_IDEMPOTENT, 1);
-        DirectFixture.CallerResponse answer = entry.sendRequest("a");
+    void aResponseIsForwardedUnchanged() {
+        DirectFixture entry = entryWithServices(RequestKind.NON_IDEMPOTENT, 1);
+        DirectFixture.CallerResponse response = entry.sendRequest("a");
         entry.lastSent().respond(200, "hello");
-        assertThat(answer.status).isEqualTo(200);
-        assertThat(answer.body.toString()).isEqualTo("hello");
-        assertThat(answer.headers.get("Seal")).isEqualTo("s");
+        assertThat(response.status).isEqualTo(200);
+        assertThat(response.body.toString()).isEqualTo("hello");
+        assertThat(response.headers.get("Seal")).isEqualTo("s");
         assertThat(entry.core.openCalls()).isZero();
     }
 
@@ -43,44 +43,44 @@
      * elsewhere though it had run. Cause: silence taken for "did not run".
      */
     @Example
-    void whatMayHaveRunAndMayNotBeRepeatedIsNeitherSentAgainNorCalledNotRun() {
-        DirectFixture entry = plain(RequestKind.NON_IDEMPOTENT, 2);
-        DirectFixture.CallerResponse answer = entry.sendRequest("a");
+    void aNonRetryableRequestThatMayHaveRunIsNeitherRetriedNorReportedAsNotRun() {
+        DirectFixture entry = entryWithServices(RequestKind.NON_IDEMPOTENT, 2);
+        DirectFixture.CallerResponse response = entry.sendRequest("a");
         entry.lastSent().handler.onFailed(true, "reset");
         assertThat(entry.sentRequests).hasSize(1);
-        assertThat(answer.status).isEqualTo(502);
+        assertThat(response.status).isEqualTo(502);
     }
 
     @Example
-    void whatNeverLeftGoesElsewhereThoughItMayNotBeRepeated() {
-        DirectFixture entry = plain(RequestKind.NON_IDEMPOTENT, 1);
-        DirectFixture.CallerResponse answer = entry.sendRequest("a");
+    void aNonRetryableRequestThatWasNeverSentIsSentToAnotherUpstream() {
+        DirectFixture entry = entryWithServices(RequestKind.NON_IDEMPOTENT, 1);
+        DirectFixture.CallerResponse response = entry.sendRequest("a");
         entry.lastSent().handler.onFailed(false, "refused");
         assertThat(entry.sentRequests).hasSize(2);
         entry.lastSent().respond(200, "x");
-        assertThat(answer.status).isEqualTo(200);
+        assertThat(response.status).isEqualTo(200);
     }
 
     @Example
-    void whatTheUpstreamSaysItDidNotRunIsRefusedTruthfullyWithATimeToComeBack() {
-        DirectFixture entry = plain(RequestKind.NON_IDEMPOTENT, 1);
-        DirectFixture.CallerResponse answer = entry.sendRequest("a");
+    void aRequestThatTheUpstreamDidNotExecuteIsRefusedWithRetryAfter() {
+        DirectFixture entry = entryWithServices(RequestKind.NON_IDEMPOTENT, 1);
+        DirectFixture.CallerResponse response = entry.sendRequest("a");
         entry.lastSent().respondHead(503, "Not-Run", "1");
         entry.lastSent().handler.onComplete();
-        assertThat(answer.status).isEqualTo(503);
-        assertThat(answer.headers.get("Retry-After")).isNotNull();
+        assertThat(response.status).isEqualTo(503);
+        assertThat(response.headers.get("Retry-After")).isNotNull();
     }
 
     @Example
-    void anIdempotentRequestIsRepeatedElsewhereWithinItsAttempts() {
-        DirectFixture entry = plain(RequestKind.IDEMPOTENT, 2);
-        DirectFixture.CallerResponse answer = entry.sendRequest("a");
+    void anIdempotentRequestIsRetriedOnAnotherUpstreamWithinItsMaxAttempts() {
+        DirectFixture entry = entryWithServices(RequestKind.IDEMPOTENT, 2);
+        DirectFixture.CallerResponse response = entry.sendRequest("a");
         entry.lastSent().handler.onFailed(true, "reset");
         assertThat(entry.sentRequests).hasSize(2);
         assertThat(entry.sentRequests.get(0).upstream).isNotEqualTo(entry.sentRequests.get(1).upstream);
         entry.lastSent().handler.onFailed(true, "reset");
         assertThat(entry.sentRequests).hasSize(2);
-        assertThat(answer.status).isEqualTo(502);
+        assertThat(response.status).isEqualTo(502);
     }
 
     /*
@@ -88,23 +88,23 @@
      * taken for that of the next request on the connection. Cause: answers told apart by their place alone.
      */
     @Example
-    void anAnswerThatNamesAnotherRequestIsNotPassedOn() {
-        DirectFixture entry = plain(RequestKind.NON_IDEMPOTENT, 1);
-        DirectFixture.CallerResponse answer = entry.sendRequest("a");
+    void aResponseWithTheIdOfAnotherRequestIsNotForwarded() {
+        DirectFixture entry = entryWithServices(RequestKind.NON_IDEMPOTENT, 1);
+        DirectFixture.CallerResponse response = entry.sendRequest("a");
         entry.lastSent().respondHead(200, "Seal", "s", "Id", "b");
         assertThat(entry.lastSent().cancelled).isTrue();
-        assertThat(answer.status).isEqualTo(502);
+        assertThat(response.status).isEqualTo(502);
     }
 
     @Example
-    void aSuccessWithoutTheMarkOfARunIsNoSuccess() {
-        DirectFixture entry = plain(RequestKind.NON_IDEMPOTENT, 1);
-        DirectFixture.CallerResponse answer = entry.sendRequest("a");
+    void aSuccessThatIsNotAuthenticIsNotForwarded() {
+        DirectFixture entry = entryWithServices(RequestKind.NON_IDEMPOTENT, 1);
+        DirectFixture.CallerResponse response = entry.sendRequest("a");
         entry.lastSent().respondHead(200);
         entry.lastSent().respondBody("forged");
         entry.lastSent().handler.onComplete();
-        assertThat(answer.status).isEqualTo(502);
-        assertThat(answer.body.toString()).doesNotContain("forged");
+        assertThat(response.status).isEqualTo(502);
+        assertThat(response.body.toString()).doesNotContain("forged");
     }
 
     /*
@@ -112,9 +112,9 @@
      * another engine. Cause: bytes passed on as they came.
      */
     @Example
-    void aStreamThatMayBeResumedGoesOnAfterTheLastWholeEvent() {
-        DirectFixture entry = stream(true);
-        DirectFixture.CallerResponse answer = entry.sendRequest("a", "Tokens", "500");
+    void aResumableStreamContinuesAfterTheLastCompleteEvent() {
+        DirectFixture entry = entryWithDecodeEngines(true);
+        DirectFixture.CallerResponse response = entry.sendRequest("a", "Tokens", "500");
         entry.lastSent().respondSealedHead(200);
         entry.lastSent().respondBody(EVENT_1 + "id: 2\nda");
         entry.lastSent().handler.onFailed(true, "reset");
@@ -122,63 +122,63 @@
         entry.lastSent().respondSealedHead(200);
         entry.lastSent().respondBody(EVENT_2);
         entry.lastSent().handler.onComplete();
-        assertThat(answer.body.toString()).isEqualTo(EVENT_1 + EVENT_2);
-        assertThat(answer.complete).isTrue();
+        assertThat(response.body.toString()).isEqualTo(EVENT_1 + EVENT_2);
+        assertThat(response.complete).isTrue();
     }
 
     @Example
-    void aStreamThatMayNotBeResumedIsCutAndDoesNotLookComplete() {
-        DirectFixture entry = stream(false);
-        DirectFixture.CallerResponse answer = entry.sendRequest("a", "Tokens", "500");
+    void aNonResumableStreamIsAbortedAndDoesNotLookComplete() {
+        DirectFixture entry = entryWithDecodeEngines(false);
+        DirectFixture.CallerResponse response = entry.sendRequest("a", "Tokens", "500");
         entry.lastSent().respondSealedHead(200);
         entry.lastSent().respondBody(EVENT_1);
         entry.lastSent().handler.onFailed(true, "reset");
         assertThat(entry.sentRequests).hasSize(1);
-        assertThat(answer.complete).isFalse();
-        assertThat(answer.aborted).isTrue();
+        assertThat(response.complete).isFalse();
+        assertThat(response.aborted).isTrue();
     }
 
     @Example
-    void anEventThatTheCallerHoldsIsNotGivenTwice() {
-        DirectFixture entry = stream(true);
-        DirectFixture.CallerResponse answer = entry.sendRequest("a", "Tokens", "500", "Last", "1");
+    void anEventThatTheCallerAlreadyHasIsNotSentAgain() {
+        DirectFixture entry = entryWithDecodeEngines(true);
+        DirectFixture.CallerResponse response = entry.sendRequest("a", "Tokens", "500", "Last", "1");
         entry.lastSent().respondSealedHead(200);
         entry.lastSent().respondBody(EVENT_1 + EVENT_2);
         entry.lastSent().handler.onComplete();
-        assertThat(answer.body.toString()).isEqualTo(EVENT_2);
+        assertThat(response.body.toString()).isEqualTo(EVENT_2);
     }
 
     /*
      * Engines work on for callers that left, and those that stayed wait. Cause: nobody told the engine.
      */
     @Example
-    void theWorkOfACallerThatLeftIsStopped() {
-        DirectFixture entry = stream(false);
-        DirectFixture.CallerResponse answer = entry.sendRequest("a", "Tokens", "500");
-        entry.core.onGone(answer);
+    void theStreamOfADisconnectedCallerIsCancelled() {
+        DirectFixture entry = entryWithDecodeEngines(false);
+        DirectFixture.CallerResponse response = entry.sendRequest("a", "Tokens", "500");
+        entry.core.onGone(response);
         assertThat(entry.lastSent().cancelled).isTrue();
         assertThat(entry.core.openCalls()).isZero();
     }
 
     @Example
-    void aRequestThatMayNotBeRepeatedRunsOnWhenItsCallerLeft() {
-        DirectFixture entry = plain(RequestKind.NON_IDEMPOTENT, 1);
-        DirectFixture.CallerResponse answer = entry.sendRequest("a");
-        entry.core.onGone(answer);
+    void aNonRetryableRequestKeepsRunningWhenItsCallerDisconnects() {
+        DirectFixture entry = entryWithServices(RequestKind.NON_IDEMPOTENT, 1);
+        DirectFixture.CallerResponse response = entry.sendRequest("a");
+        entry.core.onGone(response);
         assertThat(entry.lastSent().cancelled).isFalse();
     }
 
     @Example
-    void aRequestIsAnsweredWhenItsTimeIsUpAndNotCalledNotRun() {
-        DirectFixture entry = plain(RequestKind.NON_IDEMPOTENT, 1);
-        DirectFixture.CallerResponse answer = entry.sendRequest("a");
+    void aRequestIsAnsweredAtItsDeadlineAndNotReportedAsNotRun() {
+        DirectFixture entry = entryWithServices(RequestKind.NON_IDEMPOTENT, 1);
+        DirectFixture.CallerResponse response = entry.sendRequest("a");
         entry.advance(900);
-        assertThat(answer.status).isEqualTo(504);
+        assertThat(response.status).isEqualTo(504);
     }
 
     @Example
-    void anIdempotentRequestLeavesAnUpstreamThatStaysSilent() {
-        DirectFixture entry = plain(RequestKind.IDEMPOTENT, 2);
+    void anIdempotentRequestMovesAwayFromAnUnresponsiveUpstream() {
+        DirectFixture entry = entryWithServices(RequestKind.IDEMPOTENT, 2);
         entry.sendRequest("a");
         entry.advance(300);
         assertThat(entry.sentRequests).hasSize(2);
@@ -186,8 +186,8 @@
     }
 
     @Example
-    void theTimeLeftIsToldToTheUpstream() {
-        DirectFixture entry = plain(RequestKind.IDEMPOTENT, 2);
+    void theRemainingTimeIsSentToTheUpstream() {
+        DirectFixture entry = entryWithServices(RequestKind.IDEMPOTENT, 2);
         entry.sendRequest("a");
         assertThat(entry.lastSent().request.headers().get("Left")).isEqualTo("800");
         entry.advance(300);
@@ -200,31 +200,31 @@
      * taken for identities.
      */
     @Example
-    void anUpstreamWhoseAddressBelongsToAnotherStartIsNeverUsedAgain() {
-        DirectFixture entry = plain(RequestKind.NON_IDEMPOTENT, 2);
+    void anUpstreamWhoseAddressWasTakenOverIsNeverUsedAgain() {
+        DirectFixture entry = entryWithServices(RequestKind.NON_IDEMPOTENT, 2);
         entry.sendRequest("a");
-        String gone = entry.lastSent().upstream;
+        String replacedUpstream = entry.lastSent().upstream;
         entry.lastSent().respondHead(421, "Not-Run", "1", "Start", "other");
         entry.lastSent().handler.onComplete();
-        assertThat(entry.lastSent().upstream).isNotEqualTo(gone);
+        assertThat(entry.lastSent().upstream).isNotEqualTo(replacedUpstream);
         entry.sendUpdate(Update.newBuilder()
                 .setDirectoryIncarnation(1)
                 .setDirectoryVersion(9)
-                .addUpstreams(DirectFixture.heartbeat(gone, Role.ROLE_MIXED)));
+                .addUpstreams(DirectFixture.heartbeat(replacedUpstream, Role.ROLE_MIXED)));
         for (int index = 0; index < 8; index++) {
             entry.sendRequest("n" + index);
-            assertThat(entry.lastSent().upstream).isNotEqualTo(gone);
+            assertThat(entry.lastSent().upstream).isNotEqualTo(replacedUpstream);
         }
     }
 
     @Example
-    void aPromptIsTakenInByOneEngineAndItsStreamComesFromAnother() {
+    void aPromptIsPrefilledByOneEngineAndDecodedByAnother() {
         DirectFixture entry = new DirectFixture(DirectFixture.route(RequestKind.STREAM, 1, false))
                 .becomeReady()
                 .addUpstream("p", Role.ROLE_PREFILL)
                 .addUpstream("d", Role.ROLE_DECODE);
         entry.sendRequest("warm", "Tokens", "100");
-        DirectFixture.CallerResponse answer = entry.sendRequest("a", "Tokens", "9000");
+        DirectFixture.CallerResponse response = entry.sendRequest("a", "Tokens", "9000");
         assertThat(entry.lastSent().upstream).isEqualTo("p");
         assertThat(entry.lastSent().request.headers().get("Prefill")).isEqualTo("true");
         entry.lastSent().respondHead(200);
@@ -235,7 +235,7 @@
         entry.lastSent().respondSealedHead(200);
         entry.lastSent().respondBody(EVENT_1);
         entry.lastSent().handler.onComplete();
-        assertThat(answer.complete).isTrue();
+        assertThat(response.complete).isTrue();
     }
 
     /*
@@ -244,37 +244,37 @@
      * later.
      */
     @Example
-    void aRequestThatComesBeforeAQuorumConfirmedTheRoutesWaitsForThat() {
+    void aRequestBeforeTheRoutesAreConfirmedWaits() {
         DirectFixture entry = new DirectFixture(DirectFixture.route(RequestKind.IDEMPOTENT, 1, false));
-        DirectFixture.CallerResponse answer = entry.sendRequest("a");
+        DirectFixture.CallerResponse response = entry.sendRequest("a");
         entry.advance(300);
         assertThat(entry.core.isReady()).isFalse();
-        assertThat(answer.status).isZero();
+        assertThat(response.status).isZero();
         entry.becomeReady();
         entry.advance(20);
         assertThat(entry.sentRequests).isEmpty();
         entry.addUpstream("u", Role.ROLE_MIXED);
         entry.advance(20);
         entry.lastSent().respond(200, "here");
-        assertThat(answer.body.toString()).isEqualTo("here");
+        assertThat(response.body.toString()).isEqualTo("here");
     }
 
     @Example
-    void aRequestThatComesTooEarlyIsRefusedAfterHalfOfItsTime() {
+    void aRequestWithoutConfirmedRoutesIsRefusedAfterHalfOfItsTime() {
         DirectFixture entry = new DirectFixture(DirectFixture.route(RequestKind.IDEMPOTENT, 1, false));
-        DirectFixture.CallerResponse answer = entry.sendRequest("a");
-        DirectFixture.CallerResponse gone = entry.sendRequest("gone");
-        entry.core.onGone(gone);
+        DirectFixture.CallerResponse response = entry.sendRequest("a");
+        DirectFixture.CallerResponse disconnected = entry.sendRequest("gone");
+        entry.core.onGone(disconnected);
         entry.advance(450);
-        assertThat(answer.status).isEqualTo(503);
-        assertThat(answer.headers.get("Retry-After")).isNotNull();
-        assertThat(gone.status).isZero();
+        assertThat(response.status).isEqualTo(503);
+        assertThat(response.headers.get("Retry-After")).isNotNull();
+        assertThat(disconnected.status).isZero();
         assertThat(entry.core.openCalls()).isZero();
     }
 
     @Example
     void aHostOrPathWithoutARouteIsNotFound() {
-        DirectFixture entry = plain(RequestKind.IDEMPOTENT, 1);
+        DirectFixture entry = entryWithServices(RequestKind.IDEMPOTENT, 1);
         assertThat(entry.sendRequest("a", "Host", "other").status).isEqualTo(404);
     }
 }
--- a/src/test/java/org/cuminshelf/direct/ControlSubscriptionTest.java
+++ b/src/test/java/org/cuminshelf/direct/ControlSubscriptionTest.java
@@ -27,13 +27,13 @@
     private static final Address FIRST = Address.of("10.0.0.1:7000");
     private static final Address SECOND = Address.of("10.0.0.2:7000");
 
-    private final List<Consumer<Optional<RouteTable>>> reading = new ArrayList<>();
+    private final List<Consumer<Optional<RouteTable>>> pendingReads = new ArrayList<>();
     private final RecordingOutbox out = new RecordingOutbox();
     private long now = Durations.nanos(10_000);
     private final UpstreamTable upstreams = new UpstreamTable(LeavingUpstreams.create(), DecisionLog.none());
-    private final ControlSubscription feed = new ControlSubscription(
+    private final ControlSubscription subscription = new ControlSubscription(
             new DirectSettings("r", "z", "vm", List.of(FIRST), new RetryLimits(0.2, 100, 10_000)),
-            (deflated, whenRead) -> reading.add(whenRead),
+            (deflated, onRead) -> pendingReads.add(onRead),
             upstreams,
             new PoisonGuard(DirectFixture.noClient(), upstreams, () -> now, "vm", DecisionLog.none()),
             new UsageMeter(OptionalLong.empty(), DecisionLog.none()),
@@ -46,70 +46,70 @@
      * that was asked first answered too late, with an older version, while the newer one of the next was being read.
      */
     @Example
-    void anOlderBodyThatIsReadAfterANewerOneChangesNothing() {
-        tell(FIRST, 8);
-        tell(SECOND, 9);
-        feed.onConfigBody(now, SECOND, body(9));
-        feed.onConfigBody(now, FIRST, body(8));
-        assertThat(reading).hasSize(2);
-        reading.get(0).accept(Optional.of(table(9)));
-        assertThat(feed.configVersion()).isEqualTo(9);
-        reading.get(1).accept(Optional.of(table(8)));
-        assertThat(feed.configVersion()).isEqualTo(9);
-        assertThat(feed.routes().version()).isEqualTo(9);
+    void anOlderBodyParsedAfterANewerOneIsNotInstalled() {
+        announceVersion(FIRST, 8);
+        announceVersion(SECOND, 9);
+        subscription.onConfigBody(now, SECOND, configBody(9));
+        subscription.onConfigBody(now, FIRST, configBody(8));
+        assertThat(pendingReads).hasSize(2);
+        pendingReads.get(0).accept(Optional.of(routeTable(9)));
+        assertThat(subscription.configVersion()).isEqualTo(9);
+        pendingReads.get(1).accept(Optional.of(routeTable(8)));
+        assertThat(subscription.configVersion()).isEqualTo(9);
+        assertThat(subscription.routes().version()).isEqualTo(9);
     }
 
     @Example
-    void theSameBodyTwiceIsTakenOnce() {
-        tell(FIRST, 9);
-        feed.onConfigBody(now, FIRST, body(9));
-        feed.onConfigBody(now, SECOND, body(9));
-        reading.forEach(whenRead -> whenRead.accept(Optional.of(table(9))));
-        assertThat(feed.configVersion()).isEqualTo(9);
+    void theSameBodyIsInstalledOnce() {
+        announceVersion(FIRST, 9);
+        subscription.onConfigBody(now, FIRST, configBody(9));
+        subscription.onConfigBody(now, SECOND, configBody(9));
+        pendingReads.forEach(onRead -> onRead.accept(Optional.of(routeTable(9))));
+        assertThat(subscription.configVersion()).isEqualTo(9);
     }
 
     /* A body that can't be read would be fetched over and over, on a link that requests need. */
     @Example
-    void aBodyThatCannotBeReadIsNotFetchedAgain() {
-        tell(FIRST, 9);
-        feed.tick(now, out);
-        feed.onConfigBody(now, FIRST, body(9));
-        reading.getFirst().accept(Optional.empty());
+    void anUnreadableBodyIsNotFetchedAgain() {
+        announceVersion(FIRST, 9);
+        subscription.tick(now, out);
+        subscription.onConfigBody(now, FIRST, configBody(9));
+        pendingReads.getFirst().accept(Optional.empty());
         out.take(message -> true);
         now += Durations.nanos(5_000);
-        tell(FIRST, 9);
-        feed.tick(now, out);
+        announceVersion(FIRST, 9);
+        subscription.tick(now, out);
         assertThat(out.take(Envelope::hasConfigFetch)).isEmpty();
-        assertThat(feed.configVersion()).isZero();
+        assertThat(subscription.configVersion()).isZero();
     }
 
     /* An entry that just started is ready only once it has read the version that a quorum confirmed. */
     @Example
-    void anEntryIsReadyOnceTheConfirmedVersionWasRead() {
-        feed.onUpdate(
+    void anEntryIsReadyOnceTheConfirmedVersionIsInstalled() {
+        subscription.onUpdate(
                 now,
                 FIRST,
                 Update.newBuilder().setConfigVersion(9).setConfirmed(true).build());
-        assertThat(feed.isReady()).isFalse();
-        feed.onConfigBody(now, FIRST, body(9));
-        assertThat(feed.isReady()).isFalse();
-        reading.getFirst().accept(Optional.of(table(9)));
-        assertThat(feed.isReady()).isTrue();
+        assertThat(subscription.isReady()).isFalse();
+        subscription.onConfigBody(now, FIRST, configBody(9));
+        assertThat(subscription.isReady()).isFalse();
+        pendingReads.getFirst().accept(Optional.of(routeTable(9)));
+        assertThat(subscription.isReady()).isTrue();
     }
 
-    private void tell(Address control, long version) {
-        feed.onUpdate(
+    private void announceVersion(Address control, long version) {
+        subscription.onUpdate(
                 now, control, Update.newBuilder().setConfigVersion(version).build());
     }
 
-    private static ConfigBody body(long version) {
+    private static ConfigBody configBody(long version) {
         return ConfigBody.newBuilder()
                 .setVersion(version)
                 .setDeflated(ByteString.copyFromUtf8("x"))
                 .build();
     }
 
-    private static RouteTable table(long version) {
+    private static RouteTable routeTable(long version) {
         return RouteTable.of(version, List.of(), Map.of(), CallerLimits.DEFAULT);
     }
 }
--- a/src/test/java/org/cuminshelf/direct/DirectFixture.java
+++ b/src/test/java/org/cuminshelf/direct/DirectFixture.java
@@ -55,7 +55,7 @@
     /** What a new connection to an upstream shows. */
     Reachability reachability = Reachability.LISTENING;
     /** New connections that were opened to see who listens. */
-    int probes;
+    int probeCount;
 
     DirectFixture(Route... routes) {
         this(Organisations.unrestricted(), routes);
@@ -313,9 +313,9 @@
         @Override
         public UpstreamExchange send(
                 Address address, String upstream, UpstreamRequest request, UpstreamHandler handler) {
-            SentRequest one = new SentRequest(upstream, request, handler);
-            sentRequests.add(one);
-            return one;
+            SentRequest sentRequest = new SentRequest(upstream, request, handler);
+            sentRequests.add(sentRequest);
+            return sentRequest;
         }
 
         @Override
@@ -325,7 +325,7 @@
 
         @Override
         public void probe(Address address, String upstream, Consumer<Reachability> whenSeen) {
-            probes++;
+            probeCount++;
             whenSeen.accept(reachability);
         }
     }
--- a/src/test/java/org/cuminshelf/direct/EventSplitterTest.java
+++ b/src/test/java/org/cuminshelf/direct/EventSplitterTest.java
@@ -14,13 +14,13 @@
     private static final String STREAM = "id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\nid: 3\ndata: c\n\nid: 4\nda";
 
     @Property(seed = "41", tries = 100)
-    void whereverTheBytesAreCutTheEventsAreTheSame(@ForAll @IntRange(min = 1, max = 20) int size) {
+    void eventsDoNotDependOnHowTheBytesAreChunked(@ForAll @IntRange(min = 1, max = 20) int chunkSize) {
         EventSplitter splitter = new EventSplitter();
         byte[] bytes = STREAM.getBytes(StandardCharsets.UTF_8);
         StringBuilder events = new StringBuilder();
         int count = 0;
-        for (int at = 0; at < bytes.length; at += size) {
-            splitter.add(ByteBuffer.wrap(bytes, at, Math.min(size, bytes.length - at)));
+        for (int at = 0; at < bytes.length; at += chunkSize) {
+            splitter.add(ByteBuffer.wrap(bytes, at, Math.min(chunkSize, bytes.length - at)));
             var event = splitter.next();
             while (event.isPresent()) {
                 events.append(new String(event.get().bytes(), StandardCharsets.UTF_8));
--- a/src/test/java/org/cuminshelf/direct/OrganisationCallsTest.java
+++ b/src/test/java/org/cuminshelf/direct/OrganisationCallsTest.java
@@ -25,7 +25,7 @@
         return Organisations.of(List.of(new Organisation("acme", digests, OptionalInt.empty())));
     }
 
-    private static Route open() {
+    private static Route publicRoute() {
         return new Route(
                 ROUTE.name(),
                 ROUTE.host(),
@@ -67,8 +67,8 @@
     }
 
     @Example
-    void aPublicRouteNeedsNoKeyAndNamesTheHolderOfAKnownOne() {
-        DirectFixture entry = entry(ACME, open());
+    void aPublicRouteNeedsNoKeyButIdentifiesTheOrganisationOfAKnownOne() {
+        DirectFixture entry = entry(ACME, publicRoute());
         entry.sendRequest("x", "Key", "unknown");
         assertThat(entry.lastSent().request.headers().get("Organisation")).isNull();
         entry.sendRequest("y", "Key", "k1");
@@ -77,7 +77,7 @@
 
     /* A key is taken away; a caller that kept its connection open goes on with it. */
     @Example
-    void aKeyThatWasTakenAwayIsRefusedFromTheNextRequestOn() {
+    void aRevokedKeyIsRefusedFromTheNextRequestOn() {
         DirectFixture entry = entry(ACME, ROUTE);
         DirectFixture.CallerResponse before = entry.sendRequest("x", "Key", "k1");
         entry.applyConfig(DirectFixture.routeTable(8, organisations("k2"), ROUTE));
@@ -91,7 +91,7 @@
      * configuration but not taken it in yet.
      */
     @Example
-    void anUnknownKeyMayComeBackWhileANewerConfigurationIsOnItsWay() {
+    void anUnknownKeyMayRetryWhileANewerConfigurationIsAnnounced() {
         DirectFixture entry = entry(ACME, ROUTE);
         entry.sendUpdate(Update.newBuilder().setVoter(true).setConfigVersion(8));
         DirectFixture.CallerResponse early = entry.sendRequest("x", "Key", "k3");
@@ -105,7 +105,7 @@
 
     /* The same at an entry that hears from no control process, and can't know of what was added since. */
     @Example
-    void anUnknownKeyMayComeBackWhileNothingIsHeardFromControl() {
+    void anUnknownKeyMayRetryWhileControlIsUnreachable() {
         DirectFixture entry = entry(ACME, ROUTE);
         entry.advance(2_000);
         assertThat(entry.sendRequest("x", "Key", "k3").status).isEqualTo(503);
--- a/src/test/java/org/cuminshelf/direct/PoisonGuardTest.java
+++ b/src/test/java/org/cuminshelf/direct/PoisonGuardTest.java
@@ -53,7 +53,7 @@
     }
 
     /** What the entry told control of crashes since the last question, and does within 20 ms. */
-    private static List<Subscribe> told(DirectFixture entry) {
+    private static List<Subscribe> reportedCrashes(DirectFixture entry) {
         entry.advance(20);
         return entry.out.take(message -> message.hasSubscribe()).stream()
                 .map(message -> message.getSubscribe())
@@ -62,14 +62,14 @@
     }
 
     @Example
-    void aQuarantinedRequestIsRefusedBeforeAnythingIsSentAndToldWhenToComeBack() {
+    void aQuarantinedRequestIsRefusedWithRetryAfterBeforeAnythingIsSent() {
         DirectFixture entry = entry(true);
         entry.sendUpdate(Update.newBuilder().addQuarantined(quarantined()));
-        DirectFixture.CallerResponse answer = entry.sendRequest("a", "Tokens", "600");
+        DirectFixture.CallerResponse response = entry.sendRequest("a", "Tokens", "600");
         assertThat(entry.sentRequests).isEmpty();
-        assertThat(answer.status).isEqualTo(503);
-        assertThat(answer.headers.get("Retry-After")).isEqualTo("3600.0");
-        assertThat(answer.body.toString()).contains(REQUEST.toString());
+        assertThat(response.status).isEqualTo(503);
+        assertThat(response.headers.get("Retry-After")).isEqualTo("3600.0");
+        assertThat(response.body.toString()).contains(REQUEST.toString());
         assertThat(entry.core.openCalls()).isZero();
     }
 
@@ -79,16 +79,16 @@
         entry.sendUpdate(Update.newBuilder().addQuarantined(quarantined()));
         entry.sendUpdate(
                 Update.newBuilder().addQuarantined(quarantined().toBuilder().setReleased(true)));
-        DirectFixture.CallerResponse answer = entry.sendRequest("a", "Tokens", "600");
+        DirectFixture.CallerResponse response = entry.sendRequest("a", "Tokens", "600");
         entry.lastSent().respond(200, "id: 1\ndata: a\n\n");
-        assertThat(answer.status).isEqualTo(200);
+        assertThat(response.status).isEqualTo(200);
     }
 
     /*
      * One more engine ends though the request is known: a copy of it waited, or was on its way, when the word came.
      */
     @Example
-    void copiesThatWaitAreRefusedWhenTheWordComes() {
+    void waitingCopiesAreRefusedWhenTheRequestIsQuarantined() {
         DirectFixture entry = new DirectFixture(DirectFixture.route(RequestKind.STREAM, 2, true)).becomeReady();
         DirectFixture.CallerResponse waiting = entry.sendRequest("a", "Tokens", "600");
         assertThat(waiting.complete).as("no upstream is known yet").isFalse();
@@ -99,7 +99,7 @@
     }
 
     @Example
-    void copiesThatRunAreStoppedWhenTheWordComes() {
+    void runningCopiesAreCancelledWhenTheRequestIsQuarantined() {
         DirectFixture entry = entry(false);
         DirectFixture.CallerResponse running = entry.sendRequest("a", "Tokens", "600");
         assertThat(entry.sentRequests).hasSize(1);
@@ -111,25 +111,25 @@
     }
 
     @Example
-    void aRequestUnderWhichTwoUpstreamsEndedIsNotPlacedAgainWithinItsCall() {
+    void aRequestThatCrashedTwoUpstreamsIsNotRetriedWithinItsCall() {
         DirectFixture entry = entry(true);
         entry.reachability = Reachability.REFUSED;
-        DirectFixture.CallerResponse answer = entry.sendRequest("a", "Tokens", "600");
+        DirectFixture.CallerResponse response = entry.sendRequest("a", "Tokens", "600");
         entry.lastSent().handler.onFailed(true, "closed");
         assertThat(entry.sentRequests).as("placed again after the first").hasSize(2);
         entry.lastSent().handler.onFailed(true, "closed");
         assertThat(entry.sentRequests).as("not placed again after the second").hasSize(2);
-        assertThat(answer.status).isEqualTo(502);
+        assertThat(response.status).isEqualTo(502);
     }
 
     @Example
-    void controlHearsAtOnceOfACrashAndHowFarTheRequestHadCome() {
+    void aCrashIsReportedToControlAtOnceWithTheInvolvementOfTheRequest() {
         DirectFixture entry = entry(false);
         entry.sendRequest("a", "Tokens", "600");
-        told(entry);
+        reportedCrashes(entry);
         entry.reachability = Reachability.REFUSED;
         entry.lastSent().handler.onFailed(true, "closed");
-        List<Subscribe> told = told(entry);
+        List<Subscribe> told = reportedCrashes(entry);
         assertThat(told).hasSize(1);
         CrashedRun run = told.getFirst().getCrashes(0).getRuns(0);
         assertThat(new Fingerprint(run.getHigh(), run.getLow())).isEqualTo(REQUEST);
@@ -137,7 +137,7 @@
     }
 
     @Example
-    void aStreamThatHadRunForAWhileIsToldAsSuch() {
+    void aStreamThatHadRunForAWhileIsReportedAsUnderWay() {
         DirectFixture entry = entry(false);
         entry.sendRequest("a", "Tokens", "600");
         entry.lastSent().respondSealedHead(200);
@@ -145,7 +145,7 @@
         entry.advance(400);
         entry.reachability = Reachability.REFUSED;
         entry.lastSent().handler.onFailed(true, "closed");
-        assertThat(told(entry).getFirst().getCrashes(0).getRuns(0).getInvolvement())
+        assertThat(reportedCrashes(entry).getFirst().getCrashes(0).getRuns(0).getInvolvement())
                 .isEqualTo(Involvement.UNDER_WAY);
     }
 
@@ -153,16 +153,16 @@
      * A request is refused for ever though no upstream ended: connections were reset under it three times.
      */
     @Example
-    void aConnectionThatBreaksWhileTheUpstreamStillListensIsNoCrash() {
+    void aConnectionFailureIsNoCrashIfTheUpstreamStillListens() {
         DirectFixture entry = entry(false);
         entry.reachability = Reachability.LISTENING;
         entry.sendRequest("a", "Tokens", "600");
         entry.lastSent().handler.onFailed(true, "reset");
-        assertThat(told(entry)).isEmpty();
+        assertThat(reportedCrashes(entry)).isEmpty();
     }
 
     @Example
-    void theEndOfAnUpstreamThatSaidItLeavesIsNoCrash() {
+    void anAnnouncedShutdownIsNoCrash() {
         DirectFixture entry = entry(false);
         entry.reachability = Reachability.REFUSED;
         entry.sendRequest("a", "Tokens", "600");
@@ -172,12 +172,12 @@
                         .setSequence(2)
                         .setLeaving(true)));
         entry.lastSent().handler.onFailed(true, "closed");
-        assertThat(told(entry)).isEmpty();
-        assertThat(entry.probes).as("nobody needs to look").isZero();
+        assertThat(reportedCrashes(entry)).isEmpty();
+        assertThat(entry.probeCount).as("nobody needs to look").isZero();
     }
 
     @Example
-    void theEndOfAnUpstreamThatSaidItLeavesJustAfterItsConnectionsBrokeIsNoCrash() {
+    void aShutdownAnnouncedJustAfterItsConnectionsFailedIsNoCrash() {
         DirectFixture entry = entry(false);
         entry.reachability = Reachability.UNKNOWN;
         entry.sendRequest("a", "Tokens", "600");
@@ -191,7 +191,7 @@
         entry.sendUpdate(Update.newBuilder()
                 .addUpstreams(DirectFixture.heartbeat("next", Role.ROLE_DECODE).toBuilder()
                         .setAddress(DirectFixture.address(upstream).value())));
-        assertThat(told(entry)).isEmpty();
+        assertThat(reportedCrashes(entry)).isEmpty();
     }
 
     /*
@@ -199,18 +199,18 @@
      * announces itself at the address.
      */
     @Example
-    void aCrashThatNothingShowsAtOnceIsSeenWhenAnotherStartHasTheAddress() {
+    void aCrashIsConfirmedWhenAnotherInstanceTakesTheAddress() {
         DirectFixture entry = entry(false);
         entry.reachability = Reachability.UNKNOWN;
         entry.sendRequest("a", "Tokens", "600");
         String upstream = entry.lastSent().upstream;
         entry.lastSent().handler.onFailed(true, "closed");
-        assertThat(told(entry)).isEmpty();
+        assertThat(reportedCrashes(entry)).isEmpty();
         entry.advance(2_000);
         entry.sendUpdate(Update.newBuilder()
                 .addUpstreams(DirectFixture.heartbeat("next", Role.ROLE_DECODE).toBuilder()
                         .setAddress(DirectFixture.address(upstream).value())));
-        assertThat(told(entry)).hasSize(1);
+        assertThat(reportedCrashes(entry)).hasSize(1);
     }
 
     /*
@@ -219,7 +219,7 @@
      * under three crashes.
      */
     @Example
-    void anUpstreamThatAnotherEntrySawCrashGetsNoCalls() {
+    void anUpstreamThatAnotherEntryReportedAsCrashedGetsNoCalls() {
         DirectFixture entry = entry(false);
         Fingerprint other = new Fingerprint(3, 4);
         for (String upstream : List.of("u1", "u2", "u3")) {
@@ -232,13 +232,13 @@
     }
 
     @Example
-    void aSuspectThatEndsWellIsToldAsCleared() {
+    void aSuspectThatSucceedsIsReportedAsCleared() {
         DirectFixture entry = entry(false);
         entry.sendUpdate(Update.newBuilder().addCrashes(crash("a")));
         entry.sendRequest("a", "Tokens", "600");
         entry.lastSent().respond(200, "id: 1\ndata: a\n\n");
         entry.advance(600);
-        assertThat(told(entry).getLast().getCrashes(0).getRuns(0).getInvolvement())
+        assertThat(reportedCrashes(entry).getLast().getCrashes(0).getRuns(0).getInvolvement())
                 .isEqualTo(Involvement.CLEARED);
         entry.advance(1_000);
         assertThat(entry.core.suspectedRequests()).isZero();
@@ -249,28 +249,28 @@
      * in which it isn't known yet who else was at the third crash.
      */
     @Example
-    void oneThatMayBePoisonIsAskedToComeBackUntilAllCrashesAreTold() {
+    void aSuspectIsRefusedWithRetryAfterUntilAllCrashesAreReported() {
         DirectFixture entry = entry(false);
         entry.sendUpdate(Update.newBuilder()
                 .addCrashes(crash("a"))
                 .addCrashes(crash("b"))
                 .addCrashes(crash("c")));
-        DirectFixture.CallerResponse answer = entry.sendRequest("a", "Tokens", "600");
+        DirectFixture.CallerResponse response = entry.sendRequest("a", "Tokens", "600");
         assertThat(entry.sentRequests).isEmpty();
-        assertThat(answer.status).isEqualTo(503);
-        assertThat(answer.headers.get("Retry-After")).isEqualTo("0.5");
+        assertThat(response.status).isEqualTo(503);
+        assertThat(response.headers.get("Retry-After")).isEqualTo("0.5");
         entry.advance(1_400);
         assertThat(entry.core.quarantinedRequests()).isEqualTo(1);
     }
 
     @Example
-    void aRequestThatWaitedForTheRoutesIsRefusedToo() {
+    void aQuarantinedRequestThatWaitedForTheRoutesIsRefused() {
         DirectFixture entry = new DirectFixture(DirectFixture.route(RequestKind.STREAM, 2, true));
         entry.sendUpdate(Update.newBuilder().addQuarantined(quarantined()));
-        DirectFixture.CallerResponse answer = entry.sendRequest("a", "Tokens", "600");
+        DirectFixture.CallerResponse response = entry.sendRequest("a", "Tokens", "600");
         entry.becomeReady().addUpstream("u1", Role.ROLE_DECODE);
         entry.advance(10);
         assertThat(entry.sentRequests).isEmpty();
-        assertThat(answer.status).isEqualTo(503);
+        assertThat(response.status).isEqualTo(503);
     }
 }
--- a/src/test/java/org/cuminshelf/direct/UpstreamPauseTest.java
+++ b/src/test/java/org/cuminshelf/direct/UpstreamBackoffTest.java
@@ -9,9 +9,9 @@
 import org.cuminshelf.routes.RequestKind;
 
 /** Calls at one entry while upstreams refuse requests and ask for rest. */
-class UpstreamPauseTest {
+class UpstreamBackoffTest {
 
-    private static DirectFixture services(String... upstreams) {
+    private static DirectFixture entryWithServices(String... upstreams) {
         DirectFixture entry =
                 new DirectFixture(DirectFixture.route(RequestKind.NON_IDEMPOTENT, 1, false)).becomeReady();
         for (String upstream : upstreams) {
@@ -20,25 +20,25 @@
         return entry;
     }
 
-    private static void refuse(DirectFixture.SentRequest sent, String restMillis) {
-        sent.respondHead(503, "Not-Run", "1", "Rest", restMillis);
+    private static void rejectWithBackoff(DirectFixture.SentRequest sent, String backoffMillis) {
+        sent.respondHead(503, "Not-Run", "1", "Rest", backoffMillis);
         sent.handler.onComplete();
     }
 
-    private static long sentTo(DirectFixture entry, String upstream) {
+    private static long countSentTo(DirectFixture entry, String upstream) {
         return entry.sentRequests.stream()
-                .filter(one -> one.upstream.equals(upstream))
+                .filter(request -> request.upstream.equals(upstream))
                 .count();
     }
 
     /** Guards against a rest that is ended by the success of what was sent before. */
     @Example
-    void aSuccessOfAnEarlierRequestEndsNoRest() {
-        DirectFixture entry = services("u1");
+    void aSuccessOfAnEarlierRequestDoesNotEndABackoff() {
+        DirectFixture entry = entryWithServices("u1");
         entry.sendRequest("earlier");
         DirectFixture.SentRequest earlier = entry.lastSent();
         entry.sendRequest("a");
-        refuse(entry.lastSent(), "3000");
+        rejectWithBackoff(entry.lastSent(), "3000");
         earlier.respond(200, "x");
         DirectFixture.CallerResponse refused = entry.sendRequest("b");
         assertThat(entry.sentRequests).hasSize(2);
@@ -48,22 +48,22 @@
 
     /** Guards against callers who are told to come back to upstreams that all rest. */
     @Example
-    void theCallerOfARefusedRequestComesBackWhenTheFirstRestEnds() {
-        DirectFixture entry = services("u1", "u2");
+    void retryAfterIsTheEndOfTheFirstBackoff() {
+        DirectFixture entry = entryWithServices("u1", "u2");
         DirectFixture.CallerResponse first = entry.sendRequest("a");
-        refuse(entry.lastSent(), "3000");
+        rejectWithBackoff(entry.lastSent(), "3000");
         assertThat(Double.parseDouble(first.headers.get("Retry-After"))).isEqualTo(0.2);
         DirectFixture.CallerResponse second = entry.sendRequest("b");
-        refuse(entry.lastSent(), "2000");
+        rejectWithBackoff(entry.lastSent(), "2000");
         assertThat(Double.parseDouble(second.headers.get("Retry-After"))).isBetween(2.0, 3.0);
     }
 
     /** Guards against a time to come back that waits for a rest, though another upstream was only full for a moment. */
     @Example
-    void aCallerWaitsForNoRestWhereAnotherUpstreamTakesSomethingSooner() {
-        DirectFixture entry = services("u1", "u2");
+    void retryAfterIgnoresBackoffsWhereAnotherUpstreamIsAvailableSooner() {
+        DirectFixture entry = entryWithServices("u1", "u2");
         entry.sendRequest("a");
-        refuse(entry.lastSent(), "3000");
+        rejectWithBackoff(entry.lastSent(), "3000");
         entry.sendRequest("b");
         entry.lastSent().respondHead(503, "Not-Run", "1");
         entry.lastSent().handler.onComplete();
@@ -75,10 +75,10 @@
 
     /** Guards against all calls at one time for an upstream whose rest is over, but not its need. */
     @Example
-    void afterARestOneRequestGoesUntilItIsAnswered() {
-        DirectFixture entry = services("u1");
+    void afterABackoffOneTrialRequestIsSentUntilItIsAnswered() {
+        DirectFixture entry = entryWithServices("u1");
         entry.sendRequest("a");
-        refuse(entry.lastSent(), "3000");
+        rejectWithBackoff(entry.lastSent(), "3000");
         entry.advance(3_001);
         entry.sendRequest("b");
         entry.sendRequest("c");
@@ -90,10 +90,10 @@
     }
 
     @Example
-    void aTrialThatShowsNothingIsFollowedByAnother() {
-        DirectFixture entry = services("u1");
+    void anUnansweredTrialRequestIsFollowedByAnother() {
+        DirectFixture entry = entryWithServices("u1");
         entry.sendRequest("a");
-        refuse(entry.lastSent(), "1000");
+        rejectWithBackoff(entry.lastSent(), "1000");
         entry.advance(1_001);
         entry.sendRequest("b");
         entry.advance(260);
@@ -102,39 +102,39 @@
     }
 
     @Example
-    void aShorterRestThatIsAskedForLaterEndsNoLongerOne() {
-        DirectFixture entry = services("u1");
+    void aShorterBackoffRequestedLaterDoesNotEndALongerOne() {
+        DirectFixture entry = entryWithServices("u1");
         entry.sendRequest("a");
         DirectFixture.SentRequest first = entry.lastSent();
         entry.sendRequest("b");
-        refuse(entry.lastSent(), "3000");
-        refuse(first, "500");
+        rejectWithBackoff(entry.lastSent(), "3000");
+        rejectWithBackoff(first, "500");
         entry.advance(1_000);
         entry.sendRequest("c");
         assertThat(entry.sentRequests).hasSize(2);
     }
 
     @Example
-    void whatAnotherEntryWasAskedForIsAReasonToPreferOthersAndNoBan() {
-        DirectFixture entry = services("u1", "u2");
+    void anotherEntrysBackoffLowersThePreferenceOnly() {
+        DirectFixture entry = entryWithServices("u1", "u2");
         entry.reportLoad(EntryLoad.newBuilder()
                 .addRests(RestingUpstream.newBuilder().setUpstream("u1").setLeftUs(1_000_000)));
         for (int call = 0; call < 5; call++) {
             entry.sendRequest("a" + call);
         }
-        assertThat(sentTo(entry, "u1")).isZero();
-        refuse(entry.lastSent(), "3000");
+        assertThat(countSentTo(entry, "u1")).isZero();
+        rejectWithBackoff(entry.lastSent(), "3000");
         entry.sendRequest("b");
-        assertThat(sentTo(entry, "u1")).isEqualTo(1);
+        assertThat(countSentTo(entry, "u1")).isEqualTo(1);
         entry.advance(1_000);
         entry.sendRequest("c");
-        assertThat(sentTo(entry, "u1")).isEqualTo(2);
+        assertThat(countSentTo(entry, "u1")).isEqualTo(2);
     }
 
     /** Guards against an engine that is taken for broken, as it was full twice when it was to read a prompt. */
     @Example
-    void anEngineThatRefusesToReadPromptsWithoutAskingForRestIsTriedAgainSoon() {
-        DirectFixture entry = engines("p1");
+    void anEngineThatRejectsPrefillsWithoutABackoffIsTriedAgainSoon() {
+        DirectFixture entry = entryWithEngines("p1");
         for (int call = 0; call < 3; call++) {
             entry.sendRequest("a" + call, "Tokens", "9000");
             DirectFixture.SentRequest prompt = entry.sentRequests.get(1 + 2 * call);
@@ -147,10 +147,10 @@
     }
 
     /** Engines that read prompts, and one that generates and has a stream. */
-    private static DirectFixture engines(String... readers) {
+    private static DirectFixture entryWithEngines(String... prefillEngines) {
         DirectFixture entry = new DirectFixture(DirectFixture.route(RequestKind.STREAM, 2, false)).becomeReady();
-        for (String reader : readers) {
-            entry.addUpstream(reader, Role.ROLE_PREFILL);
+        for (String prefillEngine : prefillEngines) {
+            entry.addUpstream(prefillEngine, Role.ROLE_PREFILL);
         }
         entry.addUpstream("d1", Role.ROLE_DECODE);
         entry.sendRequest("warm", "Tokens", "100");
@@ -159,17 +159,17 @@
 
     /** Guards against prompts that are sent to be read to an engine which asked for rest. */
     @Example
-    void anEngineThatRefusesToReadAPromptIsLeftAlone() {
-        DirectFixture entry = engines("p1", "p2");
+    void anEngineThatRejectsAPrefillWithABackoffGetsNoRequests() {
+        DirectFixture entry = entryWithEngines("p1", "p2");
         entry.sendRequest("a", "Tokens", "9000");
         DirectFixture.SentRequest prompt = entry.lastSent();
         assertThat(prompt.upstream).startsWith("p");
-        refuse(prompt, "3000");
+        rejectWithBackoff(prompt, "3000");
         for (int call = 0; call < 5; call++) {
             entry.advance(200);
             entry.sendRequest("b" + call, "Tokens", "9000");
         }
-        assertThat(sentTo(entry, prompt.upstream)).isEqualTo(1);
-        assertThat(entry.core.restingUpstreams()).isEqualTo(1);
+        assertThat(countSentTo(entry, prompt.upstream)).isEqualTo(1);
+        assertThat(entry.core.upstreamsInBackoff()).isEqualTo(1);
     }
 }
--- a/src/test/java/org/cuminshelf/direct/UpstreamRateLimitTest.java
+++ b/src/test/java/org/cuminshelf/direct/UpstreamRateLimitTest.java
@@ -13,14 +13,14 @@
 /** Calls at one entry while upstreams state how many requests a second they take. */
 class UpstreamRateLimitTest {
 
-    private static DirectFixture service() {
+    private static DirectFixture entryWithService() {
         return new DirectFixture(DirectFixture.route(RequestKind.NON_IDEMPOTENT, 1, false))
                 .becomeReady()
                 .addUpstream("u1", Role.ROLE_MIXED);
     }
 
     /** An engine that reads prompts, and one that has a stream and states a limit. */
-    private static DirectFixture engines(double perSecond) {
+    private static DirectFixture entryWithLimitedDecodeEngine(double perSecond) {
         DirectFixture entry = new DirectFixture(DirectFixture.route(RequestKind.STREAM, 2, false))
                 .becomeReady()
                 .addUpstream("p1", Role.ROLE_PREFILL)
@@ -31,33 +31,33 @@
     }
 
     /** Has the last request answered with a limit. */
-    private static void answer(DirectFixture.SentRequest sent, String... headers) {
+    private static void respond(DirectFixture.SentRequest sent, String... headers) {
         sent.respondHead(200, headers);
         sent.respondBody("x");
         sent.handler.onComplete();
     }
 
     @Example
-    void whatComesBeforeTheNextPermitIsRefusedAtOnceWithATimeToComeBack() {
-        DirectFixture entry = service();
+    void aRequestWithoutAPermitIsRefusedAtOnceWithRetryAfter() {
+        DirectFixture entry = entryWithService();
         entry.sendRequest("a");
-        answer(entry.lastSent(), "Seal", "s", "Limit", "2");
+        respond(entry.lastSent(), "Seal", "s", "Limit", "2");
         DirectFixture.CallerResponse refused = entry.sendRequest("b");
         assertThat(refused.status).isEqualTo(503);
         double seconds = Double.parseDouble(refused.headers.get("Retry-After"));
         assertThat(seconds).isBetween(0.4, 1.5);
         entry.advance(500);
         DirectFixture.CallerResponse served = entry.sendRequest("c");
-        answer(entry.lastSent(), "Seal", "s", "Limit", "2");
+        respond(entry.lastSent(), "Seal", "s", "Limit", "2");
         assertThat(served.status).isEqualTo(200);
         assertThat(entry.sentRequests).hasSize(2);
     }
 
     @Example
-    void aCallWaitsForAPermitThatComesWithinItsPatience() {
-        DirectFixture entry = service();
+    void aCallWaitsForAPermitThatIsDueWithinItsMaxWait() {
+        DirectFixture entry = entryWithService();
         entry.sendRequest("a");
-        answer(entry.lastSent(), "Seal", "s", "Limit", "50");
+        respond(entry.lastSent(), "Seal", "s", "Limit", "50");
         DirectFixture.CallerResponse waited = entry.sendRequest("b");
         assertThat(waited.complete).isFalse();
         entry.advance(25);
@@ -66,26 +66,26 @@
 
     /** Guards against a limit that is lifted by the answer to a request from before it was stated. */
     @Example
-    void anAnswerToAnEarlierRequestDoesNotLiftALimit() {
-        DirectFixture entry = service();
+    void aResponseToAnEarlierRequestDoesNotLiftALimit() {
+        DirectFixture entry = entryWithService();
         entry.sendRequest("earlier");
         DirectFixture.SentRequest earlier = entry.lastSent();
         entry.sendRequest("a");
-        answer(entry.lastSent(), "Seal", "s", "Limit", "2");
-        answer(earlier, "Seal", "s");
+        respond(entry.lastSent(), "Seal", "s", "Limit", "2");
+        respond(earlier, "Seal", "s");
         assertThat(entry.core.limitedUpstreams()).isEqualTo(1);
         entry.advance(600);
         entry.sendRequest("later");
-        answer(entry.lastSent(), "Seal", "s");
+        respond(entry.lastSent(), "Seal", "s");
         assertThat(entry.core.limitedUpstreams()).isZero();
     }
 
     /** Guards against a limit that is lifted by an answer which says nothing of it for another reason. */
     @Example
-    void neitherAFailureNorTheAnswerToAnotherRequestLiftsALimit() {
-        DirectFixture entry = service();
+    void neitherAFailureNorTheResponseToAnotherRequestLiftsALimit() {
+        DirectFixture entry = entryWithService();
         entry.sendRequest("a");
-        answer(entry.lastSent(), "Seal", "s", "Limit", "100");
+        respond(entry.lastSent(), "Seal", "s", "Limit", "100");
         entry.advance(20);
         entry.sendRequest("b");
         entry.lastSent().respondHead(500, "Seal", "s");
@@ -99,17 +99,17 @@
 
     /** Guards against a limit of one start that holds for the next one at the address. */
     @Example
-    void whatAnotherStartSaysIsNotTakenForTheUpstreams() {
-        DirectFixture entry = service();
+    void aLimitStatedByAnotherUpstreamAtTheAddressIsIgnored() {
+        DirectFixture entry = entryWithService();
         entry.sendRequest("a");
-        answer(entry.lastSent(), "Not-Run", "1", "Start", "u2", "Limit", "2");
+        respond(entry.lastSent(), "Not-Run", "1", "Start", "u2", "Limit", "2");
         assertThat(entry.core.limitedUpstreams()).isZero();
     }
 
     /** Guards against prompts that are read in vain, many for one permit of the engine that is to go on. */
     @Example
-    void aPromptIsReadApartOnlyWithAPermitForItsHandover() {
-        DirectFixture entry = engines(2)
+    void aPromptIsPrefilledSeparatelyOnlyWithAPermitForItsHandover() {
+        DirectFixture entry = entryWithLimitedDecodeEngine(2)
                 .reportPrefillTimes("p1", Role.ROLE_PREFILL, 5, 1)
                 .reportPrefillTimes("d1", Role.ROLE_DECODE, 5, 100);
         entry.advance(510);
@@ -124,8 +124,8 @@
 
     /** Guards against sends that no choice of an upstream stands before. */
     @Example
-    void aReleaseIsNotSentWithoutAPermit() {
-        DirectFixture entry = engines(100);
+    void aKvCacheReleaseIsNotSentWithoutAPermit() {
+        DirectFixture entry = entryWithLimitedDecodeEngine(100);
         entry.advance(20);
         DirectFixture.CallerResponse answer = entry.sendRequest("a", "Tokens", "9000");
         DirectFixture.SentRequest prompt = entry.lastSent();
@@ -142,8 +142,8 @@
 
     /** Guards against an entry that takes a whole limit for itself, or nothing, where the others have other loads. */
     @Example
-    void anEntryTakesThePartThatItHasOfAllCalls() {
-        DirectFixture entry = service();
+    void anEntrysShareOfALimitIsItsShareOfAllCalls() {
+        DirectFixture entry = entryWithService();
         entry.setEntries(DirectFixture.SELF.value(), "10.0.1.2:7000");
         for (int second = 0; second < 10; second++) {
             entry.reportLoad(EntryLoad.newBuilder()
--- a/src/test/java/org/cuminshelf/direct/UpstreamTableTest.java
+++ b/src/test/java/org/cuminshelf/direct/UpstreamTableTest.java
@@ -25,9 +25,9 @@
      * their empty list is taken for an empty fleet.
      */
     @Example
-    void anEmptyListOfAControlProcessThatJustStartedEmptiesNothing() {
-        tell(1, 1, false, beat());
-        tell(2, 1, true);
+    void anEmptyDirectoryOfARestartedControlProcessRemovesNothing() {
+        update(1, 1, false, heartbeat());
+        update(2, 1, true);
         assertThat(table.instancesOf("s")).hasSize(1);
         now += Durations.nanos(5_000);
         table.tick(now);
@@ -43,7 +43,7 @@
      * that for the whole list and never asks for the upstreams that it lacks.
      */
     @Example
-    void aChangeOfAListThatIsNotHeldIsNotTakenForTheWholeList() {
+    void aChangeToADirectoryThatIsNotHeldIsNotTakenForTheWholeDirectory() {
         Update change = Update.newBuilder()
                 .setDirectoryIncarnation(1)
                 .setDirectoryVersion(21)
@@ -51,7 +51,7 @@
                 .build();
         table.onUpdate(now, CONTROL, change);
         assertThat(table.directoryVersion(CONTROL)).isZero();
-        tell(1, 21, true, beat());
+        update(1, 21, true, heartbeat());
         assertThat(table.directoryVersion(CONTROL)).isEqualTo(21);
         table.onUpdate(
                 now,
@@ -63,45 +63,49 @@
 
     /** Guards against new work for an upstream that leaves and is listed anew by a control process that missed it. */
     @Example
-    void anUpstreamThatSaidInAnAnswerThatItLeavesStaysLeaving() {
-        tell(1, 1, false, beat());
-        UpstreamInstance row = table.instancesOf("s").getFirst();
-        table.markDraining(now, row.id, true, "answer");
-        assertThat(row.draining).isTrue();
-        tell(1, 2, true);
+    void anUpstreamThatAnnouncedItsShutdownInAResponseStaysDraining() {
+        update(1, 1, false, heartbeat());
+        UpstreamInstance instance = table.instancesOf("s").getFirst();
+        table.markDraining(now, instance.id, true, "answer");
+        assertThat(instance.draining).isTrue();
+        update(1, 2, true);
         now += Durations.nanos(7_000);
         table.tick(now);
         assertThat(table.instancesOf("s")).isEmpty();
-        tell(1, 3, false, beat().toBuilder().setSequence(9).build());
+        update(1, 3, false, heartbeat().toBuilder().setSequence(9).build());
         assertThat(table.instancesOf("s").getFirst().draining).isTrue();
     }
 
     @Example
-    void anUpstreamThatSaidItIsGoneIsNotBroughtBackByALateHeartbeat() {
-        tell(1, 1, false, beat());
-        tell(1, 2, false, beat().toBuilder().setDeleted(true).build());
-        tell(1, 3, false, beat().toBuilder().setSequence(9).build());
+    void aDeletedUpstreamIsNotAddedAgainByALateHeartbeat() {
+        update(1, 1, false, heartbeat());
+        update(1, 2, false, heartbeat().toBuilder().setDeleted(true).build());
+        update(1, 3, false, heartbeat().toBuilder().setSequence(9).build());
         assertThat(table.instancesOf("s")).isEmpty();
     }
 
     @Example
-    void anUpstreamThatIsLeavingStaysSo() {
-        tell(1, 1, false, beat().toBuilder().setLeaving(true).setSequence(5).build());
-        tell(1, 2, false, beat().toBuilder().setSequence(4).build());
+    void aDrainingUpstreamStaysDraining() {
+        update(
+                1,
+                1,
+                false,
+                heartbeat().toBuilder().setLeaving(true).setSequence(5).build());
+        update(1, 2, false, heartbeat().toBuilder().setSequence(4).build());
         assertThat(table.instance("u").orElseThrow().draining).isTrue();
     }
 
     @Example
-    void failuresInARowMakeAnUpstreamAvoidedAndASuccessEndsThat() {
-        tell(1, 1, false, beat());
-        UpstreamInstance row = table.instance("u").orElseThrow();
-        row.recordFailure(now);
-        assertThat(row.isAvoided(now)).isFalse();
-        row.recordFailure(now);
-        assertThat(row.isAvoided(now)).isTrue();
-        assertThat(row.isAvoided(now + Durations.nanos(500))).isFalse();
-        row.recordSuccess(1);
-        assertThat(row.isAvoided(now)).isFalse();
+    void anUpstreamIsAvoidedAfterFailuresInARowUntilASuccess() {
+        update(1, 1, false, heartbeat());
+        UpstreamInstance instance = table.instance("u").orElseThrow();
+        instance.recordFailure(now);
+        assertThat(instance.isAvoided(now)).isFalse();
+        instance.recordFailure(now);
+        assertThat(instance.isAvoided(now)).isTrue();
+        assertThat(instance.isAvoided(now + Durations.nanos(500))).isFalse();
+        instance.recordSuccess(1);
+        assertThat(instance.isAvoided(now)).isFalse();
     }
 
     /*
@@ -109,29 +113,29 @@
      * the parts that its former self was sent, to be as fast, and to run what died with it.
      */
     @Example
-    void aLaterStartOfAnUpstreamHasNothingOfTheFormer() {
-        tell(1, 1, false, start(1_000));
-        UpstreamInstance former = table.instancesOf("s").getFirst();
-        former.promptCache.recordPrompt(List.of(new PromptSegment("p", 100)), now);
-        former.localAttempts = 3;
-        former.recordFailure(now);
-        former.recordFailure(now);
-        tell(1, 2, false, start(9_000));
+    void aNewInstanceInheritsNoStateOfThePreviousOne() {
+        update(1, 1, false, heartbeatOf(1_000));
+        UpstreamInstance previous = table.instancesOf("s").getFirst();
+        previous.promptCache.recordPrompt(List.of(new PromptSegment("p", 100)), now);
+        previous.localAttempts = 3;
+        previous.recordFailure(now);
+        previous.recordFailure(now);
+        update(1, 2, false, heartbeatOf(9_000));
         assertThat(table.instancesOf("s")).hasSize(1);
-        UpstreamInstance row = table.instancesOf("s").getFirst();
-        assertThat(row.id).isNotEqualTo(former.id);
-        assertThat(row.promptCache.cachedPrefixTokens(List.of(new PromptSegment("p", 100))))
+        UpstreamInstance instance = table.instancesOf("s").getFirst();
+        assertThat(instance.id).isNotEqualTo(previous.id);
+        assertThat(instance.promptCache.cachedPrefixTokens(List.of(new PromptSegment("p", 100))))
                 .isZero();
-        assertThat(row.totalAttempts()).isZero();
-        assertThat(row.isAvoided(now)).isFalse();
-        assertThat(former.draining).isTrue();
+        assertThat(instance.totalAttempts()).isZero();
+        assertThat(instance.isAvoided(now)).isFalse();
+        assertThat(previous.draining).isTrue();
     }
 
     @Example
-    void aLateHeartbeatOfAFormerStartChangesNothing() {
-        tell(1, 1, false, start(9_000));
-        tell(1, 2, false, start(1_000));
-        tell(1, 3, false, start(1_000).toBuilder().setDeleted(true).build());
+    void aLateHeartbeatOfAPreviousInstanceChangesNothing() {
+        update(1, 1, false, heartbeatOf(9_000));
+        update(1, 2, false, heartbeatOf(1_000));
+        update(1, 3, false, heartbeatOf(1_000).toBuilder().setDeleted(true).build());
         assertThat(table.instancesOf("s")).hasSize(1);
         assertThat(table.instancesOf("s").getFirst().startedAtMillis).isEqualTo(9_000);
     }
@@ -141,22 +145,22 @@
      * told of it, and not taken off when it told of less.
      */
     @Example
-    void whatOthersHaveAtAnEngineIsWhatTheyToldLast() {
-        tell(1, 1, false, beat());
-        UpstreamInstance row = table.instance("u").orElseThrow();
+    void theLoadOfOtherEntriesIsThatOfTheirLastReports() {
+        update(1, 1, false, heartbeat());
+        UpstreamInstance instance = table.instance("u").orElseThrow();
         Address first = Address.of("10.0.1.2:7");
         Address second = Address.of("10.0.1.3:7");
         table.applyLoad(now, first, load(3, 300));
         table.applyLoad(now, second, load(2, 200));
         table.applyLoad(now, first, load(1, 100));
-        assertThat(row.totalAttempts()).isEqualTo(3);
-        assertThat(row.totalMemoryTokens()).isEqualTo(300);
+        assertThat(instance.totalAttempts()).isEqualTo(3);
+        assertThat(instance.totalMemoryTokens()).isEqualTo(300);
         table.applyLoad(now, second, EntryLoad.getDefaultInstance());
-        assertThat(row.totalAttempts()).isEqualTo(1);
+        assertThat(instance.totalAttempts()).isEqualTo(1);
         now += Durations.nanos(1_500);
         table.tick(now);
-        assertThat(row.totalAttempts()).isZero();
-        assertThat(row.totalMemoryTokens()).isZero();
+        assertThat(instance.totalAttempts()).isZero();
+        assertThat(instance.totalMemoryTokens()).isZero();
     }
 
     private static EntryLoad load(int running, int tokens) {
@@ -166,22 +170,25 @@
                 .build();
     }
 
-    private static UpstreamBeat start(long bornMillis) {
-        return beat().toBuilder().setId("u@" + bornMillis).setBornMs(bornMillis).build();
+    private static UpstreamBeat heartbeatOf(long bornMillis) {
+        return heartbeat().toBuilder()
+                .setId("u@" + bornMillis)
+                .setBornMs(bornMillis)
+                .build();
     }
 
-    private void tell(long incarnation, long version, boolean whole, UpstreamBeat... beats) {
+    private void update(long incarnation, long version, boolean whole, UpstreamBeat... heartbeats) {
         Update.Builder update = Update.newBuilder()
                 .setDirectoryIncarnation(incarnation)
                 .setDirectoryVersion(version)
                 .setWholeDirectory(whole);
-        for (UpstreamBeat beat : beats) {
-            update.addUpstreams(beat);
+        for (UpstreamBeat heartbeat : heartbeats) {
+            update.addUpstreams(heartbeat);
         }
         table.onUpdate(now, CONTROL, update.build());
     }
 
-    private static UpstreamBeat beat() {
+    private static UpstreamBeat heartbeat() {
         return DirectFixture.heartbeat("u", Role.ROLE_MIXED);
     }
 }
--- a/src/test/java/org/cuminshelf/platform/PlatformProtocolTest.java
+++ b/src/test/java/org/cuminshelf/platform/PlatformProtocolTest.java
@@ -176,7 +176,7 @@
         ResponseMetadata other = protocol.readMetadata(421, HttpFields.build().put(Headers.ANSWERING_START, "i-2"));
         assertThat(stated.notExecuted()).isTrue();
         assertThat(silent.notExecuted()).isFalse();
-        assertThat(other.instanceId()).hasValue("i-2");
+        assertThat(other.upstreamName()).hasValue("i-2");
     }
 
     private AdvertisedLimit limit(String... stated) {
