--- a/src/test/java/org/cuminshelf/direct/CallDispatcherTest.java
+++ b/src/test/java/org/cuminshelf/direct/CallDispatcherTest.java
@@ -7,7 +7,7 @@
 import org.cuminshelf.message.Update;
 import org.cuminshelf.routes.RequestKind;
 
-/** The way of a call through an entry that reaches upstreams straight. */
+/** Tests dispatch, retries and responses of calls at an entry that connects to upstreams directly. */
 class CallDispatcherTest {
 
     private static final String EVENT_1 = "id: 1\ndata: a\n\n";
@@ -39,8 +39,8 @@
     }
 
     /*
-     * Two numbers go to one book. A request was sent, its connection broke before an answer came, and it was sent again
-     * elsewhere though it had run. Cause: silence taken for "did not run".
+     * Guards against a non-retryable request that runs twice: its connection fails before the response, and a missing
+     * response is taken for "did not run", so that it is sent to another upstream.
      */
     @Example
     void aNonRetryableRequestThatMayHaveRunIsNeitherRetriedNorReportedAsNotRun() {
@@ -84,8 +84,8 @@
     }
 
     /*
-     * A caller reads the answer to someone else's request. Its upstream had answered twice, and the second answer was
-     * taken for that of the next request on the connection. Cause: answers told apart by their place alone.
+     * Guards against a caller receiving the response to another request: an upstream responds twice, and the second
+     * response is matched to the next request by its position on the connection alone.
      */
     @Example
     void aResponseWithTheIdOfAnotherRequestIsNotForwarded() {
@@ -108,8 +108,8 @@
     }
 
     /*
-     * A stream holds half an event joined with another. An engine died in the middle of an event and the run went on at
-     * another engine. Cause: bytes passed on as they came.
+     * Guards against a stream with a fragment joined to another event: an engine fails in the middle of an event whose
+     * bytes were already forwarded, and another engine resumes the stream.
      */
     @Example
     void aResumableStreamContinuesAfterTheLastCompleteEvent() {
@@ -148,9 +148,7 @@
         assertThat(response.body.toString()).isEqualTo(EVENT_2);
     }
 
-    /*
-     * Engines work on for callers that left, and those that stayed wait. Cause: nobody told the engine.
-     */
+    /* Guards against engines that keep working for disconnected callers while others wait. */
     @Example
     void theStreamOfADisconnectedCallerIsCancelled() {
         DirectFixture entry = entryWithDecodeEngines(false);
@@ -196,8 +194,8 @@
     }
 
     /*
-     * A request is run by another service: an upstream ended and its address was given to that one. Cause: addresses
-     * taken for identities.
+     * Guards against a request that runs on another service: an upstream ended, and its address, which must not be
+     * taken for its identity, was assigned to that service.
      */
     @Example
     void anUpstreamWhoseAddressWasTakenOverIsNeverUsedAgain() {
@@ -239,9 +237,8 @@
     }
 
     /*
-     * All processes were killed and start again together. Requests find the entry before the control group has a
-     * leader, are refused, come back at once, are refused again and are lost, though everything is there a second
-     * later.
+     * Guards against lost requests when all processes restart together: requests that arrive before the control group
+     * has a leader are refused, retried at once and refused again, though all is available a second later.
      */
     @Example
     void aRequestBeforeTheRoutesAreConfirmedWaits() {
--- a/src/test/java/org/cuminshelf/direct/ConfigSourceSelectorTest.java
+++ b/src/test/java/org/cuminshelf/direct/ConfigSourceSelectorTest.java
@@ -9,7 +9,7 @@
 import org.cuminshelf.core.Core;
 import org.cuminshelf.core.Durations;
 
-/** Which control process is asked for the body of a configuration, and when. */
+/** Tests from which control process the body of a configuration is fetched, and when. */
 class ConfigSourceSelectorTest {
 
     private static final List<Address> CONTROL =
@@ -19,8 +19,8 @@
     private long now = Durations.nanos(10_000);
 
     /*
-     * Nothing is served for seconds after a configuration of a thousand routes: every control process sends it to every
-     * entry, and again while it is still on its way, until the links carry nothing else.
+     * Guards against congested links for seconds after a configuration of a thousand routes: every control process
+     * sends the body to every entry, repeatedly while the first copy is still in transit.
      */
     @Example
     void onlyOneBodyIsFetchedAtATimeHoweverOftenItsVersionIsAnnounced() {
@@ -33,7 +33,7 @@
         assertThat(asked).hasSize(1);
     }
 
-    /* An entry keeps the old routes: the control process that it asked was cut off before it answered. */
+    /* Guards against outdated routes at an entry whose chosen control process is cut off before it responds. */
     @Example
     void anotherControlProcessIsAskedAfterATimeout() {
         CONTROL.forEach(address -> selector.onVersionAnnounced(now, address, 9));
@@ -64,7 +64,7 @@
         assertThat(selector.selectSource(now, 9)).isEmpty();
     }
 
-    /* A control process that is gone is asked over and over, as it once told a version that nobody else has. */
+    /* Guards against endless fetches from a dead control process that announced a version which no other has. */
     @Example
     void anOldAnnouncementIsIgnored() {
         selector.onVersionAnnounced(now, CONTROL.get(0), 9);
--- a/src/test/java/org/cuminshelf/direct/ControlSubscriptionTest.java
+++ b/src/test/java/org/cuminshelf/direct/ControlSubscriptionTest.java
@@ -21,7 +21,7 @@
 import org.cuminshelf.message.Update;
 import org.cuminshelf.routes.RouteTable;
 
-/** What an entry takes of configurations that are read beside the way of requests. */
+/** Tests which configurations an entry installs when they are parsed asynchronously. */
 class ControlSubscriptionTest {
 
     private static final Address FIRST = Address.of("10.0.0.1:7000");
@@ -42,8 +42,8 @@
             DecisionLog.none());
 
     /*
-     * Requests take routes that a change had dropped, after others had already seen the change: the control process
-     * that was asked first answered too late, with an older version, while the newer one of the next was being read.
+     * Guards against a return to routes that a change has removed: the control process that was asked first responds
+     * late, with an older version, while the newer version from the next one is being parsed.
      */
     @Example
     void anOlderBodyParsedAfterANewerOneIsNotInstalled() {
@@ -68,7 +68,7 @@
         assertThat(subscription.configVersion()).isEqualTo(9);
     }
 
-    /* A body that can't be read would be fetched over and over, on a link that requests need. */
+    /* An unreadable body fetched repeatedly would use bandwidth that requests need. */
     @Example
     void anUnreadableBodyIsNotFetchedAgain() {
         announceVersion(FIRST, 9);
@@ -83,7 +83,7 @@
         assertThat(subscription.configVersion()).isZero();
     }
 
-    /* An entry that just started is ready only once it has read the version that a quorum confirmed. */
+    /* A starting entry is ready only once it has parsed the version that a quorum confirmed. */
     @Example
     void anEntryIsReadyOnceTheConfirmedVersionIsInstalled() {
         subscription.onUpdate(
--- a/src/test/java/org/cuminshelf/direct/DirectFixture.java
+++ b/src/test/java/org/cuminshelf/direct/DirectFixture.java
@@ -39,7 +39,7 @@
 import org.cuminshelf.routes.WeightedService;
 import org.eclipse.jetty.http.HttpFields;
 
-/** An entry that reaches upstreams straight, with everything around it played by hand. */
+/** Runs a {@link DirectCore} against a scripted control process, other entries, callers, upstreams and clock. */
 final class DirectFixture {
 
     static final Address CONTROL = Address.of("10.0.0.1:7000");
@@ -52,9 +52,9 @@
     final DirectCore core;
     private RouteTable routeTable;
     private int directoryVersion;
-    /** What a new connection to an upstream shows. */
+    /** Result of every probe of an upstream. */
     Reachability reachability = Reachability.LISTENING;
-    /** New connections that were opened to see who listens. */
+    /** Number of probes so far. */
     int probeCount;
 
     DirectFixture(Route... routes) {
@@ -80,7 +80,7 @@
         return RouteTable.of(version, List.of(routes), services, organisations, CallerLimits.DEFAULT);
     }
 
-    /** Longest pause between two events that the route's callers take as being on time, in milliseconds. */
+    /** Longest gap between two events that counts as on time for the route's callers, in milliseconds. */
     static final long PAUSE_MILLIS = 200;
 
     static Route route(RequestKind kind, int attempts, boolean resumable) {
@@ -104,7 +104,7 @@
         return applyConfig(routeTable);
     }
 
-    /** The body of a configuration arrives. */
+    /** Delivers the body of a configuration. */
     DirectFixture applyConfig(RouteTable routes) {
         routeTable = routes;
         core.accept(
@@ -127,7 +127,7 @@
         return this;
     }
 
-    /** Control names the entries that it hears from. */
+    /** Delivers the list of entries from control. */
     void setEntries(String... addresses) {
         sendUpdate(Update.newBuilder().addAllEntryAddresses(List.of(addresses)));
     }
@@ -156,7 +156,7 @@
                 out);
     }
 
-    /** A caller's request; header Tokens makes it a generation of so many prompt tokens. */
+    /** Sends a caller's request; the header {@code Tokens} makes it a generation with so many prompt tokens. */
     CallerResponse sendRequest(String id, String... headers) {
         HttpFields.Mutable fields = HttpFields.build().put("Host", "h").put("Id", id);
         for (int index = 0; index < headers.length; index += 2) {
@@ -168,8 +168,8 @@
     }
 
     /**
-     * Has another entry tell how long prompts took, alone and beside streams: a latency, and a time for each thousand
-     * tokens. All that an entry decides of engines rests on such observations.
+     * Delivers another entry's observations of prefill times: a constant latency plus a time per thousand tokens. An
+     * entry's estimates of engines are based on such observations.
      */
     DirectFixture reportPrefillTimes(String engine, Role role, double latencyMillis, double millisPerThousand) {
         for (int index = 0; index < 60; index++) {
@@ -184,7 +184,7 @@
         return this;
     }
 
-    /** Another entry tells what it has under way and saw. */
+    /** Delivers a load report of another entry. */
     void reportLoad(EntryLoad.Builder load) {
         core.accept(
                 now,
@@ -209,7 +209,7 @@
         return sentRequests.getLast();
     }
 
-    /** What the caller got. */
+    /** Records the response to a caller. */
     static final class CallerResponse implements CallerExchange {
         int status;
         HttpFields headers = HttpFields.EMPTY;
@@ -247,7 +247,7 @@
         }
     }
 
-    /** What an upstream got, and the means to answer it. */
+    /** A request that was sent to an upstream, with methods to respond to it. */
     static final class SentRequest implements UpstreamExchange {
         final String upstream;
         final UpstreamRequest request;
@@ -288,23 +288,23 @@
         }
     }
 
-    /** The way to upstreams of a test that sends nothing there. */
+    /** Returns a client for tests that must not send anything. */
     static UpstreamClient noClient() {
         return new UpstreamClient() {
             @Override
             public UpstreamExchange send(
                     Address address, String upstream, UpstreamRequest request, UpstreamHandler handler) {
-                throw new UnsupportedOperationException("nothing is sent here");
+                throw new UnsupportedOperationException("unexpected request to an upstream");
             }
 
             @Override
             public void discardIdleConnections(Address address, String upstream) {
-                throw new UnsupportedOperationException("there are no connections here");
+                throw new UnsupportedOperationException("unexpected discard of connections");
             }
 
             @Override
             public void probe(Address address, String upstream, Consumer<Reachability> whenSeen) {
-                throw new UnsupportedOperationException("nothing is looked for here");
+                throw new UnsupportedOperationException("unexpected probe of an upstream");
             }
         };
     }
@@ -320,7 +320,7 @@
 
         @Override
         public void discardIdleConnections(Address address, String upstream) {
-            // No connections here.
+            // The fixture keeps no connections.
         }
 
         @Override
@@ -330,7 +330,7 @@
         }
     }
 
-    /** A protocol with the shortest names. */
+    /** A minimal protocol that uses short header names. */
     private static final class TestProtocol implements UpstreamProtocol {
         @Override
         public CallIntent readIntent(ReceivedRequest request) {
--- a/src/test/java/org/cuminshelf/direct/EventSplitterTest.java
+++ b/src/test/java/org/cuminshelf/direct/EventSplitterTest.java
@@ -8,7 +8,7 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 
-/** Cutting a stream of bytes into whole events. */
+/** Tests the splitting of a byte stream into complete events. */
 class EventSplitterTest {
 
     private static final String STREAM = "id: 1\ndata: a\n\nid: 2\r\ndata: b\r\n\r\nid: 3\ndata: c\n\nid: 4\nda";
--- a/src/test/java/org/cuminshelf/direct/OrganisationCallsTest.java
+++ b/src/test/java/org/cuminshelf/direct/OrganisationCallsTest.java
@@ -13,7 +13,7 @@
 import org.cuminshelf.routes.RequestKind;
 import org.cuminshelf.routes.Route;
 
-/** In whose name an entry has requests run. */
+/** Tests to which organisation an entry attributes requests, and which it refuses. */
 class OrganisationCallsTest {
 
     private static final Route ROUTE = DirectFixture.route(RequestKind.IDEMPOTENT, 2, false);
@@ -75,7 +75,7 @@
         assertThat(entry.lastSent().request.headers().get("Organisation")).isEqualTo("acme");
     }
 
-    /* A key is taken away; a caller that kept its connection open goes on with it. */
+    /* Guards against a revoked key that stays valid for a caller that keeps its connection open. */
     @Example
     void aRevokedKeyIsRefusedFromTheNextRequestOn() {
         DirectFixture entry = entry(ACME, ROUTE);
@@ -87,8 +87,8 @@
     }
 
     /*
-     * A caller uses a key that was just added, and is told for good that it is unknown: the entry has heard of the new
-     * configuration but not taken it in yet.
+     * Guards against a final refusal of a key that was just added, at an entry to which the new configuration was
+     * announced but not delivered yet.
      */
     @Example
     void anUnknownKeyMayRetryWhileANewerConfigurationIsAnnounced() {
@@ -103,7 +103,7 @@
         assertThat(entry.sendRequest("z", "Key", "k1").status).isEqualTo(401);
     }
 
-    /* The same at an entry that hears from no control process, and can't know of what was added since. */
+    /* The same at an entry without contact to control, which cannot know of keys added since. */
     @Example
     void anUnknownKeyMayRetryWhileControlIsUnreachable() {
         DirectFixture entry = entry(ACME, ROUTE);
--- a/src/test/java/org/cuminshelf/direct/PoisonGuardTest.java
+++ b/src/test/java/org/cuminshelf/direct/PoisonGuardTest.java
@@ -15,10 +15,10 @@
 import org.cuminshelf.poison.Fingerprint;
 import org.cuminshelf.routes.RequestKind;
 
-/** What an entry does with calls under which upstreams ended. */
+/** Tests how an entry handles requests that crash upstreams. */
 class PoisonGuardTest {
 
-    /** The fingerprint of all requests of {@link DirectFixture#ask}. */
+    /** The fingerprint of all requests of {@link DirectFixture#sendRequest}. */
     private static final Fingerprint REQUEST = Fingerprint.of("POST", "h", "/a/b", "", new byte[0]);
 
     private static DirectFixture entry(boolean resumable) {
@@ -52,7 +52,7 @@
                 .build();
     }
 
-    /** What the entry told control of crashes since the last question, and does within 20 ms. */
+    /** Returns the messages with crashes that the entry sent to control since the previous call, and within 20 ms. */
     private static List<Subscribe> reportedCrashes(DirectFixture entry) {
         entry.advance(20);
         return entry.out.take(message -> message.hasSubscribe()).stream()
@@ -84,9 +84,7 @@
         assertThat(response.status).isEqualTo(200);
     }
 
-    /*
-     * One more engine ends though the request is known: a copy of it waited, or was on its way, when the word came.
-     */
+    /* Guards against a further crash by a copy of a known request that waited or ran when it was quarantined. */
     @Example
     void waitingCopiesAreRefusedWhenTheRequestIsQuarantined() {
         DirectFixture entry = new DirectFixture(DirectFixture.route(RequestKind.STREAM, 2, true)).becomeReady();
@@ -149,9 +147,7 @@
                 .isEqualTo(Involvement.UNDER_WAY);
     }
 
-    /*
-     * A request is refused for ever though no upstream ended: connections were reset under it three times.
-     */
+    /* Guards against the quarantine of a harmless request whose connections were reset three times. */
     @Example
     void aConnectionFailureIsNoCrashIfTheUpstreamStillListens() {
         DirectFixture entry = entry(false);
@@ -173,7 +169,7 @@
                         .setLeaving(true)));
         entry.lastSent().handler.onFailed(true, "closed");
         assertThat(reportedCrashes(entry)).isEmpty();
-        assertThat(entry.probeCount).as("nobody needs to look").isZero();
+        assertThat(entry.probeCount).as("no probe is needed").isZero();
     }
 
     @Example
@@ -195,8 +191,8 @@
     }
 
     /*
-     * A poison request takes the whole VM down: nothing refuses the connection, and only seconds later another start
-     * announces itself at the address.
+     * Guards against a missed crash when a poison request takes down the whole VM: no connection is refused, and
+     * another instance sends a heartbeat from the address only seconds later.
      */
     @Example
     void aCrashIsConfirmedWhenAnotherInstanceTakesTheAddress() {
@@ -214,9 +210,8 @@
     }
 
     /*
-     * Callers of a route with one attempt are refused, one at each entry for each engine that ended: every entry found
-     * out for itself, by a call, that another start has the address. At a hundred entries 111 of 489 calls were lost so
-     * under three crashes.
+     * Guards against one lost call per entry and crash on routes with a single attempt: each entry finds out by a
+     * failed call that another instance has the address. With a hundred entries, three crashes lost 111 of 489 calls.
      */
     @Example
     void anUpstreamThatAnotherEntryReportedAsCrashedGetsNoCalls() {
@@ -245,8 +240,9 @@
     }
 
     /*
-     * A harmless request is refused for an hour, or a poison one ends a fourth engine: it comes back within the 0.3 s
-     * in which it isn't known yet who else was at the third crash.
+     * Guards against a wrong decision on a request that is retried within the 0.3 s in which it is not yet known which
+     * other requests were involved in the third crash: a harmless one would be refused for an hour, or a poison one
+     * would crash a fourth engine.
      */
     @Example
     void aSuspectIsRefusedWithRetryAfterUntilAllCrashesAreReported() {
--- a/src/test/java/org/cuminshelf/direct/UpstreamBackoffTest.java
+++ b/src/test/java/org/cuminshelf/direct/UpstreamBackoffTest.java
@@ -8,7 +8,7 @@
 import org.cuminshelf.message.Role;
 import org.cuminshelf.routes.RequestKind;
 
-/** Calls at one entry while upstreams refuse requests and ask for rest. */
+/** Tests calls at one entry while upstreams reject requests and request a backoff. */
 class UpstreamBackoffTest {
 
     private static DirectFixture entryWithServices(String... upstreams) {
@@ -31,7 +31,7 @@
                 .count();
     }
 
-    /** Guards against a rest that is ended by the success of what was sent before. */
+    /** Guards against a backoff that is ended by the success of a request sent before it. */
     @Example
     void aSuccessOfAnEarlierRequestDoesNotEndABackoff() {
         DirectFixture entry = entryWithServices("u1");
@@ -46,7 +46,7 @@
         assertThat(Double.parseDouble(refused.headers.get("Retry-After"))).isBetween(3.0, 4.0);
     }
 
-    /** Guards against callers who are told to come back to upstreams that all rest. */
+    /** Guards against a Retry-After at which all upstreams are still in backoff. */
     @Example
     void retryAfterIsTheEndOfTheFirstBackoff() {
         DirectFixture entry = entryWithServices("u1", "u2");
@@ -58,7 +58,7 @@
         assertThat(Double.parseDouble(second.headers.get("Retry-After"))).isBetween(2.0, 3.0);
     }
 
-    /** Guards against a time to come back that waits for a rest, though another upstream was only full for a moment. */
+    /** Guards against a Retry-After that waits for a backoff although another upstream was full only briefly. */
     @Example
     void retryAfterIgnoresBackoffsWhereAnotherUpstreamIsAvailableSooner() {
         DirectFixture entry = entryWithServices("u1", "u2");
@@ -73,7 +73,7 @@
         assertThat(entry.sentRequests).hasSize(2);
     }
 
-    /** Guards against all calls at one time for an upstream whose rest is over, but not its need. */
+    /** Guards against sending all calls at once to an upstream that is still overloaded after its backoff. */
     @Example
     void afterABackoffOneTrialRequestIsSentUntilItIsAnswered() {
         DirectFixture entry = entryWithServices("u1");
@@ -131,7 +131,7 @@
         assertThat(countSentTo(entry, "u1")).isEqualTo(2);
     }
 
-    /** Guards against an engine that is taken for broken, as it was full twice when it was to read a prompt. */
+    /** Guards against treating an engine as failed because it was full at two prefills. */
     @Example
     void anEngineThatRejectsPrefillsWithoutABackoffIsTriedAgainSoon() {
         DirectFixture entry = entryWithEngines("p1");
@@ -146,7 +146,7 @@
         }
     }
 
-    /** Engines that read prompts, and one that generates and has a stream. */
+    /** Returns an entry with prefill engines and one decode engine, which has a running stream. */
     private static DirectFixture entryWithEngines(String... prefillEngines) {
         DirectFixture entry = new DirectFixture(DirectFixture.route(RequestKind.STREAM, 2, false)).becomeReady();
         for (String prefillEngine : prefillEngines) {
@@ -157,7 +157,7 @@
         return entry;
     }
 
-    /** Guards against prompts that are sent to be read to an engine which asked for rest. */
+    /** Guards against prefills sent to an engine that requested a backoff. */
     @Example
     void anEngineThatRejectsAPrefillWithABackoffGetsNoRequests() {
         DirectFixture entry = entryWithEngines("p1", "p2");
--- a/src/test/java/org/cuminshelf/direct/UpstreamRateLimitTest.java
+++ b/src/test/java/org/cuminshelf/direct/UpstreamRateLimitTest.java
@@ -10,7 +10,7 @@
 import org.cuminshelf.message.ServiceDemand;
 import org.cuminshelf.routes.RequestKind;
 
-/** Calls at one entry while upstreams state how many requests a second they take. */
+/** Tests calls at one entry while upstreams state rate limits. */
 class UpstreamRateLimitTest {
 
     private static DirectFixture entryWithService() {
@@ -19,7 +19,7 @@
                 .addUpstream("u1", Role.ROLE_MIXED);
     }
 
-    /** An engine that reads prompts, and one that has a stream and states a limit. */
+    /** Returns an entry with a prefill engine, and a decode engine with a running stream and a stated limit. */
     private static DirectFixture entryWithLimitedDecodeEngine(double perSecond) {
         DirectFixture entry = new DirectFixture(DirectFixture.route(RequestKind.STREAM, 2, false))
                 .becomeReady()
@@ -30,7 +30,7 @@
         return entry;
     }
 
-    /** Has the last request answered with a limit. */
+    /** Responds to a request with the given headers. */
     private static void respond(DirectFixture.SentRequest sent, String... headers) {
         sent.respondHead(200, headers);
         sent.respondBody("x");
@@ -64,7 +64,7 @@
         assertThat(entry.sentRequests).hasSize(2);
     }
 
-    /** Guards against a limit that is lifted by the answer to a request from before it was stated. */
+    /** Guards against a limit that is lifted by the response to a request sent before the limit was stated. */
     @Example
     void aResponseToAnEarlierRequestDoesNotLiftALimit() {
         DirectFixture entry = entryWithService();
@@ -80,7 +80,7 @@
         assertThat(entry.core.limitedUpstreams()).isZero();
     }
 
-    /** Guards against a limit that is lifted by an answer which says nothing of it for another reason. */
+    /** Guards against a limit that is lifted by a response which omits it for another reason. */
     @Example
     void neitherAFailureNorTheResponseToAnotherRequestLiftsALimit() {
         DirectFixture entry = entryWithService();
@@ -97,7 +97,7 @@
         assertThat(entry.core.limitedUpstreams()).isEqualTo(1);
     }
 
-    /** Guards against a limit of one start that holds for the next one at the address. */
+    /** Guards against applying the limit of one upstream to another one at the same address. */
     @Example
     void aLimitStatedByAnotherUpstreamAtTheAddressIsIgnored() {
         DirectFixture entry = entryWithService();
@@ -106,7 +106,7 @@
         assertThat(entry.core.limitedUpstreams()).isZero();
     }
 
-    /** Guards against prompts that are read in vain, many for one permit of the engine that is to go on. */
+    /** Guards against many prefills for one permit of the engine that would take over. */
     @Example
     void aPromptIsPrefilledSeparatelyOnlyWithAPermitForItsHandover() {
         DirectFixture entry = entryWithLimitedDecodeEngine(2)
@@ -122,7 +122,7 @@
         assertThat(entry.lastSent().upstream).isEqualTo("d1");
     }
 
-    /** Guards against sends that no choice of an upstream stands before. */
+    /** Guards against requests that bypass the limit check of upstream selection. */
     @Example
     void aKvCacheReleaseIsNotSentWithoutAPermit() {
         DirectFixture entry = entryWithLimitedDecodeEngine(100);
@@ -140,7 +140,7 @@
         assertThat(entry.sentRequests).hasSize(sent);
     }
 
-    /** Guards against an entry that takes a whole limit for itself, or nothing, where the others have other loads. */
+    /** Guards against an entry that claims all or none of a limit when the other entries' loads differ from its own. */
     @Example
     void anEntrysShareOfALimitIsItsShareOfAllCalls() {
         DirectFixture entry = entryWithService();
--- a/src/test/java/org/cuminshelf/direct/UpstreamTableTest.java
+++ b/src/test/java/org/cuminshelf/direct/UpstreamTableTest.java
@@ -13,7 +13,7 @@
 import org.cuminshelf.message.UpstreamBeat;
 import org.cuminshelf.message.UpstreamLoad;
 
-/** What an entry believes of upstreams. */
+/** Tests which upstream instances an entry knows, and their state. */
 class UpstreamTableTest {
 
     private static final Address CONTROL = Address.of("10.0.0.1:7000");
@@ -21,8 +21,8 @@
     private long now = Durations.nanos(1_000);
 
     /*
-     * Every request is refused for seconds after all control processes were killed at once: they know nobody yet, and
-     * their empty list is taken for an empty fleet.
+     * Guards against refusing all requests for seconds after all control processes restart at once: their directories
+     * are still empty, which does not mean that there are no upstreams.
      */
     @Example
     void anEmptyDirectoryOfARestartedControlProcessRemovesNothing() {
@@ -38,9 +38,9 @@
     }
 
     /*
-     * An entry is restarted while configurations come in quick succession, and refuses every request for half a minute:
-     * control still counts it as subscribed, tells it what changed since its predecessor's version, and the entry takes
-     * that for the whole list and never asks for the upstreams that it lacks.
+     * Guards against a restarted entry that refuses all requests for half a minute while configurations change often:
+     * control still counts it as subscribed and sends only changes since its predecessor's version; the entry takes
+     * them for the whole directory and never requests the missing upstreams.
      */
     @Example
     void aChangeToADirectoryThatIsNotHeldIsNotTakenForTheWholeDirectory() {
@@ -61,7 +61,7 @@
         assertThat(table.instancesOf("s")).hasSize(1);
     }
 
-    /** Guards against new work for an upstream that leaves and is listed anew by a control process that missed it. */
+    /** Guards against new work for a draining upstream that is listed again by a control process unaware of it. */
     @Example
     void anUpstreamThatAnnouncedItsShutdownInAResponseStaysDraining() {
         update(1, 1, false, heartbeat());
@@ -109,8 +109,8 @@
     }
 
     /*
-     * Prompts take seconds instead of a tenth: an engine started again under its name, empty, and is believed to hold
-     * the parts that its former self was sent, to be as fast, and to run what died with it.
+     * Guards against prompts that take seconds instead of a tenth: an engine restarted under its name, and the cached
+     * prompt prefixes, speed and running work of the previous instance are attributed to the new one.
      */
     @Example
     void aNewInstanceInheritsNoStateOfThePreviousOne() {
@@ -141,8 +141,8 @@
     }
 
     /*
-     * Calls are refused for want of places that are free: what another entry had at an engine was added up each time it
-     * told of it, and not taken off when it told of less.
+     * Guards against refused calls although slots are free: the load of another entry was added with each report, and
+     * not subtracted when it decreased.
      */
     @Example
     void theLoadOfOtherEntriesIsThatOfTheirLastReports() {
