--- a/src/main/java/org/cuminshelf/direct/BackpressureListener.java
+++ b/src/main/java/org/cuminshelf/direct/BackpressureListener.java
@@ -8,7 +8,7 @@
 import org.cuminshelf.backpressure.UpstreamRateLimits;
 import org.cuminshelf.core.Address;
 
-/** Hears what answers, and other entries, say of what upstreams ask for, and notes what changed. */
+/** Applies the backpressure signals in responses and in other entries' reports, and logs what changes. */
 final class BackpressureListener {
 
     private static final int FIRST_NON_SUCCESS_STATUS = 300;
@@ -24,14 +24,14 @@
     }
 
     /**
-     * Takes the head of an answer.
+     * Applies the signals in the head of a response.
      *
-     * @param now      when it came, in nanoseconds
-     * @param upstream the upstream to which the request was sent
-     * @param sentAtNanos   when the request was sent, in nanoseconds
-     * @param requestId  the request's id
-     * @param status   the status of the answer
-     * @param metadata    what the head says
+     * @param now         when it arrived, in nanoseconds
+     * @param upstream    the instance that the request was sent to
+     * @param sentAtNanos when the request was sent, in nanoseconds
+     * @param requestId   id of the request
+     * @param status      status of the response
+     * @param metadata    the parsed head
      */
     void onResponseHead(
             long now,
@@ -40,22 +40,22 @@
             String requestId,
             int status,
             ResponseMetadata metadata) {
-        if (metadata.isFromOtherInstance(upstream.name)) {
+        if (metadata.isFromOtherUpstream(upstream.name)) {
             return;
         }
-        BackpressureSignals demands = metadata.backpressure();
-        if (demands.leaving()) {
+        BackpressureSignals signals = metadata.backpressure();
+        if (signals.leaving()) {
             upstreams.markDraining(now, upstream.id, true, requestId);
         }
-        demands.backoff().ifPresent(pause -> applyPause(now, upstream, requestId, pause));
-        // Neither a failure nor the answer to an earlier request shows the end of a need by what it leaves out.
+        signals.backoff().ifPresent(backoff -> applyBackoff(now, upstream, requestId, backoff));
+        // A missing limit or backoff counts as lifted only in a success that belongs to this very request.
         boolean conclusive = status < FIRST_NON_SUCCESS_STATUS
                 && metadata.requestId().filter(id -> !id.equals(requestId)).isEmpty();
         if (conclusive) {
             backpressure.backoffs().onAnswer(upstream.id, sentAtNanos);
         }
-        if (conclusive || !(demands.limit() instanceof AdvertisedLimit.Unlimited)) {
-            applyLimit(now, upstream, sentAtNanos, requestId, demands.limit());
+        if (conclusive || !(signals.limit() instanceof AdvertisedLimit.Unlimited)) {
+            applyLimit(now, upstream, sentAtNanos, requestId, signals.limit());
         }
     }
 
@@ -70,12 +70,12 @@
                 .ifPresent(change -> logChange(upstream, change, "request", requestId));
     }
 
-    private void applyPause(long now, UpstreamInstance upstream, String requestId, Duration pause) {
-        backpressure.backoffs().onBackoffRequested(now, upstream.id, pause);
-        log.note("upstream", upstream.id, "outcome", "rest-asked", "ms", pause.toMillis(), "request", requestId);
+    private void applyBackoff(long now, UpstreamInstance upstream, String requestId, Duration backoff) {
+        backpressure.backoffs().onBackoffRequested(now, upstream.id, backoff);
+        log.note("upstream", upstream.id, "outcome", "rest-asked", "ms", backoff.toMillis(), "request", requestId);
     }
 
-    /** Takes what another entry heard from an upstream. */
+    /** Applies a limit that another entry received from an upstream. */
     void onEntryReport(long now, UpstreamInstance upstream, Address entry, UpstreamRateLimits.LimitReport reported) {
         backpressure
                 .limits()
--- a/src/main/java/org/cuminshelf/direct/ResponseMetadata.java
+++ b/src/main/java/org/cuminshelf/direct/ResponseMetadata.java
@@ -4,23 +4,23 @@
 import org.cuminshelf.backpressure.BackpressureSignals;
 
 /**
- * What the head of an upstream's answer says about the request.
+ * What the head of an upstream response states about the request and the upstream.
  *
- * @param requestId   the request it answers, as far as it says
- * @param notExecuted whether the upstream states that the request did not run
- * @param instanceId     identity of the start that answered, as far as it says
- * @param authentic   whether the answer is that of a run, by the upstream's own mark
- * @param backpressure   what it asks of those that send requests
+ * @param requestId    id of the request that it belongs to, if stated
+ * @param notExecuted  whether the upstream states that the request did not run
+ * @param upstreamName name of the upstream that responded, if stated
+ * @param authentic    whether it carries the upstream's mark of a genuine response
+ * @param backpressure limits and backoffs that the upstream requests of its clients
  */
 public record ResponseMetadata(
         Optional<String> requestId,
         boolean notExecuted,
-        Optional<String> instanceId,
+        Optional<String> upstreamName,
         boolean authentic,
         BackpressureSignals backpressure) {
 
-    /** Whether another start of an upstream has the address by now. */
-    boolean isFromOtherInstance(String expectedInstance) {
-        return notExecuted && instanceId.isPresent() && !instanceId.get().equals(expectedInstance);
+    /** Whether the request was rejected because another upstream has the address now. */
+    boolean isFromOtherUpstream(String expectedName) {
+        return notExecuted && upstreamName.isPresent() && !upstreamName.get().equals(expectedName);
     }
 }
--- a/src/test/java/org/cuminshelf/direct/OrganisationCallsTest.java
+++ b/src/test/java/org/cuminshelf/direct/OrganisationCallsTest.java
@@ -13,7 +13,7 @@
 import org.cuminshelf.routes.RequestKind;
 import org.cuminshelf.routes.Route;
 
-/** In whose name an entry has requests run. */
+/** Tests to which organisation an entry attributes requests, and which it refuses. */
 class OrganisationCallsTest {
 
     private static final Route ROUTE = DirectFixture.route(RequestKind.IDEMPOTENT, 2, false);
@@ -25,7 +25,7 @@
         return Organisations.of(List.of(new Organisation("acme", digests, OptionalInt.empty())));
     }
 
-    private static Route open() {
+    private static Route publicRoute() {
         return new Route(
                 ROUTE.name(),
                 ROUTE.host(),
@@ -67,17 +67,17 @@
     }
 
     @Example
-    void aPublicRouteNeedsNoKeyAndNamesTheHolderOfAKnownOne() {
-        DirectFixture entry = entry(ACME, open());
+    void aPublicRouteNeedsNoKeyButIdentifiesTheOrganisationOfAKnownOne() {
+        DirectFixture entry = entry(ACME, publicRoute());
         entry.sendRequest("x", "Key", "unknown");
         assertThat(entry.lastSent().request.headers().get("Organisation")).isNull();
         entry.sendRequest("y", "Key", "k1");
         assertThat(entry.lastSent().request.headers().get("Organisation")).isEqualTo("acme");
     }
 
-    /* A key is taken away; a caller that kept its connection open goes on with it. */
+    /* Guards against a revoked key that stays valid for a caller that keeps its connection open. */
     @Example
-    void aKeyThatWasTakenAwayIsRefusedFromTheNextRequestOn() {
+    void aRevokedKeyIsRefusedFromTheNextRequestOn() {
         DirectFixture entry = entry(ACME, ROUTE);
         DirectFixture.CallerResponse before = entry.sendRequest("x", "Key", "k1");
         entry.applyConfig(DirectFixture.routeTable(8, organisations("k2"), ROUTE));
@@ -87,11 +87,11 @@
     }
 
     /*
-     * A caller uses a key that was just added, and is told for good that it is unknown: the entry has heard of the new
-     * configuration but not taken it in yet.
+     * Guards against a final refusal of a key that was just added, at an entry to which the new configuration was
+     * announced but not delivered yet.
      */
     @Example
-    void anUnknownKeyMayComeBackWhileANewerConfigurationIsOnItsWay() {
+    void anUnknownKeyMayRetryWhileANewerConfigurationIsAnnounced() {
         DirectFixture entry = entry(ACME, ROUTE);
         entry.sendUpdate(Update.newBuilder().setVoter(true).setConfigVersion(8));
         DirectFixture.CallerResponse early = entry.sendRequest("x", "Key", "k3");
@@ -103,9 +103,9 @@
         assertThat(entry.sendRequest("z", "Key", "k1").status).isEqualTo(401);
     }
 
-    /* The same at an entry that hears from no control process, and can't know of what was added since. */
+    /* The same at an entry without contact to control, which cannot know of keys added since. */
     @Example
-    void anUnknownKeyMayComeBackWhileNothingIsHeardFromControl() {
+    void anUnknownKeyMayRetryWhileControlIsUnreachable() {
         DirectFixture entry = entry(ACME, ROUTE);
         entry.advance(2_000);
         assertThat(entry.sendRequest("x", "Key", "k3").status).isEqualTo(503);
