--- a/src/main/java/org/cuminshelf/backpressure/AdvertisedLimit.java
+++ b/src/main/java/org/cuminshelf/backpressure/AdvertisedLimit.java
@@ -1,31 +1,31 @@
 package org.cuminshelf.backpressure;
 
-/** What an answer says of how many requests its upstream takes from all VMs together. */
+/** What an answer says about the rate limit of its upstream on requests from all VMs together. */
 public sealed interface AdvertisedLimit {
 
     /**
-     * It takes so many.
+     * The upstream accepts a number of requests per second.
      *
-     * @param requestsPerSecond requests a second, finite and not negative
+     * @param requestsPerSecond requests per second, finite and not negative
      */
     record PerSecond(double requestsPerSecond) implements AdvertisedLimit {
 
-        /** Checks the number. */
+        /** Validates the number. */
         public PerSecond {
             if (!Double.isFinite(requestsPerSecond) || requestsPerSecond < 0) {
                 throw new IllegalArgumentException(
-                        "a limit must be a finite number of at least 0, not " + requestsPerSecond);
+                        "limit must be finite and not negative, but is " + requestsPerSecond);
             }
         }
     }
 
-    /** It names no limit. */
+    /** The answer advertises no limit. */
     record Unlimited() implements AdvertisedLimit {}
 
     /**
-     * It says something that can't be read, so that nothing is known of it.
+     * The answer holds a limit that can't be parsed, so that nothing is known about the current limit.
      *
-     * @param text the beginning of what it says, for the log
+     * @param text the beginning of the value, for the log
      */
     record Malformed(String text) implements AdvertisedLimit {}
 }
--- a/src/main/java/org/cuminshelf/backpressure/Backpressure.java
+++ b/src/main/java/org/cuminshelf/backpressure/Backpressure.java
@@ -2,7 +2,7 @@
 
 import org.cuminshelf.core.Address;
 
-/** What upstreams ask of this entry, and when each may be sent a request. */
+/** The flow control that upstreams request of this entry, and the earliest time at which each may be sent a request. */
 public final class Backpressure {
 
     private final UpstreamRateLimits limits;
@@ -14,9 +14,9 @@
     }
 
     /**
-     * Makes the state of an entry of which nothing was asked.
+     * Creates the state of an entry to which no upstream has signalled anything.
      *
-     * @param self the address of this entry, as the others know it
+     * @param self the address of this entry, as the other entries know it
      * @return the state
      */
     public static Backpressure create(Address self) {
@@ -24,7 +24,7 @@
     }
 
     /**
-     * The limits that upstreams state.
+     * Returns the rate limits that upstreams advertise.
      *
      * @return the table
      */
@@ -33,7 +33,7 @@
     }
 
     /**
-     * The rest that upstreams asked for.
+     * Returns the backoff periods that upstreams requested.
      *
      * @return the table
      */
@@ -42,7 +42,7 @@
     }
 
     /**
-     * The upstreams that said that they leave.
+     * Returns the upstream instances that announced that they are leaving.
      *
      * @return the table
      */
@@ -51,21 +51,21 @@
     }
 
     /**
-     * Tells when a request may be sent to an upstream.
+     * Returns the earliest time at which a request may be sent to an upstream.
      *
-     * @param now   the time in nanoseconds
-     * @param instanceId identity of its start
-     * @return a time in nanoseconds, not after {@code now} if one may be sent now
+     * @param now        the time in nanoseconds
+     * @param instanceId identity of the upstream instance
+     * @return a time in nanoseconds, not after {@code now} if a request may be sent now
      */
     public long nextSendTime(long now, String instanceId) {
         return Math.max(limits.nextPermitTime(now, instanceId), backoffs.nextSendTime(instanceId));
     }
 
     /**
-     * Tells whether a request may be sent to an upstream now.
+     * Checks whether a request may be sent to an upstream now.
      *
-     * @param now   the time in nanoseconds
-     * @param instanceId identity of its start
+     * @param now        the time in nanoseconds
+     * @param instanceId identity of the upstream instance
      * @return true if it may
      */
     public boolean maySend(long now, String instanceId) {
@@ -73,10 +73,10 @@
     }
 
     /**
-     * Tells whether a request for which a permit was kept may be sent to an upstream now.
+     * Checks whether a request for which a permit has already been taken may be sent to an upstream now.
      *
-     * @param now   the time in nanoseconds
-     * @param instanceId identity of its start
+     * @param now        the time in nanoseconds
+     * @param instanceId identity of the upstream instance
      * @return true if it may
      */
     public boolean maySendWithReservedPermit(long now, String instanceId) {
@@ -84,7 +84,8 @@
     }
 
     /**
-     * Forgets what is over.
+     * Removes expired backoff periods and notices of departure. Rate limits have a method of their own for this,
+     * {@link UpstreamRateLimits#tick}.
      *
      * @param now the time in nanoseconds
      */
@@ -94,10 +95,10 @@
     }
 
     /**
-     * Takes note of a request that is sent.
+     * Records that a request is sent to an upstream.
      *
-     * @param now   the time in nanoseconds
-     * @param instanceId identity of the upstream's start
+     * @param now        the time in nanoseconds
+     * @param instanceId identity of the upstream instance
      */
     public void onRequestSent(long now, String instanceId) {
         limits.takePermit(now, instanceId);
--- a/src/main/java/org/cuminshelf/backpressure/BackpressureSignals.java
+++ b/src/main/java/org/cuminshelf/backpressure/BackpressureSignals.java
@@ -4,19 +4,19 @@
 import java.util.Optional;
 
 /**
- * What the head of an answer asks of those that send its upstream requests.
+ * Flow control signals in the head of an upstream's answer.
  *
- * @param limit   how many requests it takes from all VMs together
- * @param backoff    how long it wants nothing from the VM that it answers; only a refusal asks for it
- * @param leaving whether it says that it leaves
+ * @param limit   rate limit on requests from all VMs together
+ * @param backoff how long the upstream wants no request from the VM that it answers; only a refusal carries it
+ * @param leaving whether the upstream announces that it is leaving
  */
 public record BackpressureSignals(AdvertisedLimit limit, Optional<Duration> backoff, boolean leaving) {
 
     /**
-     * An answer that asks for nothing but what it says of a limit.
+     * Creates signals that hold a rate limit only.
      *
-     * @param limit what it says
-     * @return the demands
+     * @param limit the rate limit
+     * @return the signals
      */
     public static BackpressureSignals of(AdvertisedLimit limit) {
         return new BackpressureSignals(limit, Optional.empty(), false);
--- a/src/main/java/org/cuminshelf/backpressure/CallRate.java
+++ b/src/main/java/org/cuminshelf/backpressure/CallRate.java
@@ -2,10 +2,13 @@
 
 import org.cuminshelf.core.Durations;
 
-/** Calls a second, as a mean in which older ones fade. */
+/** Calls per second as an exponentially weighted moving average. */
 final class CallRate {
 
-    /** Nanoseconds in which a call fades to a third: long against clumps, short against turns of the mix. */
+    /**
+     * Time in which the weight of a call decays to 1/e: long compared with bursts, short compared with changes of the
+     * traffic mix.
+     */
     private static final double TIME_CONSTANT_NANOS = Durations.nanos(1_000);
 
     private static final double NANOS_PER_SECOND = Durations.nanos(1_000);
--- a/src/main/java/org/cuminshelf/backpressure/LeavingUpstreams.java
+++ b/src/main/java/org/cuminshelf/backpressure/LeavingUpstreams.java
@@ -7,25 +7,25 @@
 import org.cuminshelf.core.Durations;
 
 /**
- * Upstreams that said in an answer that they leave, by the identity of their starts.
+ * Upstream instances that announced in an answer that they are leaving.
  *
- * <p>Failure it guards against: an upstream leaves without a word to control, or is listed anew by a control process
- * that missed it, and gets new work until it is gone. A start that said so does not come back.
+ * <p>Without this table an upstream that leaves without notifying control, or that is listed again by a control process
+ * that missed the notice, receives new requests until it stops. An instance that announced its departure never returns.
  */
 public final class LeavingUpstreams {
 
-    /** Time for which a start is remembered; it is gone long before. */
+    /** Time for which an instance is remembered; it stops long before that. */
     private static final long RETENTION_NANOS = Durations.nanos(600_000);
-    /** Time for which the other entries are told: each hears of it several times. */
+    /** Time for which the other entries are notified: several reports reach each of them. */
     private static final long REPORT_PERIOD_NANOS = Durations.nanos(2_000);
 
     private static final int MAX_INSTANCES = 10_000;
 
     /**
-     * A start that leaves.
+     * An upstream instance that is leaving.
      *
-     * @param firstReportedAt       when that was first heard, in nanoseconds
-     * @param reportedLocally whether this entry heard it from the upstream, and not from another entry
+     * @param firstReportedAt when the first notice was received, in nanoseconds
+     * @param reportedLocally whether the upstream notified this entry, as opposed to another entry
      */
     private record LeavingInstance(long firstReportedAt, boolean reportedLocally) {}
 
@@ -34,7 +34,7 @@
     private LeavingUpstreams() {}
 
     /**
-     * Makes a table in which no upstream leaves.
+     * Creates an empty table.
      *
      * @return the table
      */
@@ -43,12 +43,12 @@
     }
 
     /**
-     * Takes an upstream's word that it leaves.
+     * Records that an upstream is leaving.
      *
-     * @param now      the time in nanoseconds
-     * @param instanceId    identity of its start
-     * @param reportedLocally whether it came in an answer to this entry, and not from another entry
-     * @return whether that is news
+     * @param now             the time in nanoseconds
+     * @param instanceId      identity of the upstream instance
+     * @param reportedLocally whether the notice came in an answer to this entry, as opposed to another entry
+     * @return whether the instance was not known to be leaving
      */
     public boolean add(long now, String instanceId, boolean reportedLocally) {
         boolean added = leavingInstances.putIfAbsent(instanceId, new LeavingInstance(now, reportedLocally)) == null;
@@ -59,20 +59,20 @@
     }
 
     /**
-     * Tells whether an upstream said that it leaves.
+     * Checks whether an upstream is leaving.
      *
-     * @param instanceId identity of its start
-     * @return true if it did
+     * @param instanceId identity of the upstream instance
+     * @return true if it is
      */
     public boolean contains(String instanceId) {
         return leavingInstances.containsKey(instanceId);
     }
 
     /**
-     * What the other entries should hear.
+     * Returns the instances to report to the other entries.
      *
      * @param now the time in nanoseconds
-     * @return starts that said lately to this entry that they leave
+     * @return instances that recently notified this entry that they are leaving
      */
     public List<String> recentLocalReports(long now) {
         return leavingInstances.entrySet().stream()
@@ -83,7 +83,7 @@
     }
 
     /**
-     * Forgets what is old.
+     * Removes expired instances.
      *
      * @param now the time in nanoseconds
      */
--- a/src/main/java/org/cuminshelf/backpressure/PermitSchedule.java
+++ b/src/main/java/org/cuminshelf/backpressure/PermitSchedule.java
@@ -1,26 +1,26 @@
 package org.cuminshelf.backpressure;
 
 /**
- * Permits to send a request, which come at even intervals and lapse some time after.
+ * Permits to send a request, which become available at even intervals and expire after a fixed lifetime.
  *
- * <p>Failure it guards against: many entries share one limit and have sent nothing for a while, so that each holds a
- * permit, and all use them within one second. As permits lapse, all entries together hold a bounded number, whatever
- * the number of entries: the rate that they share times the time for which a permit stands.
+ * <p>Without the lifetime, many entries that share one limit and have been idle would each hold a permit and use them
+ * all within one second. Since permits expire, all entries together hold a bounded number of them, whatever the number
+ * of entries: the rate that they share times the lifetime of a permit.
  */
 final class PermitSchedule {
 
     private double intervalNanos;
     private double lifetimeNanos;
-    /** When the oldest permit came, or comes, that is neither used nor lapsed, in nanoseconds. */
+    /** When the oldest permit that is neither used nor expired became or becomes available, in nanoseconds. */
     private double oldestPermitAt;
 
     /**
-     * Begins a schedule.
+     * Creates a schedule.
      *
-     * @param now      the time in nanoseconds
+     * @param now           the time in nanoseconds
      * @param intervalNanos nanoseconds between two permits
-     * @param lifetimeNanos    nanoseconds for which a permit stands
-     * @param phase    part of an interval after which the first permit comes
+     * @param lifetimeNanos nanoseconds for which an unused permit stays valid
+     * @param phase         fraction of an interval after which the first permit becomes available
      */
     PermitSchedule(long now, double intervalNanos, double lifetimeNanos, double phase) {
         this.intervalNanos = intervalNanos;
@@ -28,7 +28,7 @@
         this.oldestPermitAt = now + phase * intervalNanos;
     }
 
-    /** Changes the interval; what was waited for of the old one counts in proportion. */
+    /** Changes the interval and the lifetime; the remaining wait for the next permit is scaled in proportion. */
     void changeInterval(long now, double newIntervalNanos, double newLifetimeNanos) {
         if (oldestPermitAt > now) {
             oldestPermitAt = now + (oldestPermitAt - now) * newIntervalNanos / intervalNanos;
@@ -37,19 +37,19 @@
         lifetimeNanos = newLifetimeNanos;
     }
 
-    /** When the next request may be sent, in nanoseconds: now or before if there is a permit. */
+    /** Returns when the next request may be sent, in nanoseconds: not after {@code now} if a permit is available. */
     long nextPermitTime(long now) {
         dropExpired(now);
         return (long) Math.ceil(oldestPermitAt);
     }
 
-    /** Uses the oldest permit, or the next one in advance. */
+    /** Uses the oldest permit, or the next one in advance if none is available. */
     void takePermit(long now) {
         dropExpired(now);
         oldestPermitAt += intervalNanos;
     }
 
-    /** Takes a permit back that was not used after all. */
+    /** Returns a permit that was taken but not used. */
     void returnPermit() {
         oldestPermitAt -= intervalNanos;
     }
--- a/src/main/java/org/cuminshelf/backpressure/ServiceCallRates.java
+++ b/src/main/java/org/cuminshelf/backpressure/ServiceCallRates.java
@@ -6,10 +6,10 @@
 import org.cuminshelf.core.Address;
 import org.cuminshelf.core.Durations;
 
-/** Calls for one service at this entry and, as far as they tell, at the others. */
+/** Rates of calls for one service at this entry and, as far as they report them, at the other entries. */
 final class ServiceCallRates {
 
-    /** What an entry told counts for as long; it tells four times a second at the least. */
+    /** Time for which a report is valid; an entry reports at least four times a second. */
     private static final long REPORT_LIFETIME_NANOS = Durations.nanos(1_000);
 
     private record RemoteRate(double perSecond, long receivedAt) {}
@@ -30,8 +30,8 @@
     }
 
     /**
-     * The part of all calls that this entry has. An entry that tells nothing counts for as much as this one, so that
-     * entries that don't hear each other each take an equal part and not the whole.
+     * Returns this entry's share of all calls. An entry without a valid report counts for as much as this one, so that
+     * entries that can't reach each other each take an equal share instead of the whole limit.
      */
     double localShare(long now, Address self, List<Address> entries) {
         remoteRates.values().removeIf(remoteRate -> now - remoteRate.receivedAt > REPORT_LIFETIME_NANOS);
--- a/src/main/java/org/cuminshelf/backpressure/UpstreamBackoffs.java
+++ b/src/main/java/org/cuminshelf/backpressure/UpstreamBackoffs.java
@@ -7,36 +7,36 @@
 import org.cuminshelf.core.Durations;
 
 /**
- * Rest that upstreams asked for when they refused a request, by the identity of their starts: a circuit breaker whose
- * time the upstream states.
+ * Backoff periods that upstream instances requested when they refused a request: a circuit breaker whose open period
+ * the upstream states.
  *
- * <p>Failure it guards against: an upstream in need refuses all that comes and asks for some seconds without requests,
- * and each entry tries it again with every call, or with all calls at once when the time is over. After a rest one
- * request goes at a time until an answer shows that the upstream takes them again. A success of what was sent before
- * ends no rest.
+ * <p>Without it each entry would go on sending every call to an overloaded upstream that refuses them all and asks for
+ * some seconds without requests, or would send all waiting calls at once when the period ends. After the period one
+ * probe request is sent at a time, until an answer shows that the upstream accepts requests again. A success of a
+ * request that was sent before the period ended doesn't close the breaker.
  *
- * <p>Rest is asked of one VM. What other entries were asked for is a reason to prefer another upstream, and no more.
+ * <p>A backoff applies to one VM. A backoff that another entry received only makes other upstreams preferable.
  */
 public final class UpstreamBackoffs {
 
     /**
-     * Rest that this entry was asked for, for the other entries.
+     * The rest of a backoff period that this entry observes, for the other entries.
      *
-     * @param instanceId     identity of the upstream's start
-     * @param remainingNanos how much of it is left
+     * @param instanceId     identity of the upstream instance
+     * @param remainingNanos nanoseconds until the period ends
      */
     public record RemainingBackoff(String instanceId, long remainingNanos) {}
 
-    /** Time after which one more request is tried after a rest: refusals come much sooner. */
+    /** Time after a probe until the next one; an upstream that refuses a probe answers much sooner. */
     private static final long PROBE_INTERVAL_NANOS = Durations.nanos(250);
 
-    /** Time without any request after which a rest that is over is forgotten. */
+    /** Time without any request after which a period that has ended is removed. */
     private static final long IDLE_RETENTION_NANOS = Durations.nanos(60_000);
 
-    /** What one start asked for. */
+    /** The backoff of one upstream instance. */
     private static final class Backoff {
         private long until;
-        /** When the last request after the rest was tried; the rest goes on until one is answered. */
+        /** When the last probe was sent; the backoff stays in force until one succeeds. */
         private long probedAt = Long.MIN_VALUE / 2;
 
         private Backoff(long until) {
@@ -49,13 +49,13 @@
     }
 
     private final Map<String, Backoff> backoffs = new HashMap<>();
-    /** When the rest ends that other entries were asked for. */
+    /** When the periods end that other entries received, by instance. */
     private final Map<String, Long> remoteEnds = new HashMap<>();
 
     private UpstreamBackoffs() {}
 
     /**
-     * Makes a table in which no upstream rests.
+     * Creates an empty table.
      *
      * @return the table
      */
@@ -64,11 +64,11 @@
     }
 
     /**
-     * Takes a refusal that asks for rest. A shorter one that comes later ends no longer one.
+     * Processes a refusal that requests a backoff. It never shortens a period in force.
      *
-     * @param now   when it came, in nanoseconds
-     * @param instanceId identity of the upstream's start
-     * @param duration  how long it wants nothing from here
+     * @param now        when the refusal was received, in nanoseconds
+     * @param instanceId identity of the upstream instance
+     * @param duration   how long the upstream wants no request from this VM
      */
     public void onBackoffRequested(long now, String instanceId, Duration duration) {
         Backoff known = backoffs.computeIfAbsent(instanceId, key -> new Backoff(now));
@@ -76,10 +76,10 @@
     }
 
     /**
-     * Takes any other answer. It ends a rest that is over in time, if its request was sent after that.
+     * Processes any other answer. It ends the backoff if its request was sent after the period.
      *
-     * @param instanceId  identity of the upstream's start
-     * @param sentAt when its request was sent, in nanoseconds
+     * @param instanceId identity of the upstream instance
+     * @param sentAt     when the request was sent, in nanoseconds
      */
     public void onAnswer(String instanceId, long sentAt) {
         Backoff known = backoffs.get(instanceId);
@@ -89,20 +89,20 @@
     }
 
     /**
-     * Takes rest that another entry was asked for.
+     * Processes a backoff that another entry observes.
      *
-     * @param now  the time in nanoseconds
-     * @param report what is left of it
+     * @param now    the time in nanoseconds
+     * @param report the report of the other entry
      */
     public void onRemoteReport(long now, RemainingBackoff report) {
         remoteEnds.merge(report.instanceId(), now + report.remainingNanos(), Math::max);
     }
 
     /**
-     * Tells when a request may be sent to an upstream.
+     * Returns the earliest time at which a request may be sent to an upstream.
      *
-     * @param instanceId identity of its start
-     * @return a time in nanoseconds; {@link Long#MIN_VALUE} where it asked for nothing
+     * @param instanceId identity of the upstream instance
+     * @return a time in nanoseconds; {@link Long#MIN_VALUE} without a backoff
      */
     public long nextSendTime(String instanceId) {
         Backoff known = backoffs.get(instanceId);
@@ -110,30 +110,30 @@
     }
 
     /**
-     * Tells whether any upstream may have asked another entry for rest that isn't over.
+     * Checks whether another entry may observe a backoff that has not ended.
      *
-     * @return false if none did
+     * @return false if none does
      */
     public boolean hasRemoteBackoffs() {
         return !remoteEnds.isEmpty();
     }
 
     /**
-     * Tells whether an upstream asked another entry for rest that isn't over.
+     * Checks whether another entry observes a backoff of an upstream that has not ended.
      *
-     * @param now   the time in nanoseconds
-     * @param instanceId identity of its start
-     * @return true if it did
+     * @param now        the time in nanoseconds
+     * @param instanceId identity of the upstream instance
+     * @return true if one does
      */
     public boolean isBackedOffRemotely(long now, String instanceId) {
         return remoteEnds.getOrDefault(instanceId, Long.MIN_VALUE) > now;
     }
 
     /**
-     * Takes note of a request that is sent.
+     * Records that a request is sent to an upstream.
      *
-     * @param now   the time in nanoseconds
-     * @param instanceId identity of the upstream's start
+     * @param now        the time in nanoseconds
+     * @param instanceId identity of the upstream instance
      */
     public void onRequestSent(long now, String instanceId) {
         Backoff known = backoffs.get(instanceId);
@@ -143,7 +143,7 @@
     }
 
     /**
-     * Forgets what is over.
+     * Removes backoffs that have ended.
      *
      * @param now the time in nanoseconds
      */
@@ -153,10 +153,10 @@
     }
 
     /**
-     * What the other entries should hear.
+     * Returns the backoffs to report to the other entries.
      *
      * @param now the time in nanoseconds
-     * @return rest that this entry was asked for and that isn't over
+     * @return backoff periods of this entry that have not ended
      */
     public List<RemainingBackoff> localReports(long now) {
         return backoffs.entrySet().stream()
@@ -166,7 +166,7 @@
     }
 
     /**
-     * Counts the upstreams that asked this entry for rest which isn't over.
+     * Counts the upstreams whose backoff period at this entry has not ended.
      *
      * @param now the time in nanoseconds
      * @return their number
--- a/src/main/java/org/cuminshelf/backpressure/UpstreamRateLimit.java
+++ b/src/main/java/org/cuminshelf/backpressure/UpstreamRateLimit.java
@@ -7,14 +7,14 @@
 import org.cuminshelf.core.Core;
 import org.cuminshelf.core.Durations;
 
-/** The limit that one start of an upstream states, and the part of it that this entry may use. */
+/** The rate limit that one upstream instance advertises, and this entry's share of it. */
 final class UpstreamRateLimit {
 
     /**
-     * What the upstream said last.
+     * The limit that an upstream advertised, or that it advertises none.
      *
-     * @param perSecond requests a second; empty once it names no limit any more
-     * @param validAt        when that was known to hold, in nanoseconds
+     * @param perSecond requests per second; empty if the upstream advertises no limit
+     * @param validAt   the latest time at which this is known to have held, in nanoseconds
      */
     record LimitState(OptionalDouble perSecond, long validAt) {}
 
@@ -23,7 +23,7 @@
     private final String instanceId;
     private final String service;
     private LimitState latest = new LimitState(OptionalDouble.empty(), Long.MIN_VALUE);
-    /** Whether this entry itself heard the newest statement, and not from another entry. */
+    /** Whether this entry received the latest state from the upstream, as opposed to from another entry. */
     private boolean receivedLocally;
 
     private long lastActiveAt;
@@ -43,7 +43,7 @@
         return service;
     }
 
-    /** Requests a second that it takes now, if it states a limit. */
+    /** Requests per second that the upstream accepts now; empty if it advertises no limit. */
     OptionalDouble perSecond() {
         return latest.perSecond();
     }
@@ -56,29 +56,33 @@
         return receivedLocally;
     }
 
-    /** When anything was last heard of it or sent there, in nanoseconds. */
+    /** When a state was last received or a request last sent, in nanoseconds. */
     long lastActiveAt() {
         return lastActiveAt;
     }
 
-    /** Takes what an answer says that came just now, to a request that was sent at {@code sentAt}. */
+    /**
+     * Processes the limit in an answer that was received at {@code now}, to a request that was sent at {@code sentAt}.
+     */
     void onAnswer(long now, long sentAt, AdvertisedLimit advertised) {
         switch (advertised) {
             case AdvertisedLimit.PerSecond(double requestsPerSecond) ->
                 update(now, new LimitState(OptionalDouble.of(requestsPerSecond), now), true);
             case AdvertisedLimit.Unlimited() -> update(now, new LimitState(OptionalDouble.empty(), sentAt), true);
             case AdvertisedLimit.Malformed malformed -> {
-                // The upstream may still be in need: what was known of it stands.
+                // The upstream may still be overloaded, so the latest known limit stays in force.
             }
         }
     }
 
-    /** Takes what another entry heard. */
+    /** Processes a state that another entry received. */
     void onRemoteState(long now, LimitState state) {
         update(now, state, false);
     }
 
-    /** The newest statement holds: answers overtake each other, and so does what entries tell of them. */
+    /**
+     * Applies a state if it is the latest: answers may arrive out of order, and so may the reports of other entries.
+     */
     private void update(long now, LimitState state, boolean receivedLocally) {
         lastActiveAt = now;
         if (state.validAt() > latest.validAt()) {
@@ -88,7 +92,7 @@
         }
     }
 
-    /** Reckons this entry's part of the limit anew. */
+    /** Recalculates this entry's share of the limit. */
     void applyShare(long now, double localShare, Address self, List<Address> entries) {
         if (latest.perSecond().isEmpty()) {
             return;
@@ -105,8 +109,9 @@
     }
 
     /**
-     * Part of an interval after which this entry's first permit comes: each entry has another place in it, the same by
-     * the reckoning of all, so that their permits come one after the other.
+     * Returns the fraction of an interval after which this entry's first permit becomes available. All entries
+     * calculate the same order from their addresses, so that each takes a different place in the interval and their
+     * permits are evenly spread.
      */
     private double initialPhase(Address self, List<Address> entries) {
         long ownHash = hashOf(self);
@@ -119,7 +124,7 @@
         return LongHashFunction.xx3().hashChars(entry.value() + "/" + instanceId);
     }
 
-    /** When the next request may be sent there, in nanoseconds; {@link Long#MIN_VALUE} without a limit. */
+    /** When the next request may be sent, in nanoseconds; {@link Long#MIN_VALUE} without a limit. */
     long nextPermitTime(long now) {
         if (latest.perSecond().isEmpty()) {
             return Long.MIN_VALUE;
--- a/src/main/java/org/cuminshelf/backpressure/UpstreamRateLimits.java
+++ b/src/main/java/org/cuminshelf/backpressure/UpstreamRateLimits.java
@@ -12,50 +12,53 @@
 import org.cuminshelf.core.Durations;
 
 /**
- * The limits that upstreams state on requests from all VMs together, by the identity of their starts, and the part of
- * each that this entry may use.
+ * The rate limits that upstream instances advertise on requests from all VMs together, and this entry's share of each.
  *
- * <p>Failure it guards against: an upstream in need says how much it can take, and each entry goes on as before, or
- * sends as much by itself as the upstream takes from all. Each entry takes the part of the limit that it has of all
- * calls for the service, by what entries tell each other. Parts that rest on old news add up to a little more or less
- * than the limit for a moment; the permits of one that is gone come free once it tells nothing any more.
+ * <p>Without a shared limit an overloaded upstream that advertises how much it accepts would still receive each entry's
+ * usual traffic, or as much from each entry as it accepts from all of them. So each entry takes a share of the limit in
+ * proportion to its share of all calls for the service, which entries report to each other. Shares that are calculated
+ * from old reports may for a moment add up to slightly more or less than the limit. The share of an entry that has
+ * stopped is redistributed once its reports expire.
  */
 public final class UpstreamRateLimits {
 
     /**
-     * What changed for an upstream.
+     * A change of an upstream's limit.
      *
-     * @param before requests a second before, empty where there was no limit
-     * @param after  requests a second from now on, empty where there is no limit any more
+     * @param before requests per second before the change; empty if there was no limit
+     * @param after  requests per second from now on; empty if there is no limit
      */
     public record LimitChange(OptionalDouble before, OptionalDouble after) {}
 
     /**
-     * What this entry heard from an upstream, for the other entries.
+     * A limit that an upstream advertised to this entry, for the other entries.
      *
-     * @param instanceId     identity of the upstream's start
-     * @param perSecond requests a second that it takes, empty once it names no limit any more
-     * @param ageNanos  how long ago that was known to hold
+     * @param instanceId identity of the upstream instance
+     * @param perSecond  requests per second that it accepts; empty if it no longer advertises a limit
+     * @param ageNanos   nanoseconds since this was known to hold
      */
     public record LimitReport(String instanceId, OptionalDouble perSecond, long ageNanos) {}
 
     /**
-     * Calls at this entry, for the other entries.
+     * The rate of calls at one entry, for the other entries.
      *
-     * @param service   the service that they are for
-     * @param perSecond calls a second
+     * @param service   the service that the calls are for
+     * @param perSecond calls per second
      */
     public record CallRateReport(String service, double perSecond) {}
 
     private static final long SHARE_UPDATE_INTERVAL_NANOS = Durations.nanos(100);
-    /** Time for which the end of a limit is told: each entry hears of it several times. */
+    /** Time for which the removal of a limit is reported, so that several reports reach each entry. */
     private static final long REMOVAL_REPORT_PERIOD_NANOS = Durations.nanos(2_000);
     /**
-     * Time that news of another entry may have taken. It counts as older by it, so that an entry's own word goes first
-     * where both are of one moment.
+     * Time that a report from another entry is assumed to have been in transit. Its state counts as older by this, so
+     * that what this entry received itself takes precedence over a report of the same time.
      */
     private static final long ASSUMED_REPORT_DELAY_NANOS = Durations.nanos(50);
-    /** Time without any news after which a start is forgotten; one that lives is spoken of four times a second. */
+    /**
+     * Time without a report or a request after which an instance is removed; a running one is reported four times a
+     * second.
+     */
     private static final long IDLE_RETENTION_NANOS = Durations.nanos(60_000);
 
     private final Address self;
@@ -69,9 +72,9 @@
     }
 
     /**
-     * Makes a table in which no upstream states a limit.
+     * Creates an empty table.
      *
-     * @param self the address of this entry, as the others know it
+     * @param self the address of this entry, as the other entries know it
      * @return the table
      */
     public static UpstreamRateLimits create(Address self) {
@@ -79,25 +82,26 @@
     }
 
     /**
-     * Takes note of a call.
+     * Counts a call.
      *
      * @param now     the time in nanoseconds
-     * @param service the service that it is for
+     * @param service the service that the call is for
      */
     public void onCall(long now, String service) {
         callRatesOf(now, service).local().onCall(now);
     }
 
     /**
-     * Takes what an answer says. One without a limit lifts a limit only if its request was sent after the limit was
-     * last named: answers overtake each other, and the head of a long stream was written before.
+     * Processes the limit in an answer. An answer without a limit removes the known limit only if its request was sent
+     * after that limit was last received: answers may arrive out of order, and the head of a long stream was written
+     * earlier.
      *
-     * @param now     when it came, in nanoseconds
-     * @param instanceId   identity of the upstream's start that gave it
-     * @param service the service of the upstream
-     * @param sentAt  when its request was sent, in nanoseconds
-     * @param advertised  what it says
-     * @return what changed, if anything
+     * @param now        when the answer was received, in nanoseconds
+     * @param instanceId identity of the upstream instance that sent it
+     * @param service    the service of the upstream
+     * @param sentAt     when the request was sent, in nanoseconds
+     * @param advertised the limit in the answer
+     * @return the change of the limit, if it changed
      */
     public Optional<LimitChange> onAnswer(
             long now, String instanceId, String service, long sentAt, AdvertisedLimit advertised) {
@@ -114,12 +118,12 @@
     }
 
     /**
-     * Takes what another entry heard from an upstream.
+     * Processes a limit that another entry received from an upstream.
      *
      * @param now     the time in nanoseconds
      * @param service the service of the upstream
-     * @param report   what it heard
-     * @return what changed, if anything
+     * @param report  the report of the other entry
+     * @return the change of the limit, if it changed
      */
     public Optional<LimitChange> onRemoteReport(long now, String service, LimitReport report) {
         if (report.perSecond().isPresent()) {
@@ -139,11 +143,11 @@
     }
 
     /**
-     * Takes how many calls another entry has.
+     * Processes the rate of calls at another entry.
      *
      * @param now    the time in nanoseconds
-     * @param entry  the entry
-     * @param report what it told
+     * @param entry  the other entry
+     * @param report its report
      */
     public void onRemoteReport(long now, Address entry, CallRateReport report) {
         callRatesOf(now, report.service()).onRemoteRate(now, entry, report.perSecond());
@@ -168,9 +172,9 @@
     }
 
     /**
-     * Tells whether an upstream states a limit now.
+     * Checks whether an upstream advertises a limit now.
      *
-     * @param instanceId identity of its start
+     * @param instanceId identity of the upstream instance
      * @return true if it does
      */
     public boolean isLimited(String instanceId) {
@@ -179,11 +183,12 @@
     }
 
     /**
-     * Tells when a request may be sent to an upstream.
+     * Returns the earliest time at which the limit allows a request to an upstream.
      *
-     * @param now   the time in nanoseconds
-     * @param instanceId identity of its start
-     * @return a time in nanoseconds, not after {@code now} if one may be sent now
+     * @param now        the time in nanoseconds
+     * @param instanceId identity of the upstream instance
+     * @return a time in nanoseconds, not after {@code now} if a request may be sent now; {@link Long#MIN_VALUE} without
+     *         a limit
      */
     public long nextPermitTime(long now, String instanceId) {
         UpstreamRateLimit limit = limits.get(instanceId);
@@ -191,40 +196,40 @@
     }
 
     /**
-     * Tells whether a request may be sent to an upstream now.
+     * Checks whether the limit allows a request to an upstream now.
      *
-     * @param now   the time in nanoseconds
-     * @param instanceId identity of its start
-     * @return true if it may
+     * @param now        the time in nanoseconds
+     * @param instanceId identity of the upstream instance
+     * @return true if it does
      */
     public boolean hasPermit(long now, String instanceId) {
         return nextPermitTime(now, instanceId) <= now;
     }
 
     /**
-     * Uses a permit, for a request that is sent, or to keep it for one that will be.
+     * Takes a permit, for a request that is sent now or to reserve it for a later one.
      *
-     * @param now   the time in nanoseconds
-     * @param instanceId identity of the upstream's start
+     * @param now        the time in nanoseconds
+     * @param instanceId identity of the upstream instance
      */
     public void takePermit(long now, String instanceId) {
         Optional.ofNullable(limits.get(instanceId)).ifPresent(limit -> limit.takePermit(now));
     }
 
     /**
-     * Takes back a permit that was kept.
+     * Returns a reserved permit that was not used.
      *
-     * @param instanceId identity of the upstream's start
+     * @param instanceId identity of the upstream instance
      */
     public void returnPermit(String instanceId) {
         Optional.ofNullable(limits.get(instanceId)).ifPresent(UpstreamRateLimit::returnPermit);
     }
 
     /**
-     * Reckons parts anew and forgets starts that are gone.
+     * Recalculates this entry's shares and removes idle instances.
      *
-     * @param now   the time in nanoseconds
-     * @param knownEntries all entries that are known, this one among them
+     * @param now          the time in nanoseconds
+     * @param knownEntries all entries that are known, including this one
      */
     public void tick(long now, List<Address> knownEntries) {
         entries = knownEntries;
@@ -237,11 +242,11 @@
     }
 
     /**
-     * What the other entries should hear: what upstreams said to this one of their limits, and of the end of a limit
-     * for a while.
+     * Returns the limits to report to the other entries: those that upstreams advertised to this entry, and for a while
+     * the removal of a limit.
      *
      * @param now the time in nanoseconds
-     * @return the newest statement of each upstream
+     * @return the latest state of each upstream instance
      */
     public List<LimitReport> localLimitReports(long now) {
         return limits.values().stream()
@@ -256,10 +261,10 @@
     }
 
     /**
-     * The calls at this entry for services of which an upstream states a limit.
+     * Returns the rates of calls at this entry for the services of which an upstream advertises a limit.
      *
      * @param now the time in nanoseconds
-     * @return calls a second of each such service
+     * @return calls per second for each of these services
      */
     public Collection<CallRateReport> localCallRateReports(long now) {
         Set<String> services = new HashSet<>();
@@ -273,7 +278,7 @@
     }
 
     /**
-     * Counts the upstreams that state a limit now.
+     * Counts the upstream instances that advertise a limit now.
      *
      * @return their number
      */
--- a/src/main/java/org/cuminshelf/backpressure/package-info.java
+++ b/src/main/java/org/cuminshelf/backpressure/package-info.java
@@ -1,5 +1,6 @@
 /**
- * What upstreams in need ask of those that send them requests. Here stands what each start asked for, as its answers
- * say it; there is no network, no clock and no name of the wire here.
+ * Flow control that upstreams request in their answers: rate limits, backoff periods and notices of departure. The
+ * package keeps this state for each upstream instance, that is, one process start of an upstream. It does no I/O, reads
+ * no clock and knows no header names.
  */
 package org.cuminshelf.backpressure;
--- a/src/test/java/org/cuminshelf/backpressure/LimitSharingSimulation.java
+++ b/src/test/java/org/cuminshelf/backpressure/LimitSharingSimulation.java
@@ -9,19 +9,20 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * Plays ways to share one limit among entries, in virtual time, with calls that come at random and news of each other
- * that is late. Run by hand for the table of the design note; a request that finds no permit goes to another upstream.
+ * Simulates strategies to share one limit among entries, in virtual time, with calls at random times and delayed
+ * reports between entries. The {@code main} method prints a table that compares them; a request that finds no permit
+ * counts as sent to another upstream.
  */
 final class LimitSharingSimulation {
 
-    /** How an entry comes to its share of a limit. */
+    /** How an entry's share of a limit is calculated. */
     enum SharingStrategy {
         EQUAL,
         OWNERS,
         DEMAND
     }
 
-    /** How calls are spread over entries. */
+    /** How calls are distributed over entries. */
     enum Traffic {
         EVEN,
         ONE_ENTRY,
@@ -32,7 +33,7 @@
     private static final double NANOS_PER_SECOND = 1e9;
     private static final double STEP_NANOS = NANOS_PER_SECOND / 1_000;
     private static final double DURATION_SECONDS = 20;
-    /** Calls a second of a usual entry, each of which may go to the upstream with the limit. */
+    /** Calls per second at a usual entry, each of which may be sent to the upstream with the limit. */
     private static final double CALLS_PER_ENTRY_PER_SECOND = 14;
 
     private static final int REPORT_INTERVAL_STEPS = 100;
@@ -88,10 +89,10 @@
     }
 
     /**
-     * What came of a play.
+     * The result of a simulation.
      *
-     * @param used  part of the limit that was used, or of the calls where there were fewer
-     * @param worst requests in the worst 4 s
+     * @param used  fraction of the limit that was used, or of the calls if these were fewer
+     * @param worst the largest number of requests within 4 s
      */
     record Outcome(double used, int worst) {}
 
--- a/src/test/java/org/cuminshelf/backpressure/LimitSharingTest.java
+++ b/src/test/java/org/cuminshelf/backpressure/LimitSharingTest.java
@@ -4,7 +4,7 @@
 
 import net.jqwik.api.Example;
 
-/** Guards against entries that together send more than one upstream's limit, however calls are spread over them. */
+/** Guards against entries that together exceed one upstream's limit, however calls are distributed over them. */
 class LimitSharingTest {
 
     private static final double[] LIMITS_PER_SECOND = {0.5, 5, 50, 200};
--- a/src/test/java/org/cuminshelf/backpressure/PermitScheduleTest.java
+++ b/src/test/java/org/cuminshelf/backpressure/PermitScheduleTest.java
@@ -9,7 +9,7 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
 
-/** Permits at even intervals that lapse. */
+/** Tests of permits that become available at even intervals and expire. */
 class PermitScheduleTest {
 
     private static final double INTERVAL_NANOS = 100;
@@ -33,7 +33,7 @@
         assertThat(tryTake(200)).isTrue();
     }
 
-    /** Guards against a burst of what was not used while an entry was idle or stood still. */
+    /** Guards against a burst of the permits that an entry did not use while it was idle or paused. */
     @Example
     void unusedPermitsExpire() {
         int used = 0;
--- a/src/test/java/org/cuminshelf/backpressure/TestBackpressureHeaders.java
+++ b/src/test/java/org/cuminshelf/backpressure/TestBackpressureHeaders.java
@@ -4,16 +4,16 @@
 import java.util.Optional;
 import org.eclipse.jetty.http.HttpFields;
 
-/** What a stand-in for an upstream asks for, in headers with the shortest names. */
+/** Test format of flow control signals: headers with minimal names, for simulated upstreams. */
 public final class TestBackpressureHeaders {
 
     private TestBackpressureHeaders() {}
 
     /**
-     * Reads what the head of an answer asks for.
+     * Reads the signals in the head of an answer.
      *
      * @param headers all headers
-     * @return what they ask for
+     * @return the signals
      */
     public static BackpressureSignals read(HttpFields headers) {
         String limit = headers.get("Limit");
--- a/src/test/java/org/cuminshelf/backpressure/UpstreamRateLimitsTest.java
+++ b/src/test/java/org/cuminshelf/backpressure/UpstreamRateLimitsTest.java
@@ -8,7 +8,7 @@
 import org.cuminshelf.core.Address;
 import org.cuminshelf.core.Durations;
 
-/** What is known of limits that upstreams state. */
+/** Tests of the rate limits that upstreams advertise. */
 class UpstreamRateLimitsTest {
 
     private static final AdvertisedLimit UNLIMITED = new AdvertisedLimit.Unlimited();
@@ -40,7 +40,7 @@
         assertThat(onAnswer(40, 6, perSecond(3))).isEmpty();
     }
 
-    /** Guards against a limit that is lifted by an answer which was written before the limit was named. */
+    /** Guards against the removal of a limit by an answer that was written before the limit was advertised. */
     @Example
     void onlyTheAnswerToALaterRequestRemovesALimit() {
         onAnswer(20, 6, perSecond(5));
@@ -63,7 +63,10 @@
                 now, "s", new UpstreamRateLimits.LimitReport("u", OptionalDouble.of(perSecond), age));
     }
 
-    /** Guards against news that were under way while this entry heard the contrary, and count as newer. */
+    /**
+     * Guards against a report that was in transit while this entry received a newer state, and that then counts as
+     * newer.
+     */
     @Example
     void aLocalAnswerTakesPrecedenceOverARemoteReportOfTheSameTime() {
         long answeredAt = Durations.nanos(1_000);
