--- a/src/main/java/org/cuminshelf/planning/BalancedPlanner.java
+++ b/src/main/java/org/cuminshelf/planning/BalancedPlanner.java
@@ -6,52 +6,52 @@
 import org.cuminshelf.message.Role;
 
 /**
- * Keeps engines in the roles in which the busier role has most room: with demands of {@code a} engines' worth of
- * reading and {@code b} of generation, {@code p} of {@code n} engines read such that the larger of {@code a / p} and
+ * Assigns roles so that the utilization of the busier role is lowest: with demands of {@code a} engines' worth of
+ * prefill and {@code b} of decode, {@code p} of {@code n} engines prefill such that the larger of {@code a / p} and
  * {@code b / (n - p)} is least.
  *
- * <p>A split that merely suffices on average is not good enough where the other role idles: prompts come in clumps, and
- * wait for each other long before the engines that read them are taken all the time.
+ * <p>A split that merely suffices on average is not good enough while the other role is idle: prompts arrive in bursts
+ * and queue long before the prefill engines are fully utilized.
  *
- * <p>A change costs seconds of an engine, so it is made only where it takes a part off the busier role's use that
- * matters.
+ * <p>A role change takes an engine out of service for seconds, so it is made only if it reduces the utilization of the
+ * busier role by a sufficient fraction. A decision changes at most one engine.
  */
 public final class BalancedPlanner implements RolePlanner {
 
     private static final double NANOS_PER_SECOND = 1e9;
     private static final double MICROS_PER_SECOND = 1e6;
-    /** Seconds after which a change of the mix is mostly believed: some swings of three seconds. */
+    /** Time constant of the demand forecasts: a few times the three seconds for which the mix oscillates. */
     private static final double SMOOTHING_SECONDS = 8;
     /**
-     * Part of the busier role's use that a change must take off while that role is not overloaded. With a seventh
-     * instead of three tenths, heavy days in which engines crashed were worth 0.09 less than without any change: the
-     * engine moved was missed a few seconds later.
+     * Fraction of the busier role's utilization that a change must remove while that role is not overloaded. With a
+     * seventh instead of three tenths, heavy days in which engines crashed were worth 0.09 less than without any
+     * change: the engine that was moved was needed in its old role a few seconds later.
      */
     private static final double MIN_GAIN = 0.3;
-    /** The same where the busier role can't do what it is asked for. */
+    /** The same fraction while the busier role is overloaded. */
     private static final double MIN_GAIN_OVERLOADED = 0.15;
-    /** Use below which nothing waits: there a change wins nothing, whatever part it takes off. */
+    /** Utilization below which nothing queues, so that no change is an improvement, whatever fraction it removes. */
     private static final double MIN_UTILIZATION = 0.5;
 
     /**
-     * Seconds in which a peak of the places asked for is mostly forgotten: longer than blocks of a mix last. Prompts
-     * that come at once wait for each other, and engines that generate read some of them; streams that find no place
-     * are refused. Without it one of four engines was left to generate 2 s before a burst of long answers, and a third
-     * of all requests were refused in the 14 s after it; with it a ninth (one play each).
+     * Time constant with which a peak of the decode load decays: longer than one phase of the mix lasts. Prompts that
+     * arrive at once queue, so some decode engines also prefill them, and streams that find no free slot are refused.
+     * Without the peak only one of four engines was left to decode 2 s before a burst of long answers, and a third of
+     * all requests were refused in the 14 s after it; with it a ninth (one run each).
      */
     private static final double PEAK_DECAY_SECONDS = 16;
 
-    /** Part of an engine's places that may be taken. */
+    /** Fraction of an engine's slots that may be occupied. */
     private static final double USABLE_SLOT_SHARE = 0.85;
 
     /**
-     * Seconds after the first work offered until which caches are cold and what engines take is not learnt yet, so that
-     * reading looks dearer than it is.
+     * Seconds after the first demand in which no change is made: caches are cold and engine times are not yet fitted,
+     * so prefill looks more expensive than it is.
      */
     private static final int WARM_UP_SECONDS = 8;
     /**
-     * Seconds of it that forecasts leave out: in the first ones after a restart of everything, reading looked three
-     * times what it was, and forecasts showed it for 15 s.
+     * Seconds after the first demand that forecasts leave out: in the first seconds after a restart of everything
+     * prefill looked three times as expensive as it was, which showed in the forecasts for 15 s.
      */
     private static final int COLD_START_SECONDS = 4;
 
@@ -67,8 +67,8 @@
     }
 
     /**
-     * Makes a planner that has seen nothing. It takes demands in microseconds: of an engine that only reads prompts,
-     * and of a place of one that generates.
+     * Creates a planner without observations. Its demands are in microseconds: of prefill engine time, and of occupied
+     * decode slots.
      *
      * @param slotsPerEngine requests that one engine runs at once
      * @return the planner
@@ -130,21 +130,21 @@
         decodeLoad.observe(nowSeconds, slotForecast.rateAhead(0) / MICROS_PER_SECOND / usableSlotsPerEngine);
     }
 
-    /** The number of engines that read, one more or less than there are if that gains enough. */
+    /** Returns the number of prefill engines: one more or less than now if that is a sufficient improvement. */
     private int bestPrefillEngines(int present, int engines) {
         double current = utilization(present, engines);
         double more = utilization(present + 1, engines);
         double less = utilization(present - 1, engines);
         double lowest = Math.min(more, less);
         double minGain = current > 1 ? MIN_GAIN_OVERLOADED : MIN_GAIN;
-        boolean pays = current > MIN_UTILIZATION && lowest < (1 - minGain) * current;
-        if (!pays) {
+        boolean worthwhile = current > MIN_UTILIZATION && lowest < (1 - minGain) * current;
+        if (!worthwhile) {
             return present;
         }
         return more <= less ? present + 1 : present - 1;
     }
 
-    /** The use of the busier role, as a part of what it can do. */
+    /** Returns the utilization of the busier role; 1 is its capacity. */
     private double utilization(int prefillEngines, int engines) {
         if (prefillEngines < 1 || prefillEngines >= engines) {
             return Double.MAX_VALUE;
@@ -152,12 +152,12 @@
         return Math.max(prefillLoad() / prefillEngines, decodeLoad.peak() / (engines - prefillEngines));
     }
 
-    /** Reading that is asked for, in engines. */
+    /** Returns the current prefill demand, in engines. */
     private double prefillLoad() {
         return prefillForecast.rateAhead(0) / MICROS_PER_SECOND;
     }
 
-    /** The engine with the fewest streams: it is free soonest. */
+    /** Picks the engine with the fewest streams, which is free soonest. */
     private static Optional<RoleChange> changeIdlest(List<EngineSnapshot> engines, Role from, Role to) {
         return engines.stream()
                 .filter(engine -> engine.role() == from && engine.runningStreams() != Integer.MAX_VALUE)
--- a/src/main/java/org/cuminshelf/planning/CostAwarePlanner.java
+++ b/src/main/java/org/cuminshelf/planning/CostAwarePlanner.java
@@ -6,21 +6,23 @@
 import org.cuminshelf.message.Role;
 
 /**
- * Changes roles only where that pays: where the share of the offered work that can be served over the horizon rises by
- * more than the capacity that the change takes away, times the operators' weight.
+ * Changes roles only where the benefit exceeds the cost: where the share of the offered work that can be served over
+ * the horizon rises by more than the capacity that the change takes away, times the weight that the operators
+ * configure.
  *
  * <p>With {@code p} of {@code n} engines for prefill, and demands of {@code a} engines' worth of prefill and {@code b}
- * of decode, the share served is {@code min(1, u p / a, u (n - p) / b)}, since every call needs both. It is flat where
- * both suffice, so that noise there moves nothing: that is the hysteresis, and it needs no threshold of its own.
+ * of decode, the share served is {@code min(1, u p / a, u (n - p) / b)}, since every call needs both; {@code u} is the
+ * usable share of an engine's speed. The share is constant while both roles suffice, so that noise causes no change
+ * there: this hysteresis needs no threshold of its own.
  */
 public final class CostAwarePlanner implements RolePlanner {
 
     private static final double NANOS_PER_SECOND = 1e9;
-    /** Share of an engine's speed that can be used before answers come late. */
+    /** Share of an engine's speed that can be used before answers are late. */
     private static final double USABLE_SPEED_SHARE = 0.85;
 
     private static final double DRAIN_SECONDS = 2;
-    /** Seconds of the whole fleet's goodput that a change must win at least. */
+    /** Least benefit of a change, in seconds of the whole fleet's goodput. */
     private static final double MIN_GAIN_SECONDS = 0.3;
 
     private static final int WARM_UP_SECONDS = 5;
@@ -37,9 +39,9 @@
     }
 
     /**
-     * Makes a planner that has seen nothing yet.
+     * Creates a planner without observations.
      *
-     * @param settings what it goes by
+     * @param settings speeds, costs and limits
      * @return the planner
      */
     public static CostAwarePlanner of(PlannerSettings settings) {
@@ -58,17 +60,17 @@
         }
         List<EngineSnapshot> prefill = withRole(engines, Role.ROLE_PREFILL);
         List<EngineSnapshot> decode = withRole(engines, Role.ROLE_DECODE);
-        int splitEngines = prefill.size() + decode.size();
-        if (splitEngines < settings.minPrefillEngines() + settings.minDecodeEngines()) {
+        int assignedEngines = prefill.size() + decode.size();
+        if (assignedEngines < settings.minPrefillEngines() + settings.minDecodeEngines()) {
             return List.of();
         }
-        int wanted = bestPrefillEngines(prefill.size(), splitEngines);
+        int wanted = bestPrefillEngines(prefill.size(), assignedEngines);
         return wanted > prefill.size()
                 ? changeIdlest(decode, wanted - prefill.size(), Role.ROLE_PREFILL)
                 : changeIdlest(prefill, prefill.size() - wanted, Role.ROLE_DECODE);
     }
 
-    /** The number of prefill engines that serves most over the horizon, the way there counted. */
+    /** Returns the number of prefill engines that serves most over the horizon, net of the cost of the change. */
     private int bestPrefillEngines(int present, int engines) {
         int best = present;
         double bestValue = netServedSeconds(present, present, engines) + MIN_GAIN_SECONDS * settings.roleChangeWeight();
@@ -85,7 +87,7 @@
         return best;
     }
 
-    /** Seconds of served work over the horizon, less what the change costs. */
+    /** Returns seconds of served work over the horizon, net of the cost of the change. */
     private double netServedSeconds(int prefillEngines, int present, int engines) {
         double awaySeconds = settings.roleChangeSeconds() + DRAIN_SECONDS;
         double near = servedShare(prefillEngines, engines, awaySeconds);
@@ -106,7 +108,7 @@
         return engines.stream().filter(engine -> engine.role() == role).toList();
     }
 
-    /** Takes the engines with the fewest streams: they are free soonest. */
+    /** Picks the engines with the fewest streams, which are free soonest. */
     private static List<RoleChange> changeIdlest(List<EngineSnapshot> from, int count, Role to) {
         List<EngineSnapshot> idlestFirst = new ArrayList<>(from);
         idlestFirst.sort(Comparator.comparingInt(EngineSnapshot::runningStreams));
--- a/src/main/java/org/cuminshelf/planning/CumulativeDemand.java
+++ b/src/main/java/org/cuminshelf/planning/CumulativeDemand.java
@@ -1,10 +1,10 @@
 package org.cuminshelf.planning;
 
 /**
- * Work offered since the start, in any unit in which it is known how much an engine does in a second: tokens, or
+ * Work offered since the start, in a unit for which the work that an engine does in a second is known: tokens, or
  * microseconds of engine time.
  *
- * @param prefill reading of prompts, as far as they are not cached
- * @param decode  generation
+ * @param prefill prefill of prompts, without the cached parts
+ * @param decode  generation of output
  */
 public record CumulativeDemand(long prefill, long decode) {}
--- a/src/main/java/org/cuminshelf/planning/DebouncingPlanner.java
+++ b/src/main/java/org/cuminshelf/planning/DebouncingPlanner.java
@@ -5,27 +5,28 @@
 import org.cuminshelf.message.Role;
 
 /**
- * Lets through only what another planner wants for a while without a break, one engine at a time.
+ * Debounces another planner: a change is made only after that planner has wanted the same role for a while without
+ * interruption, one engine at a time.
  *
- * <p>Failure it guards against: the mix swings within seconds, or an engine restarts. A planner that follows each swing
- * takes engines away for seconds at the moment in which they are needed, and its change comes into force when the swing
- * is over; where the mix turned every three seconds within blocks of fourteen, serving with such changes was worth less
- * than never changing a role.
+ * <p>The mix fluctuates within seconds, and engines restart. A planner that follows each fluctuation takes engines out
+ * of service for seconds when they are needed, and its change takes effect when the fluctuation is over. Where the mix
+ * alternated every three seconds within phases of fourteen, serving with such changes was worth less than never
+ * changing a role.
  *
- * <p>An engine that said that it leaves is no swing: it doesn't come back. What is wanted after it is let through as
- * soon as it is wanted twice in a row. With two of three engines that generate gone, waiting as for a swing took 11 s,
- * and 990 calls were refused for want of a place.
+ * <p>An engine that announced that it is leaving doesn't return, so the change that replaces it is made as soon as it
+ * is wanted twice in a row. When two of three decode engines left, waiting for the usual time took 11 s, and 990 calls
+ * were refused for lack of a slot.
  */
 public final class DebouncingPlanner implements RolePlanner {
 
-    /** Times sooner that a change is let through where a role has no engine at all: nothing is served until then. */
+    /** Divisor of the hold time while a role has no engine at all, as nothing is served until the change. */
     private static final int EMPTY_ROLE_HOLD_DIVISOR = 4;
 
     private final RolePlanner delegate;
     private final long holdNanos;
     private Optional<Role> pendingRole = Optional.empty();
     private long pendingSince;
-    /** Until when what is wanted is taken to be wanted for engines that left. */
+    /** Until when changes are taken to replace engines that left, and are made without the hold time. */
     private long noHoldUntil = Long.MIN_VALUE;
 
     private DebouncingPlanner(RolePlanner delegate, long holdNanos) {
@@ -34,20 +35,20 @@
     }
 
     /**
-     * Steadies a planner.
+     * Creates a planner that debounces another.
      *
-     * @param delegate  decides
-     * @param holdNanos nanoseconds for which it must want the same
-     * @return the steady planner
+     * @param delegate  the planner that decides
+     * @param holdNanos nanoseconds for which it must want the same role
+     * @return the planner
      */
     public static DebouncingPlanner of(RolePlanner delegate, long holdNanos) {
         return new DebouncingPlanner(delegate, holdNanos);
     }
 
     /**
-     * The role that an engine is wanted for, whether or not it was wanted for long enough.
+     * Returns the role that the underlying planner wants an engine for, whether or not for long enough.
      *
-     * @return the role, or nothing where all engines are to stay as they are
+     * @return the role, or empty if all engines are to keep their roles
      */
     public Optional<Role> pendingRole() {
         return pendingRole;
@@ -59,8 +60,8 @@
     }
 
     /**
-     * Looks at the engines and the work offered without deciding, as a process does whose turn it is not: should it
-     * have to decide, it knows what the others know.
+     * Observes the engines and the demand without deciding. A process that is not the leader does so, and has the same
+     * observations if it becomes the leader.
      *
      * @param now     the time in nanoseconds
      * @param engines the engines that serve one model
@@ -71,7 +72,7 @@
     }
 
     /**
-     * Notes that an engine said that it leaves, or that it is gone.
+     * Records that an engine announced that it is leaving, or that it has stopped.
      *
      * @param now the time in nanoseconds
      */
@@ -80,7 +81,7 @@
     }
 
     /**
-     * Notes that a change was ordered, by whichever process: the next must be wanted anew.
+     * Records that a change was ordered, by any process, which restarts the hold time.
      *
      * @param now the time in nanoseconds
      */
@@ -92,7 +93,7 @@
     @Override
     public List<RoleChange> plan(long now, List<EngineSnapshot> engines, CumulativeDemand demand) {
         Optional<RoleChange> change = evaluate(now, engines, demand);
-        // What is wanted since this look only may not be wanted at the next.
+        // A change first wanted now may no longer be wanted at the next evaluation.
         if (change.isEmpty() || now == pendingSince || now - pendingSince < requiredHoldNanos(now, engines)) {
             return List.of();
         }
@@ -111,7 +112,7 @@
         return change;
     }
 
-    /** For how long the same must have been wanted, in nanoseconds. */
+    /** Returns the nanoseconds for which the same role must have been wanted. */
     private long requiredHoldNanos(long now, List<EngineSnapshot> engines) {
         if (now < noHoldUntil) {
             return 0;
--- a/src/main/java/org/cuminshelf/planning/DecayingPeak.java
+++ b/src/main/java/org/cuminshelf/planning/DecayingPeak.java
@@ -1,6 +1,6 @@
 package org.cuminshelf.planning;
 
-/** The highest of some values that were seen lately, falling back to the last one seen over time. */
+/** Recent maximum of a value, which decays exponentially towards the last observation. */
 final class DecayingPeak {
 
     private final double decaySeconds;
@@ -13,9 +13,9 @@
     }
 
     /**
-     * Makes a peak of values that are yet to be seen.
+     * Creates a peak without observations.
      *
-     * @param decaySeconds seconds after which a peak stands out by a third of what it did
+     * @param decaySeconds time after which the excess of the peak over the last observation has decayed to 1/e
      * @return the peak
      */
     static DecayingPeak of(double decaySeconds) {
--- a/src/main/java/org/cuminshelf/planning/DemandForecast.java
+++ b/src/main/java/org/cuminshelf/planning/DemandForecast.java
@@ -1,12 +1,12 @@
 package org.cuminshelf.planning;
 
 /**
- * A rate with its trend, from counts that only rise: a fast and a slow exponentially weighted mean, whose difference
- * gives the slope. The trend is followed for a bounded time ahead only, and never below zero.
+ * Forecast of a rate from a monotonic counter: a fast and a slow exponentially weighted mean, whose difference gives
+ * the slope. The trend is extrapolated for a bounded time only, and never below zero.
  */
 final class DemandForecast {
 
-    /** Times the memory of the fast mean that the slow one has. */
+    /** Ratio of the time constants of the slow and the fast mean. */
     private static final double SLOW_FACTOR = 3;
 
     private static final double MAX_AHEAD_SECONDS = 15;
@@ -26,10 +26,10 @@
     }
 
     /**
-     * Begins a forecast.
+     * Creates a forecast without observations.
      *
-     * @param smoothingSeconds seconds after which a change of the rate is mostly believed
-     * @return a forecast that has seen nothing yet
+     * @param smoothingSeconds time constant of the fast mean
+     * @return the forecast
      */
     static DemandForecast of(double smoothingSeconds) {
         return new DemandForecast(smoothingSeconds);
@@ -54,12 +54,15 @@
         lastCount = count;
     }
 
-    /** At first each observation weighs the same: a swing at the start is not to stand for the mix. */
+    /**
+     * Returns the weight of an observation. At first all observations weigh the same, so that a fluctuation at the
+     * start doesn't dominate the means.
+     */
     private double smoothingWeight(double elapsedSeconds, double smoothingSeconds) {
         return Math.max(elapsedSeconds / observedSeconds, 1 - Math.exp(-elapsedSeconds / smoothingSeconds));
     }
 
-    /** The rate expected so many seconds ahead. */
+    /** Returns the rate per second that is expected a number of seconds after the last observation. */
     double rateAhead(double seconds) {
         double slope = (fastMean - slowMean) / (slowSeconds - fastSeconds);
         return Math.max(0, fastMean + slope * Math.min(seconds, MAX_AHEAD_SECONDS));
--- a/src/main/java/org/cuminshelf/planning/EngineSnapshot.java
+++ b/src/main/java/org/cuminshelf/planning/EngineSnapshot.java
@@ -3,11 +3,12 @@
 import org.cuminshelf.message.Role;
 
 /**
- * An engine as a planner sees it.
+ * State of an engine at the time of a planner's decision.
  *
- * @param name     names it
- * @param role     the role in force
- * @param changingRole whether a change is on its way
- * @param runningStreams  streams there
+ * @param name           the name of the engine
+ * @param role           the current role
+ * @param changingRole   whether a role change is in progress
+ * @param runningStreams streams that run on the engine; {@link Integer#MAX_VALUE} makes it unavailable for a change in
+ *                       {@link BalancedPlanner}
  */
 public record EngineSnapshot(String name, Role role, boolean changingRole, int runningStreams) {}
--- a/src/main/java/org/cuminshelf/planning/PlannerSettings.java
+++ b/src/main/java/org/cuminshelf/planning/PlannerSettings.java
@@ -4,16 +4,16 @@
 import org.cuminshelf.config.PlanningConfig;
 
 /**
- * What a planner goes by.
+ * Parameters of a planner.
  *
- * @param prefillTokensPerSecond  prompt tokens a prefill engine takes in a second
- * @param decodeTokensPerSecond   output tokens a decode engine gives in a second
- * @param roleChangeSeconds how long a change takes an engine away, without its draining
- * @param horizonSeconds       seconds ahead over which a change must pay
- * @param smoothingSeconds seconds after which a change of the mix is mostly believed
- * @param roleChangeWeight        how heavily a change weighs; 1 counts its lost capacity once
- * @param minPrefillEngines  fewest prefill engines
- * @param minDecodeEngines   fewest decode engines
+ * @param prefillTokensPerSecond prompt tokens that a prefill engine processes per second
+ * @param decodeTokensPerSecond  output tokens that a decode engine generates per second
+ * @param roleChangeSeconds      how long a role change takes an engine out of service, without draining
+ * @param horizonSeconds         period over which a change must yield a net benefit
+ * @param smoothingSeconds       time constant of the demand forecasts
+ * @param roleChangeWeight       factor on the cost of a change; 1 counts the lost capacity once
+ * @param minPrefillEngines      least number of prefill engines
+ * @param minDecodeEngines       least number of decode engines
  */
 public record PlannerSettings(
         double prefillTokensPerSecond,
@@ -27,11 +27,11 @@
 
     private static final double DEFAULT_ROLE_CHANGE_SECONDS = 5;
     private static final double DEFAULT_HORIZON_SECONDS = 60;
-    /** A mix that moves within minutes is followed within seconds. */
+    /** Follows within seconds a mix that changes within minutes. */
     private static final double DEFAULT_SMOOTHING_SECONDS = 8;
 
     /**
-     * Settings from the operators' folder.
+     * Reads the settings from the configuration.
      *
      * @param planning the planning section
      * @param model    the model whose engines are planned
--- a/src/main/java/org/cuminshelf/planning/RoleChange.java
+++ b/src/main/java/org/cuminshelf/planning/RoleChange.java
@@ -3,9 +3,9 @@
 import org.cuminshelf.message.Role;
 
 /**
- * A change that a planner wants.
+ * A role change that a planner decided.
  *
- * @param engine the engine
- * @param role   the role it is to have
+ * @param engine the name of the engine
+ * @param role   its new role
  */
 public record RoleChange(String engine, Role role) {}
--- a/src/main/java/org/cuminshelf/planning/ThresholdPlanner.java
+++ b/src/main/java/org/cuminshelf/planning/ThresholdPlanner.java
@@ -5,8 +5,8 @@
 import org.cuminshelf.message.Role;
 
 /**
- * The naive baseline: each second it compares how busy the two roles were in the last second and moves one engine
- * towards the busier one, without forecast, cost or hysteresis.
+ * A baseline without forecast, cost or hysteresis: each second it compares the utilization of the two roles over the
+ * last second and moves one engine to the busier one.
  */
 public final class ThresholdPlanner implements RolePlanner {
 
@@ -22,9 +22,9 @@
     }
 
     /**
-     * Makes the baseline.
+     * Creates the planner.
      *
-     * @param settings speeds and floors; the rest is not used
+     * @param settings speeds and least numbers of engines; the rest is not used
      * @return the planner
      */
     public static ThresholdPlanner of(PlannerSettings settings) {
--- a/src/main/java/org/cuminshelf/planning/package-info.java
+++ b/src/main/java/org/cuminshelf/planning/package-info.java
@@ -1,2 +1,5 @@
-/** How the engines of a model are split between prefill and decode as the mix of prompt and output moves. */
+/**
+ * Planners that divide the engines of a model between the prefill and decode roles as the mix of prompts and output
+ * changes.
+ */
 package org.cuminshelf.planning;
--- a/src/test/java/org/cuminshelf/planning/BalancedPlannerTest.java
+++ b/src/test/java/org/cuminshelf/planning/BalancedPlannerTest.java
@@ -8,7 +8,7 @@
 import org.cuminshelf.core.Durations;
 import org.cuminshelf.message.Role;
 
-/** Roles that follow what engines are used for, in engine time. */
+/** Tests of roles that follow the demand in engine time. */
 class BalancedPlannerTest {
 
     private static final int SLOTS_PER_ENGINE = 64;
@@ -20,7 +20,7 @@
     private int seconds;
     private int changes;
 
-    /** Offers work for a while: engines' worth of reading, and places' worth of generation. */
+    /** Offers work for a number of seconds: prefill in engines, and decode in occupied slots. */
     private void offer(int durationSeconds, double prefillEngines, double decodeSlots) {
         for (int index = 0; index < durationSeconds; index++) {
             prefill += (long) (prefillEngines * MICROS_PER_SECOND);
@@ -50,8 +50,8 @@
     }
 
     /*
-     * Prompts wait for each other at two engines that are overloaded, while eleven have a few places taken: a split
-     * that was right for another mix.
+     * Guards against a split that suited an earlier mix: prompts queue at two overloaded prefill engines while eleven
+     * decode engines have only a few slots occupied.
      */
     @Example
     void decodeEnginesWithFreeSlotsMoveToAnOverloadedPrefillRole() {
@@ -69,7 +69,8 @@
     }
 
     /*
-     * Every change takes an engine away for seconds: engines that have next to nothing to do are left as they are.
+     * Guards against changes of engines that have next to nothing to do: every change takes an engine out of service
+     * for seconds.
      */
     @Example
     void idleEnginesKeepTheirRoles() {
@@ -79,9 +80,9 @@
     }
 
     /*
-     * A third of all callers were refused for want of a place: in a lull of long answers, one of the last two engines
-     * that generate was set to read prompts, and two seconds later the long answers came again. Places that were asked
-     * for a moment ago are kept.
+     * Guards against a third of all callers being refused for lack of a slot: in a lull of long answers one of the last
+     * two decode engines was changed to prefill, and two seconds later the long answers resumed. Recent peaks of the
+     * decode load are kept.
      */
     @Example
     void aShortLullInDecodeDemandMovesNoDecodeEngine() {
@@ -91,7 +92,10 @@
         assertThat(changes).isZero();
     }
 
-    /* The first seconds of work, when nothing is learnt, count for nothing, however long control has run by then. */
+    /*
+     * Guards against decisions from the first seconds of demand, when nothing is fitted yet, however long control has
+     * been running.
+     */
     @Example
     void theWarmUpCausesNoRoleChange() {
         addEngines(3, 3);
--- a/src/test/java/org/cuminshelf/planning/DebouncingPlannerTest.java
+++ b/src/test/java/org/cuminshelf/planning/DebouncingPlannerTest.java
@@ -8,7 +8,7 @@
 import org.cuminshelf.core.Durations;
 import org.cuminshelf.message.Role;
 
-/** When engines change their roles under a mix that swings, and under one that stays. */
+/** Tests of role changes under a mix that oscillates, and under one that shifts permanently. */
 class DebouncingPlannerTest {
 
     private static final long HOLD_NANOS = Durations.nanos(8_000);
@@ -27,8 +27,9 @@
     }
 
     /*
-     * Callers wait while engines change their roles to and fro: for three seconds there are more prompts than three
-     * engines can take in, for the next three more output, and each change comes when its swing is over.
+     * Guards against engines that change their roles back and forth while callers wait: for three seconds there are
+     * more prompts than three engines can prefill, for the next three more output, and each change takes effect when
+     * its period is over.
      */
     @Example
     void aMixThatOscillatesWithinSecondsChangesNoRole() {
@@ -40,8 +41,8 @@
     }
 
     /*
-     * Prompts wait for minutes though engines that generate are idle: the mix moved for good. One engine after the
-     * other is moved, until prompts and output are served alike.
+     * Guards against prompts that queue for minutes while decode engines are idle: the mix shifted permanently. One
+     * engine after the other is moved, until prefill and decode are served equally well.
      */
     @Example
     void aPermanentShiftOfTheMixMovesOneEngineAtATime() {
@@ -54,7 +55,8 @@
     }
 
     /*
-     * Nothing can be served: the engines that generate are gone for good, all others only take prompts in.
+     * Guards against a service that can't serve anything: the decode engines have left permanently and all others only
+     * prefill.
      */
     @Example
     void aRoleWithoutEnginesIsFilledSooner() {
