--- a/src/main/java/org/cuminshelf/planning/DecayingPeak.java
+++ b/src/main/java/org/cuminshelf/planning/DecayingPeak.java
@@ -6,7 +6,7 @@
     private final double decaySeconds;
     private double last;
     private double peak;
-    private double lastSeconds;
+    private double lastObservedAtSeconds;
 
     private DecayingPeak(double decaySeconds) {
         this.decaySeconds = decaySeconds;
@@ -23,10 +23,10 @@
     }
 
     void observe(double nowSeconds, double value) {
-        double remainingShare = Math.exp(-Math.max(0, nowSeconds - lastSeconds) / decaySeconds);
+        double remainingShare = Math.exp(-Math.max(0, nowSeconds - lastObservedAtSeconds) / decaySeconds);
         peak = Math.max(value, value + (peak - value) * remainingShare);
         last = value;
-        lastSeconds = nowSeconds;
+        lastObservedAtSeconds = nowSeconds;
     }
 
     double last() {
--- a/src/main/java/org/cuminshelf/planning/DemandForecast.java
+++ b/src/main/java/org/cuminshelf/planning/DemandForecast.java
@@ -15,7 +15,7 @@
     private final double slowSeconds;
     private boolean started;
     private long lastCount;
-    private double lastSeconds;
+    private double lastObservedAtSeconds;
     private double observedSeconds;
     private double fastMean;
     private double slowMean;
@@ -38,11 +38,11 @@
     void observe(double nowSeconds, long count) {
         if (!started) {
             started = true;
-            lastSeconds = nowSeconds;
+            lastObservedAtSeconds = nowSeconds;
             lastCount = count;
             return;
         }
-        double elapsedSeconds = nowSeconds - lastSeconds;
+        double elapsedSeconds = nowSeconds - lastObservedAtSeconds;
         if (elapsedSeconds <= 0) {
             return;
         }
@@ -50,7 +50,7 @@
         observedSeconds += elapsedSeconds;
         fastMean += (rate - fastMean) * smoothingWeight(elapsedSeconds, fastSeconds);
         slowMean += (rate - slowMean) * smoothingWeight(elapsedSeconds, slowSeconds);
-        lastSeconds = nowSeconds;
+        lastObservedAtSeconds = nowSeconds;
         lastCount = count;
     }
 
--- a/src/main/java/org/cuminshelf/planning/RolePlanner.java
+++ b/src/main/java/org/cuminshelf/planning/RolePlanner.java
@@ -2,7 +2,9 @@
 
 import java.util.List;
 
-/** Decides which engines change their role. {@link ThresholdPlanner} and {@link #fixed} are baselines for comparison. */
+/**
+ * Decides which engines change their role. {@link ThresholdPlanner} and {@link #fixed} are baselines for comparison.
+ */
 public interface RolePlanner {
 
     /**
