--- a/src/main/java/org/cuminshelf/engines/EngineLatencyModel.java
+++ b/src/main/java/org/cuminshelf/engines/EngineLatencyModel.java
@@ -4,29 +4,32 @@
 import java.util.Map;
 
 /**
- * What is learnt of the engines of one service.
+ * Latency model of the engines of one service.
  *
- * <p>What all of them have in common is fitted to all observations; an engine that is slower than the others has a
- * factor of its own, see {@link EngineSlowdown}.
+ * <p>One fit is shared by all engines; an engine that is slower than the others has an additional factor, see
+ * {@link EngineSlowdown}.
  */
 public final class EngineLatencyModel {
 
-    /** Milliseconds of a handover before any was seen, and for each thousand tokens. */
+    /** Prior of the handover time: milliseconds, and milliseconds per thousand tokens. */
     private static final double[] PRIOR_HANDOVER_MILLIS = {15, 1};
 
     private static final double[] TYPICAL_HANDOVER_FEATURES = {1, 8};
-    /** Milliseconds between events before any was seen, and for each stream beside it. */
+    /** Prior of the interval between events: milliseconds, and milliseconds per concurrent stream. */
     private static final double[] PRIOR_EVENT_INTERVAL_MILLIS = {60, 1};
 
     private static final double[] TYPICAL_EVENT_INTERVAL_FEATURES = {1, 12};
     private static final double THOUSANDS_PER_TOKEN = 1e-3;
-    /** Part by which one observation moves the running median of the error. */
+    /** Fraction by which one observation moves the running median of the error. */
     private static final double ERROR_STEP = 0.06;
-    /** Prompts seen before engines are told apart: until then what is off is the fit of all of them. */
+    /**
+     * Prompts observed before the slowdown of single engines is estimated; until then a deviation is due to the shared
+     * fit.
+     */
     private static final int MIN_SHARED_PROMPTS = 24;
-    /** Part of the expectation by which it is off before any was seen to be. */
+    /** Relative error assumed before any observation. */
     private static final double INITIAL_ERROR = 0.3;
-    /** Engines remembered beyond those of the largest deployment. */
+    /** Engines whose slowdown is kept; more than the largest deployment has. */
     private static final int MAX_ENGINES = 2_048;
 
     private final PromptLatencyFit prefillOnly = PromptLatencyFit.of(false);
@@ -42,7 +45,7 @@
     private EngineLatencyModel() {}
 
     /**
-     * Makes a model that has seen nothing.
+     * Creates a model without observations.
      *
      * @return the model
      */
@@ -51,9 +54,9 @@
     }
 
     /**
-     * Learns from a prompt that was taken in.
+     * Adds the observation of a prefilled prompt.
      *
-     * @param sample what was seen
+     * @param sample the observation
      */
     public void observePrompt(PromptSample sample) {
         PromptLatencyFit fit = latencyFit(sample.alsoDecodes());
@@ -83,9 +86,9 @@
     }
 
     /**
-     * Learns from a KV cache that another engine took over.
+     * Adds the observation of a KV cache that another engine took over.
      *
-     * @param tokens tokens moved
+     * @param tokens tokens transferred
      * @param millis milliseconds to the first event
      */
     public void observeHandover(int tokens, double millis) {
@@ -93,7 +96,7 @@
     }
 
     /**
-     * Learns from a stream that ended.
+     * Adds the observation of a stream that ended.
      *
      * @param streams streams on the engine
      * @param millis  mean milliseconds between two of its events
@@ -103,13 +106,13 @@
     }
 
     /**
-     * Tells how long an engine is taken up by a prompt.
+     * Predicts how long a prompt occupies an engine.
      *
-     * @param engine        names it
-     * @param alsoDecodes whether it also generates
-     * @param streams       streams that run there
-     * @param cachedTokens          tokens of the prompt that it holds
-     * @param uncachedTokens      tokens that it has to read
+     * @param engine         the name of the engine
+     * @param alsoDecodes    whether the engine also generates output
+     * @param streams        streams that run on the engine
+     * @param cachedTokens   tokens of the prompt that the engine has in its cache
+     * @param uncachedTokens tokens that it has to prefill
      * @return milliseconds
      */
     public double prefillMillis(String engine, boolean alsoDecodes, int streams, int cachedTokens, int uncachedTokens) {
@@ -117,10 +120,10 @@
     }
 
     /**
-     * Tells how long after the end of its work on a prompt an engine shows the first sign of it.
+     * Predicts how long after the end of a prefill the engine's first output is received.
      *
-     * @param engine        names it
-     * @param alsoDecodes whether it also generates
+     * @param engine      the name of the engine
+     * @param alsoDecodes whether the engine also generates output
      * @return milliseconds
      */
     public double latencyMillis(String engine, boolean alsoDecodes) {
@@ -128,9 +131,9 @@
     }
 
     /**
-     * Tells how long a handover takes, from sending the request to the first event.
+     * Predicts how long a handover takes, from sending the request to the first event.
      *
-     * @param tokens tokens of KV cache to be moved
+     * @param tokens tokens of KV cache to transfer
      * @return milliseconds
      */
     public double handoverMillis(int tokens) {
@@ -138,9 +141,9 @@
     }
 
     /**
-     * Tells how much moving KV cache adds for each token.
+     * Predicts the part of a handover that grows with the tokens transferred.
      *
-     * @param tokens tokens moved
+     * @param tokens tokens of KV cache to transfer
      * @return milliseconds
      */
     public double transferMillis(int tokens) {
@@ -148,16 +151,16 @@
     }
 
     /**
-     * How much may be read by engines that also generate.
+     * Returns how much prefill engines that also decode may have in progress.
      *
-     * @return the allowance, which learns from streams
+     * @return the allowance, which adapts to observed streams
      */
     public PrefillAllowance prefillAllowance() {
         return prefillAllowance;
     }
 
     /**
-     * Tells how far apart the events of a stream are.
+     * Predicts the interval between the events of a stream.
      *
      * @param streams streams on its engine
      * @return milliseconds
@@ -167,19 +170,19 @@
     }
 
     /**
-     * Tells how far off expectations are.
+     * Returns the error of predictions for prompts.
      *
-     * @return the median error as a part of the expectation
+     * @return the median error as a fraction of the prediction
      */
     public double relativeError() {
         return relativeError;
     }
 
     /**
-     * Tells how much slower an engine is than the others.
+     * Returns how much slower an engine is than the others.
      *
-     * @param engine names it
-     * @return times as long that it takes
+     * @param engine the name of the engine
+     * @return factor on predicted times; 1 for an engine without observations
      */
     public double slowdown(String engine) {
         EngineSlowdown known = slowdowns.get(engine);
--- a/src/main/java/org/cuminshelf/engines/EngineSlowdown.java
+++ b/src/main/java/org/cuminshelf/engines/EngineSlowdown.java
@@ -1,48 +1,49 @@
 package org.cuminshelf.engines;
 
 /**
- * How much slower one engine is than the others of its service: a running mean of the logarithm of what its prompts
- * took against what was expected. One observation moves it by little however far it is off, as a single pause of the
- * engine, or of the observer, says little; after several on the same side it moves faster, as the engine itself must
- * have changed.
+ * Factor by which one engine is slower than the others of its service: a running mean of the logarithm of actual over
+ * predicted prompt times. A single observation has little effect however large its deviation, since one pause of the
+ * engine or of the observer is not significant; after several observations on the same side the mean moves faster,
+ * since the engine must have changed.
  *
- * <p>Failure it guards against: an engine was thought slow by mistake, or was slow for a while. Nothing is sent there
- * any more, so nothing is ever seen that says otherwise, and the others carry its load. What was learnt of it fades
- * with what is seen of the others, until it is tried again.
+ * <p>An engine may be estimated as slow by mistake, or have been slow for a while. It then receives no prompts, so that
+ * no observation corrects the estimate, while the others carry its load. So the estimate decays with the observations
+ * of the whole service, until the engine is used again.
  */
 final class EngineSlowdown {
 
-    /** Part of an observation's deviation by which the mean moves: a memory of some ten prompts. */
+    /** Fraction of a deviation by which the mean moves, which averages over about ten prompts. */
     private static final double SMOOTHING_WEIGHT = 0.1;
-    /** The same after {@link #RUN_LENGTH} observations in a row on one side: half of the way with each. */
+    /** The same after {@link #RUN_LENGTH} successive observations on one side: half of the deviation. */
     private static final double RUN_SMOOTHING_WEIGHT = 0.5;
-    /** By chance, five in a row lie on one side in one of sixteen. */
+    /** By chance, five successive observations are on one side in one of sixteen cases. */
     private static final int RUN_LENGTH = 5;
-    /** Deviation, as a logarithm, beyond which an observation counts as this much: a third more or less. */
+    /** Logarithm to which a deviation is clamped: about a third more or less than predicted. */
     private static final double MAX_LOG_DEVIATION = 0.3;
-    /** The same after {@link #RUN_LENGTH} observations on one side: an engine may turn ten times slower at once. */
+    /** The same after {@link #RUN_LENGTH} observations on one side: an engine may become ten times slower at once. */
     private static final double MAX_RUN_LOG_DEVIATION = 1.2;
     /**
-     * Bounds of the logarithm: three quarters of the usual time, and ten times it. An engine thought still faster by
-     * mistake would draw all prompts.
+     * Bounds of the logarithm: three quarters and ten times the usual time. An engine that is estimated as still faster
+     * by mistake would attract all prompts.
      */
     private static final double MIN_LOG_FACTOR = Math.log(0.75);
 
     private static final double MAX_LOG_FACTOR = Math.log(10);
-    /** Observations of the service after which a third of what was learnt is left: ten seconds at 30 a second. */
+    /** Observations of the service after which the estimate has decayed to 1/e: ten seconds at 30 a second. */
     private static final double DECAY_OBSERVATIONS = 300;
 
     private double logFactor;
     private long lastObservation;
-    /** Observations in a row above the expectation, or below it if negative. */
+    /** Successive observations above the prediction, or below it if negative. */
     private int run;
 
     /**
-     * Takes an observation.
+     * Adds an observation.
      *
      * @param count    observations of the service so far
-     * @param ratio    what the prompt took, as times of what was expected of this engine
-     * @param ownShare part of the expectation that was the engine's own time, not that of the prompts before it
+     * @param ratio    actual time of the prompt divided by the time predicted for this engine
+     * @param ownShare fraction of the predicted time that the engine spends on this prompt, not on the prompts before
+     *                 it
      */
     void observe(long count, double ratio, double ownShare) {
         run = ratio > 1 ? Math.max(1, run + 1) : Math.min(-1, run - 1);
@@ -54,7 +55,7 @@
         lastObservation = count;
     }
 
-    /** Times as long that the engine takes, after so many observations of the service. */
+    /** Returns the factor on predicted times after a number of observations of the service. */
     double factor(long count) {
         return Math.exp(decayedLogFactor(count));
     }
--- a/src/main/java/org/cuminshelf/engines/PrefillAllowance.java
+++ b/src/main/java/org/cuminshelf/engines/PrefillAllowance.java
@@ -1,25 +1,25 @@
 package org.cuminshelf.engines;
 
 /**
- * How many milliseconds of prompts may be under way at an engine that also generates.
+ * Milliseconds of prefill that may be in progress at an engine that also decodes.
  *
- * <p>Prompts there are read in chunks between the tokens of streams, whose pauses grow with each chunk. How much they
- * grow differs by engine and is not stated; what is stated is the longest pause that callers take as being on time. So
- * the allowance follows the pauses that are seen: it grows while they stay short of that and shrinks when some don't.
+ * <p>Such an engine prefills prompts in chunks between the tokens of its streams, and each chunk prolongs their pauses.
+ * How much differs between engines and is not configured; what is configured is the longest pause that callers accept.
+ * So the allowance adapts to observed pauses: it grows while they stay below that limit and shrinks if some exceed it.
  */
 public final class PrefillAllowance {
 
-    /** Milliseconds at the beginning: a prompt of usual length. Four streams that pause too long make it a third. */
+    /** Initial allowance: a prompt of typical length. Three streams with too long a pause reduce it to a third. */
     private static final double INITIAL_MILLIS = 300;
-    /** With less, engines of a service without any that only reads prompts would take no request at all. */
+    /** With less, the engines of a service without any prefill engine would accept no request at all. */
     private static final double MIN_MILLIS = 20;
     /** More than a prompt may wait in any case. */
     private static final double MAX_MILLIS = 1_000;
-    /** Part of the longest pause allowed that a stream may come near to: one in ten goes beyond what was seen. */
+    /** Fraction of the limit that pauses may reach: one stream in ten exceeds the pauses observed before. */
     private static final double SAFE_PAUSE_SHARE = 0.8;
-    /** Growth with each stream that went well; after some 70 of them the allowance has doubled. */
+    /** Growth for each stream within the limit; about 70 of them double the allowance. */
     private static final double GROWTH_FACTOR = 1.01;
-    /** Shrinking with each that did not: the allowance stands still where one stream in forty has such a pause. */
+    /** Reduction for each other stream: the allowance is constant if one stream in forty has too long a pause. */
     private static final double SHRINK_FACTOR = 0.68;
 
     private double millis = INITIAL_MILLIS;
@@ -27,7 +27,7 @@
     private PrefillAllowance() {}
 
     /**
-     * Makes an allowance that has seen no stream.
+     * Creates an allowance without observations.
      *
      * @return the allowance
      */
@@ -36,10 +36,10 @@
     }
 
     /**
-     * Learns from a stream that ended.
+     * Adds the observation of a stream that ended.
      *
      * @param longestPauseMillis its longest pause between two events, in milliseconds
-     * @param maxPauseMillis      the longest pause that its caller takes as being on time; 0 if none is stated
+     * @param maxPauseMillis     the longest pause that its caller accepts, in milliseconds; 0 if none is configured
      */
     public void observe(double longestPauseMillis, double maxPauseMillis) {
         if (maxPauseMillis <= 0) {
@@ -50,7 +50,7 @@
     }
 
     /**
-     * The allowance now.
+     * Returns the current allowance.
      *
      * @return milliseconds
      */
--- a/src/main/java/org/cuminshelf/engines/PromptLatencyFit.java
+++ b/src/main/java/org/cuminshelf/engines/PromptLatencyFit.java
@@ -1,21 +1,27 @@
 package org.cuminshelf.engines;
 
 /**
- * How long engines of one role take for a prompt. A latency that no work of others adds to or is delayed by, and the
- * engine's own time: a part for each token that is not cached, a part for each pair of tokens that attention joins, and
- * a part for each token and stream, as a chunk of the prompt goes into a step that grows with the streams in it.
+ * Prompt times of the engines of one role: a latency that neither delays other prompts nor is delayed by them, and the
+ * time for which the prompt occupies the engine. The latter has a part for each uncached token, a part for each pair of
+ * tokens in attention, and a part for each token and stream, since a chunk of the prompt runs in a step that takes
+ * longer the more streams it serves.
  */
 final class PromptLatencyFit {
 
     private static final double THOUSANDS_PER_TOKEN = 1e-3;
     private static final double MILLIONS_PER_PAIR = 1e-6;
-    /** Sizes of a usual prompt: its latency, thousands of tokens, millions of pairs, thousands of tokens by streams. */
+    /**
+     * Features of a typical prompt: constant, thousands of tokens, millions of pairs, thousands of tokens times
+     * streams.
+     */
     private static final double[] TYPICAL_FEATURES = {1, 3, 20, 20};
-    /** Milliseconds before anything is known: of a middling engine, until it has answered some prompts. */
+    /** Prior coefficients, in milliseconds per feature: of an average engine, until some prompts have been observed. */
     private static final double[] PRIOR_PREFILL_ONLY_MILLIS = {60, 25, 0.4, 0};
 
     private static final double[] PRIOR_WITH_DECODE_MILLIS = {60, 50, 0.4, 0.5};
-    /** Prompts that waited longer than this tell more of the queue than of themselves. */
+    /**
+     * Prompts with a longer predicted wait are left out, as their times depend more on the queue than on the prompt.
+     */
     private static final double MAX_WAIT_MILLIS = 25;
 
     private final RobustLinearFit fit;
@@ -37,12 +43,12 @@
         }
     }
 
-    /** Milliseconds between the end of the engine's work on a prompt and the first sign of it. */
+    /** Returns the milliseconds from the end of a prefill to the engine's first output. */
     double latencyMillis() {
         return fit.coefficient(0);
     }
 
-    /** Milliseconds for which the engine is taken up by a prompt. */
+    /** Returns the milliseconds for which a prompt occupies the engine. */
     double prefillMillis(int cachedTokens, int uncachedTokens, int streams) {
         return fit.predict(features(cachedTokens, uncachedTokens, streams)) - fit.coefficient(0);
     }
--- a/src/main/java/org/cuminshelf/engines/PromptQueue.java
+++ b/src/main/java/org/cuminshelf/engines/PromptQueue.java
@@ -9,35 +9,35 @@
 import org.cuminshelf.core.Address;
 
 /**
- * The prompts that were sent to one engine and showed no sign of having been taken in yet: those of this entry, and
- * those that other entries told of.
+ * Prompts that were sent to one engine and of which no output has been received: those of this entry, and those that
+ * other entries reported.
  *
- * <p>An engine takes prompts one after the other. So the time at which it will be free follows from when each was sent
- * and how long it takes, and it is corrected by what is seen: a prompt that should have been taken in and wasn't is
- * still being read. Sums of what was sent would count the part that is done as if it were still to be done.
+ * <p>An engine prefills prompts one after the other, so the time at which it will be free follows from when each was
+ * sent and how long it takes. Observations correct this: a prompt that should have been prefilled and was not is still
+ * in progress. The plain sum of prefill times would count work that is already done.
  */
 public final class PromptQueue {
 
     private static final double NANOS_PER_MILLI = 1e6;
 
     /**
-     * Part of the time by which a prompt is overdue that it is expected to take still. An engine whose prompt is
-     * overdue misjudged something large, such as parts that it was thought to hold; short prompts sent there at once
-     * came 0.5 s late.
+     * Fraction of the time by which a prompt is overdue that it is expected to take still. If a prompt is overdue,
+     * something large was misjudged, such as the tokens in the engine's cache; short prompts that were sent to such an
+     * engine at once were 0.5 s late.
      */
     private static final double REMAINING_SHARE_OF_OVERDUE = 0.5;
 
     /**
-     * One prompt under way.
+     * A prompt in progress.
      *
-     * @param sentAt     when it was sent, in nanoseconds
-     * @param prefillMillis milliseconds for which it takes up the engine
+     * @param sentAt        when it was sent, in nanoseconds
+     * @param prefillMillis milliseconds for which it occupies the engine
      */
     public record PendingPrompt(long sentAt, double prefillMillis) {}
 
     private final Map<Long, PendingPrompt> localPrompts = new HashMap<>();
     private final Map<Address, List<PendingPrompt>> remotePrompts = new HashMap<>();
-    /** All prompts in the order in which they were sent, made anew when it is next asked for after a change. */
+    /** All prompts in the order in which they were sent; empty after a change, until the next query. */
     private Optional<List<PendingPrompt>> sortedPrompts = Optional.empty();
 
     private long lastPrefilledAt = Long.MIN_VALUE / 2;
@@ -45,7 +45,7 @@
     private PromptQueue() {}
 
     /**
-     * Makes a queue without any prompt.
+     * Creates a queue without prompts.
      *
      * @return the queue
      */
@@ -54,10 +54,10 @@
     }
 
     /**
-     * Notes a prompt of this entry.
+     * Adds a prompt of this entry.
      *
-     * @param attempt names it
-     * @param prompt  when it was sent and what it takes
+     * @param attempt identity of the attempt
+     * @param prompt  when it was sent and how long it takes
      */
     public void add(long attempt, PendingPrompt prompt) {
         localPrompts.put(attempt, prompt);
@@ -65,9 +65,9 @@
     }
 
     /**
-     * Notes that a prompt of this entry doesn't wait any more.
+     * Removes a prompt of this entry.
      *
-     * @param attempt names it
+     * @param attempt identity of the attempt
      */
     public void remove(long attempt) {
         if (localPrompts.remove(attempt) != null) {
@@ -76,7 +76,7 @@
     }
 
     /**
-     * Notes that the engine showed that it took a prompt in. Whatever is still there was read after it.
+     * Records that output of a prompt was received. The remaining prompts are prefilled after it.
      *
      * @param now the time in nanoseconds
      */
@@ -85,9 +85,9 @@
     }
 
     /**
-     * Takes what another entry has under way, in place of what it told before.
+     * Replaces the prompts of another entry.
      *
-     * @param entry   names the entry
+     * @param entry   the other entry
      * @param prompts its prompts
      */
     public void setRemotePrompts(Address entry, List<PendingPrompt> prompts) {
@@ -99,28 +99,28 @@
     }
 
     /**
-     * The prompts of this entry.
+     * Returns the prompts of this entry.
      *
-     * @return them, in no order
+     * @return the prompts, in no particular order
      */
     public List<PendingPrompt> localPrompts() {
         return List.copyOf(localPrompts.values());
     }
 
     /**
-     * Tells whether nothing is under way.
+     * Checks whether no prompt is in progress.
      *
-     * @return true if no entry is known to have a prompt there
+     * @return true if no entry is known to have a prompt at the engine
      */
     public boolean isEmpty() {
         return localPrompts.isEmpty() && remotePrompts.isEmpty();
     }
 
     /**
-     * Tells how long the prompts that are there still take up the engine.
+     * Predicts how long the prompts in the queue still occupy the engine.
      *
      * @param now           the time in nanoseconds
-     * @param latencyMillis milliseconds by which the sign that a prompt was taken in follows the engine's work on it
+     * @param latencyMillis milliseconds from the end of a prefill to the engine's first output
      * @return milliseconds
      */
     public double waitMillis(long now, double latencyMillis) {
@@ -131,7 +131,7 @@
         for (PendingPrompt prompt : inSendOrder()) {
             double sentMillis = (prompt.sentAt - now) / NANOS_PER_MILLI;
             double endMillis = Math.max(freeMillis, sentMillis) + prompt.prefillMillis;
-            // No sign of it has come, so it ended no sooner than the latency ago; what is overdue lasts on.
+            // No output was received, so the prefill ended at most latencyMillis ago; an overdue one is still running.
             double overdueMillis = Math.max(0, -latencyMillis - endMillis);
             freeMillis = Math.max(endMillis, -latencyMillis + REMAINING_SHARE_OF_OVERDUE * overdueMillis);
         }
--- a/src/main/java/org/cuminshelf/engines/PromptSample.java
+++ b/src/main/java/org/cuminshelf/engines/PromptSample.java
@@ -1,15 +1,15 @@
 package org.cuminshelf.engines;
 
 /**
- * One prompt that an engine took in, as an entry saw it.
+ * Observation of one prompt that an engine prefilled.
  *
- * @param engine        names the engine
- * @param alsoDecodes whether the engine also generates
- * @param streams       streams that ran there when the prompt was sent
- * @param cachedTokens          tokens at the prompt's beginning that the engine was believed to hold
- * @param uncachedTokens      the other tokens of the prompt
- * @param waitMillis    milliseconds that the prompts sent before it were believed to take still
- * @param elapsedMillis    milliseconds from sending the prompt to the first sign that it was taken in
+ * @param engine         the name of the engine
+ * @param alsoDecodes    whether the engine also generates output
+ * @param streams        streams that ran on the engine when the prompt was sent
+ * @param cachedTokens   tokens at the beginning of the prompt that the engine was expected to have in its cache
+ * @param uncachedTokens the other tokens of the prompt
+ * @param waitMillis     predicted milliseconds that earlier prompts still occupied the engine
+ * @param elapsedMillis  milliseconds from sending the prompt to the engine's first output
  */
 public record PromptSample(
         String engine,
--- a/src/main/java/org/cuminshelf/engines/RobustLinearFit.java
+++ b/src/main/java/org/cuminshelf/engines/RobustLinearFit.java
@@ -11,26 +11,26 @@
 /**
  * A linear function of a few features, fitted to the latest observations by least absolute deviations.
  *
- * <p>Least absolute deviations, since what is observed has outliers on both sides: a part of the prompt that was
- * thought cached and wasn't, an engine that paused, a process of ours that paused. As long as less than half of the
- * observations are such, they hardly move the fit. The window is bounded, so that an old state is forgotten.
+ * <p>The observations have outliers on both sides: a part of the prompt that was expected to be cached and was not, a
+ * pause of the engine, a pause of this process. As long as less than half of the observations are outliers, they hardly
+ * affect a fit by least absolute deviations. The window is bounded, so that an outdated state drops out.
  */
 final class RobustLinearFit {
 
-    /** Observations that the fit is made of: some seconds of one service's prompts, a few kilobytes. */
+    /** Observations in the fit: some seconds of one service's prompts, a few kilobytes. */
     private static final int WINDOW_SIZE = 192;
-    /** Observations after which the fit is made anew while there are few. */
+    /** Observations between two fits while the window is not full. */
     private static final int REFIT_INTERVAL = 6;
     /**
-     * The same once the window is full: an eighth of it is new by then. All entries' prompts are observed, so that with
-     * 6 a seventh of the processor time of an entry's decisions went into fits at 33 entries.
+     * The same once the window is full: an eighth of it is new by then. Every entry processes the prompts of all
+     * entries, so that with 6 a seventh of the processor time of an entry's decisions was spent on fits at 33 entries.
      */
     private static final int REFIT_INTERVAL_FULL = WINDOW_SIZE / 8;
-    /** Rounds of reweighting; the coefficients change by under a hundredth after that. */
+    /** Rounds of reweighting; further rounds change the coefficients by less than a hundredth. */
     private static final int REWEIGHTING_ROUNDS = 8;
-    /** Least deviation that weights tell apart, in the unit of the value: the clocks' own resolution. */
+    /** Least deviation that weights distinguish, in the unit of the value: the resolution of the clocks. */
     private static final double MIN_DEVIATION = 1.0;
-    /** Weight of the prior, in observations: it decides while there are fewer. */
+    /** Weight of the prior, in observations: it dominates while there are fewer. */
     private static final double PRIOR_WEIGHT = 2;
 
     private final double[] prior;
@@ -41,10 +41,10 @@
     private int count;
 
     /**
-     * Makes a fit that has seen nothing.
+     * Creates a fit without observations.
      *
-     * @param prior coefficients believed before the first observation
-     * @param featureScale usual size of each feature, so that the prior binds all coefficients alike
+     * @param prior        coefficients before the first observation
+     * @param featureScale typical size of each feature, so that the prior constrains all coefficients equally
      */
     RobustLinearFit(double[] prior, double[] featureScale) {
         this.prior = prior.clone();
@@ -52,7 +52,7 @@
         this.coefficients = prior.clone();
     }
 
-    /** Takes an observation. */
+    /** Adds an observation. */
     void observe(double[] feature, double value) {
         features[count % WINDOW_SIZE] = feature;
         values[count % WINDOW_SIZE] = value;
@@ -62,7 +62,7 @@
         }
     }
 
-    /** The value expected for some features. */
+    /** Returns the value predicted for some features. */
     double predict(double... feature) {
         double sum = 0;
         for (int index = 0; index < feature.length; index++) {
@@ -75,7 +75,7 @@
         return coefficients[index];
     }
 
-    /** Observations seen so far. */
+    /** Returns the number of observations so far. */
     int count() {
         return count;
     }
@@ -92,7 +92,7 @@
         coefficients = solution;
     }
 
-    /** One round of weighted least squares; empty where the observations don't determine the coefficients. */
+    /** Solves one round of weighted least squares; empty if the observations don't determine the coefficients. */
     private double[] solve(double[] previous) {
         int size = prior.length;
         double[][] normal = new double[size][size];
@@ -121,12 +121,15 @@
         }
     }
 
-    /** Deviation at which the prior counts as much as an observation: a tenth of what it expects of usual features. */
+    /**
+     * Returns the deviation at which the prior weighs as much as an observation: a tenth of its prediction for typical
+     * features.
+     */
     private double priorDeviation() {
         return Math.max(MIN_DEVIATION, dot(prior, featureScale) / 10);
     }
 
-    /** Time grows with work: a negative coefficient is an artefact of features that move together. */
+    /** Time grows with work: a negative coefficient is an artefact of correlated features. */
     private static double[] clampToNonNegative(double[] solution) {
         for (int index = 0; index < solution.length; index++) {
             solution[index] = Math.max(0, solution[index]);
--- a/src/main/java/org/cuminshelf/engines/package-info.java
+++ b/src/main/java/org/cuminshelf/engines/package-info.java
@@ -1,6 +1,6 @@
 /**
- * What is learnt of the engines of a service from the answers they give: how long prompts take, how long a KV cache
- * takes to move, how far apart the events of streams are. No network, no clock and no settings of any engine: whoever
- * observes hands in what was seen, whoever decides asks for an expectation.
+ * Models of the engines of a service that are fitted to their answers: how long prompts take, how long the transfer of
+ * a KV cache takes, and the intervals between the events of streams. The package does no I/O, reads no clock and needs
+ * no settings of an engine: callers pass in observations and query predictions.
  */
 package org.cuminshelf.engines;
--- a/src/test/java/org/cuminshelf/engines/EngineLatencyModelTest.java
+++ b/src/test/java/org/cuminshelf/engines/EngineLatencyModelTest.java
@@ -11,13 +11,15 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
 
-/** What is learnt of engines that nobody has described. */
+/** Tests of fits to engines without any configured speed. */
 class EngineLatencyModelTest {
 
     private static final int OBSERVATIONS = 200;
     private static final int ENGINES = 12;
 
-    /** A service's engines drawn at random: prefill from 15 to 120 tokens a millisecond, latencies from 5 to 200 ms. */
+    /**
+     * A service with random engine times: prefill from 15 to 120 tokens per millisecond, latencies from 5 to 200 ms.
+     */
     private static final class RandomService {
         private final UniformRandomProvider random;
         private final double latencyMillis;
@@ -45,7 +47,7 @@
                     * (engine == 0 ? slowFactor : 1)
                     * (0.95 + 0.1 * random.nextDouble());
             if (random.nextDouble() < outlierShare) {
-                // A part believed held was not, or the observer stood still for a while.
+                // Tokens expected to be cached were not, or the observer paused.
                 elapsedMillis += 400 * random.nextDouble();
             }
             model.observePrompt(
@@ -75,8 +77,9 @@
     }
 
     /*
-     * Callers wait for seconds: one engine turned five times slower, while the others' prompts go on as before. Within
-     * the ten prompts that it takes in some three seconds it must count as at least three times slower.
+     * Guards against callers that wait for seconds when one engine becomes five times slower while the others' prompts
+     * run as before. Within the ten prompts that it prefills in some three seconds it must be estimated as at least
+     * three times slower.
      */
     @Property(tries = 10, seed = "22")
     void aFivefoldSlowdownIsDetectedWithinTenPrompts(@ForAll @LongRange(max = 1L << 40) long seed) {
@@ -93,8 +96,8 @@
     }
 
     /*
-     * Two of five engines idle while the others have a second of prompts each: both were thought slow by mistake, were
-     * sent nothing any more, and so never showed that they are not.
+     * Guards against engines that stay idle while the others queue a second of prompts each: two of five engines were
+     * estimated as slow by mistake, received no prompts any more, and so never corrected the estimate.
      */
     @Example
     void theSlowdownOfAnUnusedEngineDecays() {
@@ -127,8 +130,8 @@
     }
 
     /*
-     * Streams pause for longer than callers bear, as prompts are read between their tokens; where the pauses stay
-     * short, engines that generate stand idle while prompts queue elsewhere.
+     * Guards against streams that pause for longer than callers accept, as prompts are prefilled between their tokens,
+     * and against decode engines that are idle while prompts queue at other engines, although pauses are short.
      */
     @Example
     void thePrefillAllowanceFollowsThePausesOfStreams() {
--- a/src/test/java/org/cuminshelf/engines/PromptQueueTest.java
+++ b/src/test/java/org/cuminshelf/engines/PromptQueueTest.java
@@ -6,7 +6,7 @@
 import net.jqwik.api.Example;
 import org.cuminshelf.core.Address;
 
-/** When an engine will be free. */
+/** Tests of the prediction when an engine will be free. */
 class PromptQueueTest {
 
     private static final long NANOS_PER_MILLI = 1_000_000;
@@ -15,8 +15,8 @@
     private final PromptQueue queue = PromptQueue.empty();
 
     /*
-     * A prompt waits at the entry for an engine that is nearly free: its queue counts as long as when it was sent,
-     * though most of it has been read.
+     * Guards against a prompt that waits at the entry for an engine that is nearly free, because the queue counts as
+     * long as when it was sent although most of it has been prefilled.
      */
     @Example
     void prefillAlreadyDoneIsNotCounted() {
@@ -30,14 +30,14 @@
     }
 
     /*
-     * An engine that reads more slowly than expected looks free, gets all new prompts, and all of them are late: what
-     * showed no sign of having been taken in is still being read, however long ago it should have been.
+     * Guards against an engine that prefills more slowly than predicted, looks free, and so receives all new prompts,
+     * which are all late. A prompt without output is still in progress, however long it is overdue.
      */
     @Example
     void anOverduePromptStillOccupiesTheEngine() {
         queue.add(1, new PromptQueue.PendingPrompt(NOW, 100));
         queue.add(2, new PromptQueue.PendingPrompt(NOW, 50));
-        // 800 ms overdue: as much as half of that is expected still, and the next prompt after it.
+        // The prompt is 800 ms overdue: half of that is expected to remain, followed by the next prompt.
         assertThat(queue.waitMillis(NOW + 900 * NANOS_PER_MILLI, 0)).isEqualTo(450);
         queue.remove(1);
         queue.onPrefilled(NOW + 900 * NANOS_PER_MILLI);
@@ -45,8 +45,8 @@
     }
 
     /*
-     * An engine counts as taken though it is free: the sign that a prompt was taken in follows a tenth of a second
-     * after the engine's work on it.
+     * Guards against an engine that counts as occupied although it is free: the first output is received a tenth of a
+     * second after the prefill.
      */
     @Example
     void theLatencyOfTheFirstOutputDoesNotOccupyTheEngine() {
