--- a/src/main/java/org/cuminshelf/poison/ChangeSequence.java
+++ b/src/main/java/org/cuminshelf/poison/ChangeSequence.java
@@ -1,21 +1,21 @@
 package org.cuminshelf.poison;
 
-/** Numbers changes, so that a listener can be told what changed since it last heard. */
+/** Numbers changes, so that a subscriber can be sent what changed since its last update. */
 public interface ChangeSequence {
 
     /**
-     * Takes the next number.
+     * Returns the next number.
      *
-     * @param urgent whether listeners should hear of the change at once, rather than when they next ask
-     * @return a number above all before, or the same one each time where changes need not be told apart
+     * @param urgent whether subscribers are to receive the change at once, instead of when they next poll
+     * @return a number above all earlier ones, or the same one each time if changes need not be distinguished
      */
     long next(boolean urgent);
 
     /**
-     * Gives all changes one number.
+     * Creates a sequence that gives all changes one number.
      *
      * @param number the number
-     * @return the numbers
+     * @return the sequence
      */
     static ChangeSequence constant(long number) {
         return urgent -> number;
--- a/src/main/java/org/cuminshelf/poison/CrashRecord.java
+++ b/src/main/java/org/cuminshelf/poison/CrashRecord.java
@@ -5,14 +5,14 @@
 import java.util.function.Predicate;
 import org.cuminshelf.message.Involvement;
 
-/** One start of an upstream that crashed, and the requests that were there. */
+/** The crash of one upstream instance, and the requests that were running there. */
 final class CrashRecord {
 
     /**
-     * A request that was there.
+     * A request that was running at the crash.
      *
-     * @param involvement how far it had come
-     * @param changeNumber   number of the last change
+     * @param involvement  how long it had been running
+     * @param changeNumber number of its last change
      */
     record Run(Involvement involvement, long changeNumber) {
 
@@ -23,11 +23,11 @@
 
     final String upstream;
     final Map<Fingerprint, Run> runs = new LinkedHashMap<>();
-    /** When it was first heard of, in nanoseconds. */
+    /** When the crash was first reported, in nanoseconds. */
     final long firstReportedAt;
-    /** When a request was last added, in nanoseconds. */
+    /** When a suspect request was last added, in nanoseconds. */
     long lastRequestAddedAt;
-    /** Whether a request that is known to be poison was there. */
+    /** Whether a request that is known to be poison was running there. */
     boolean explained;
 
     CrashRecord(String upstream, long now) {
--- a/src/main/java/org/cuminshelf/poison/CrashTable.java
+++ b/src/main/java/org/cuminshelf/poison/CrashTable.java
@@ -18,54 +18,54 @@
 import org.cuminshelf.message.UpstreamCrash;
 
 /**
- * Which requests were at upstreams that crashed, and which of them is the cause.
+ * Crashes of upstreams with the requests that were running there, and the search for the request that causes them.
  *
- * <p>The table is a set that only grows: of a request at a start of an upstream the highest {@link Involvement} stands.
- * So what several processes tell merges in any order, and what is told twice counts once.
+ * <p>The table is a set that only grows: of a request at an upstream instance the highest {@link Involvement} is kept.
+ * So reports of several processes merge in any order, and a repeated report counts once.
  *
- * <p>A request is found to be poison when three starts crashed under it just after it had begun, and no other request
- * was at all of these crashes too. One that had run for a while counts half: a poison request ends an upstream when it
- * begins to run. Failure this guards against: a harmless stream that goes on elsewhere after a crash, beside the
- * poison request that goes on there too, is at the next crash as well, and is refused for ever. A harmless request is
- * cleared by one answer that ends well.
+ * <p>A request is poison if three upstream instances crashed under it just after it had begun, and no other request was
+ * at all of these crashes too. A request that had been running for a while counts half, since a poison request crashes
+ * an upstream when it begins to run. Otherwise a harmless stream that is resumed elsewhere after a crash, together with
+ * the poison request, would be at the next crash too and be refused permanently. A harmless request is cleared by one
+ * success.
  */
 final class CrashTable {
 
     /** Points of a request that had just begun, for each crash. */
     private static final int JUST_BEGUN_POINTS = 2;
-    /** Points of one that had run for a while. */
+    /** Points of a request that had been running for a while, for each crash. */
     private static final int UNDER_WAY_POINTS = 1;
-    /** Points from which a request may be poison: three crashes just after it began, or six. */
+    /** Points from which a request may be poison: three crashes just after it began, or six later ones. */
     static final int POISON_POINTS = 3 * JUST_BEGUN_POINTS;
-    /** Points from which a request is poison whatever else is known: five crashes just after it began. */
+    /** Points from which a request is poison regardless of other requests: five crashes just after it began. */
     private static final int CERTAIN_POINTS = 5 * JUST_BEGUN_POINTS;
     /**
-     * Other crashes without an explanation, within {@link #STORM_WINDOW_NANOS}, for each of which one more crash is
-     * asked for. In a storm of crashes by chance, one each two seconds at four engines, one harmless request in some
-     * 2,200 that were at a crash was at three just after it began; with this, see the test, fewer than one in 10,000
-     * are refused.
+     * Number of other unexplained crashes, within {@link #STORM_WINDOW_NANOS}, for each of which one more crash is
+     * required. In a storm of random crashes, one every two seconds at four engines, one harmless request in some 2,200
+     * that were at a crash was at three just after it began; with this rule fewer than one in 10,000 are refused, see
+     * the test.
      */
     private static final int UNRELATED_CRASHES_PER_EXTRA_CRASH = 3;
 
     private static final long STORM_WINDOW_NANOS = Durations.nanos(30_000);
     /**
-     * Quiet after which all that were at a crash have been told of: connections break within 20 ms, a process tells of
-     * it at once, and whoever hears passes it on within 20 ms. It is a tenth of the shortest time in which all entries
-     * must know a poison request.
+     * Time without another report after which all requests at a crash have been reported: connections break within 20
+     * ms, a process reports this at once, and the receiver forwards it within 20 ms. It is a tenth of the shortest time
+     * within which all entries must know a poison request.
      */
     private static final long SETTLE_NANOS = Durations.nanos(300);
-    /** Crashes kept at the most: five days of 24 failed VMs. One takes up to 10 KB, with 128 requests. */
+    /** Most crashes kept: five days of 24 failed VMs. One takes up to 10 KB, with 128 requests. */
     private static final int MAX_CRASHES = 128;
-    /** Requests kept of one crash at the most: twice the places of the engines of today. */
+    /** Most requests kept of one crash: twice the slots of current engines. */
     private static final int MAX_REQUESTS_PER_CRASH = 128;
 
     private final Map<String, CrashRecord> crashes = new LinkedHashMap<>();
     private final Map<Fingerprint, Set<CrashRecord>> byRequest = new HashMap<>();
-    /** Requests with enough points to be poison, perhaps fewer by now. */
+    /** Requests that had enough points to be poison when they were added; they may have fewer by now. */
     private final Set<Fingerprint> candidates = new LinkedHashSet<>();
 
     private long nextCheck = Core.NEVER;
-    /** Number of the newest change. */
+    /** Number of the latest change. */
     private long lastChangeNumber;
 
     boolean isEmpty() {
@@ -76,7 +76,7 @@
         return crashes.containsKey(upstream);
     }
 
-    /** Notes that a request was at a start that crashed. Returns whether that is news. */
+    /** Records that a request was at an upstream instance that crashed. Returns whether this changed the table. */
     boolean record(long now, String upstream, Fingerprint request, Involvement involvement, ChangeSequence sequence) {
         CrashRecord crash = crashes.computeIfAbsent(upstream, key -> new CrashRecord(key, now));
         CrashRecord.Run before = crash.runs.get(request);
@@ -105,7 +105,10 @@
         return true;
     }
 
-    /** Makes room for one more request that had just begun, by forgetting one that had run for a while. */
+    /**
+     * Makes room for a request that had just begun, by removing one that had been running for a while. Returns whether
+     * there was one.
+     */
     private boolean evictUnderWay(CrashRecord crash) {
         Optional<Fingerprint> evicted = crash.runs.entrySet().stream()
                 .filter(run -> run.getValue().involvement() == Involvement.UNDER_WAY)
@@ -118,7 +121,7 @@
         return evicted.isPresent();
     }
 
-    /** A request ended well: it caused none of the crashes that are known. Returns whether that is news. */
+    /** Clears a request that succeeded of all crashes that are known. Returns whether this changed the table. */
     boolean clear(long now, Fingerprint request, ChangeSequence sequence) {
         boolean urgent = points(request) >= POISON_POINTS;
         boolean changed = false;
@@ -128,7 +131,7 @@
         return changed;
     }
 
-    /** Points of a request, from crashes that no request known to be poison explains. */
+    /** Returns the points of a request from crashes that no known poison request explains. */
     int points(Fingerprint request) {
         int points = 0;
         for (CrashRecord crash : byRequest.getOrDefault(request, Set.of())) {
@@ -149,7 +152,7 @@
         };
     }
 
-    /** The starts that crashed under a request, unless it was cleared since. */
+    /** Returns the upstream instances that crashed under a request, without the crashes that it was cleared of. */
     List<String> crashedUpstreams(Fingerprint request) {
         return byRequest.getOrDefault(request, Set.of()).stream()
                 .filter(crash -> points(crash, request) > 0)
@@ -157,26 +160,29 @@
                 .toList();
     }
 
-    /** Requests that were at any crash, cleared ones among them. */
+    /** Returns the number of requests that were at any crash, including cleared ones. */
     int requestCount() {
         return byRequest.size();
     }
 
-    /** Requests that may have caused a crash and weren't cleared. */
+    /** Returns the number of requests that may have caused a crash and were not cleared. */
     long suspectCount() {
         return byRequest.keySet().stream()
                 .filter(request -> points(request) > 0)
                 .count();
     }
 
-    /** Looks anew which crashes a request explains, after it was found to be poison or was released. */
+    /** Updates which crashes a request explains, after it was quarantined or released. */
     void updateExplained(Fingerprint request, Predicate<Fingerprint> isPoison) {
         for (CrashRecord crash : byRequest.getOrDefault(request, Set.of())) {
             crash.explained = crash.hasUncleared(isPoison);
         }
     }
 
-    /** Whether a request has the points of poison and who else was there may not be known yet. */
+    /**
+     * Checks whether a request has enough points to be poison while other requests at its crashes may not be reported
+     * yet.
+     */
     boolean isSettling(long now, Fingerprint request) {
         return candidates.contains(request) && points(request) >= POISON_POINTS && now < settledAt(request);
     }
@@ -185,7 +191,7 @@
         return nextCheck;
     }
 
-    /** Finds the requests that are poison by what is known now, but for those that are known to be. */
+    /** Returns the requests that are poison as far as is known now, without those that are already known to be. */
     List<Fingerprint> findPoison(long now, Predicate<Fingerprint> isPoison) {
         if (now < nextCheck) {
             return List.of();
@@ -222,7 +228,7 @@
         return points >= needed && !hasEquallySuspectRequest(request);
     }
 
-    /** Crashes of late where this request was not, and that no known poison request explains. */
+    /** Counts recent crashes at which the request was not running and that no known poison request explains. */
     private long recentUnrelatedCrashes(Fingerprint request) {
         Set<CrashRecord> own = unexplainedCrashes(request);
         long since =
@@ -232,7 +238,7 @@
                 .count();
     }
 
-    /** Whether another request was at all crashes of this one, and is as likely the cause. */
+    /** Checks whether another request was at all crashes of this one and is as likely to be the cause. */
     private boolean hasEquallySuspectRequest(Fingerprint request) {
         Set<CrashRecord> own = unexplainedCrashes(request);
         int points = points(request);
@@ -248,15 +254,15 @@
     }
 
     /**
-     * Keeps the table bounded. What goes first is the crash that says least: of which no request has points from other
-     * crashes too; of equals the oldest. Guards against a flood of other crashes that pushes out what is known of a
-     * poison request.
+     * Keeps the table bounded by evicting the crash with the least evidence: the one whose highest points of any
+     * request are lowest, and the oldest of several such. Otherwise many unrelated crashes would evict the evidence
+     * against a poison request.
      */
     private void evictLeastInformative() {
         if (crashes.size() <= MAX_CRASHES) {
             return;
         }
-        // Iteration is from the oldest, and the first of equals is taken. The newest is not weighed: it has just begun.
+        // Ordered from the oldest, so min() takes the oldest of equals. The newest is kept, as its reports have just begun.
         List<CrashRecord> oldestFirst = List.copyOf(crashes.values());
         oldestFirst.subList(0, oldestFirst.size() - 1).stream()
                 .min(Comparator.comparingInt(this::maxPoints))
@@ -281,7 +287,10 @@
         }
     }
 
-    /** What changed since a number. Each subscriber asks twice a second, mostly when nothing did: that costs little. */
+    /**
+     * Returns the changes since a number. Each subscriber polls twice a second, usually without any change, so that
+     * case is cheap.
+     */
     List<UpstreamCrash> changedSince(long changeNumber) {
         if (changeNumber >= lastChangeNumber) {
             return List.of();
--- a/src/main/java/org/cuminshelf/poison/Fingerprint.java
+++ b/src/main/java/org/cuminshelf/poison/Fingerprint.java
@@ -6,28 +6,28 @@
 import net.openhft.hashing.LongTupleHashFunction;
 
 /**
- * What makes two requests the same: method, host, path with query, caller and body, as a 128-bit hash. The id that a
- * caller gives a request is no part of it, as it is new each time. Two different requests share a fingerprint by chance
- * only once in some 10^38 pairs, so that none is refused in place of another.
+ * Identifies equal requests: a 128-bit hash of method, host, path with query, caller and body. The request id that a
+ * caller sends is not included, as it differs each time. Two different requests have the same fingerprint by chance
+ * only once in some 10^38 pairs, so that no request is refused in place of another.
  *
- * @param high the upper half
- * @param low  the lower half
+ * @param high the upper 64 bits
+ * @param low  the lower 64 bits
  */
 public record Fingerprint(long high, long low) implements Comparable<Fingerprint> {
 
     private static final LongTupleHashFunction HASH = LongTupleHashFunction.xx128();
     private static final int HEX_DIGITS = 16;
     private static final int TEXT_LENGTH = 2 * HEX_DIGITS;
-    /** Between parts that are hashed together; HTTP allows it in none of them. */
+    /** Separates the parts that are hashed together; HTTP doesn't allow it in any of them. */
     private static final char SEPARATOR = '\n';
 
     /**
-     * Makes the fingerprint of a request. It takes time in proportion to the body, which is not copied.
+     * Creates the fingerprint of a request. Takes time in proportion to the body, which is not copied.
      *
-     * @param method the method
-     * @param host   the host asked for
+     * @param method the HTTP method
+     * @param host   the requested host
      * @param target path and query as sent
-     * @param caller names who sends it, empty where nothing does
+     * @param caller identity of the caller, empty if unknown
      * @param body   the body
      * @return the fingerprint
      */
@@ -40,10 +40,10 @@
     }
 
     /**
-     * Reads a fingerprint as {@link #toString()} writes it.
+     * Parses the format of {@link #toString()}.
      *
      * @param text 32 hexadecimal digits
-     * @return the fingerprint, or nothing if the text is none
+     * @return the fingerprint, or empty if the text is malformed
      */
     public static Optional<Fingerprint> parse(String text) {
         if (text.length() != TEXT_LENGTH) {
--- a/src/main/java/org/cuminshelf/poison/PoisonRegistry.java
+++ b/src/main/java/org/cuminshelf/poison/PoisonRegistry.java
@@ -8,8 +8,8 @@
 import org.cuminshelf.message.UpstreamCrash;
 
 /**
- * What one process knows of poison requests: the crashes and the quarantine. Entries and control processes have one
- * each, and tell each other what changed.
+ * What one process knows about poison requests: the crashes and the quarantine. Each entry and control process has a
+ * registry and sends the changes to the others.
  */
 public final class PoisonRegistry {
 
@@ -17,22 +17,22 @@
     private final Quarantine quarantine = new Quarantine();
     private final List<QuarantinedRequest> changedRows = new ArrayList<>();
 
-    /** Makes an empty register. */
+    /** Creates an empty registry. */
     public PoisonRegistry() {}
 
     /**
-     * Tells whether no crash is known, so that nobody needs a request's fingerprint.
+     * Checks whether the registry is empty, so that no request's fingerprint is needed.
      *
-     * @return whether neither crashes nor quarantined requests are known
+     * @return whether neither crashes nor quarantined or released requests are known
      */
     public boolean isEmpty() {
         return crashes.isEmpty() && quarantine.isEmpty();
     }
 
     /**
-     * Tells whether a start is known to have crashed.
+     * Checks whether an upstream instance is known to have crashed.
      *
-     * @param upstream identity of the start
+     * @param upstream identity of the upstream instance
      * @return whether it is
      */
     public boolean hasCrashed(String upstream) {
@@ -40,14 +40,14 @@
     }
 
     /**
-     * Notes that a request was at a start that crashed.
+     * Records that a request was at an upstream instance that crashed.
      *
      * @param now         the time in nanoseconds
-     * @param upstream    identity of the start
+     * @param upstream    identity of the upstream instance
      * @param request     the request
-     * @param involvement how far it had come
-     * @param sequence     number the change
-     * @return whether that is news
+     * @param involvement how long it had been running
+     * @param sequence    numbers the change
+     * @return whether this changed the registry
      */
     public boolean onCrash(
             long now, String upstream, Fingerprint request, Involvement involvement, ChangeSequence sequence) {
@@ -60,13 +60,13 @@
     }
 
     /**
-     * Notes that a request ended well: it caused no crash. One that was quarantined is released.
+     * Records that a request succeeded, so that it caused no crash. A quarantined request is released.
      *
-     * @param now     the time in nanoseconds
-     * @param request the request
-     * @param author      names who saw it
-     * @param sequence number the change
-     * @return whether that is news
+     * @param now      the time in nanoseconds
+     * @param request  the request
+     * @param author   identity of the process that observed it
+     * @param sequence numbers the change
+     * @return whether this changed the registry
      */
     public boolean onSuccess(long now, Fingerprint request, String author, ChangeSequence sequence) {
         boolean released = quarantine
@@ -80,11 +80,11 @@
     }
 
     /**
-     * Quarantines the requests that are poison by what is known now.
+     * Quarantines the requests that are poison as far as is known now.
      *
-     * @param now     the time in nanoseconds
-     * @param foundBy names this process
-     * @param sequence number the changes
+     * @param now      the time in nanoseconds
+     * @param foundBy  identity of this process
+     * @param sequence numbers the changes
      */
     public void quarantinePoison(long now, String foundBy, ChangeSequence sequence) {
         for (Fingerprint request : crashes.findPoison(now, quarantine::isQuarantined)) {
@@ -93,12 +93,12 @@
     }
 
     /**
-     * Takes what another process knows.
+     * Merges the state of another process.
      *
-     * @param now      the time in nanoseconds
-     * @param remoteCrashes     crashes
-     * @param rows quarantined and released requests
-     * @param sequence  number the changes
+     * @param now           the time in nanoseconds
+     * @param remoteCrashes its crashes
+     * @param rows          its quarantined and released requests
+     * @param sequence      numbers the changes
      */
     public void merge(
             long now, List<UpstreamCrash> remoteCrashes, List<QuarantinedRequest> rows, ChangeSequence sequence) {
@@ -112,12 +112,12 @@
     }
 
     /**
-     * Takes what is known of one request.
+     * Merges the quarantine row of one request.
      *
-     * @param now     the time in nanoseconds
-     * @param row     what is known
-     * @param sequence number the change
-     * @return whether it is news
+     * @param now      the time in nanoseconds
+     * @param row      the row
+     * @param sequence numbers the change
+     * @return whether this changed the registry
      */
     public boolean merge(long now, QuarantinedRequest row, ChangeSequence sequence) {
         Fingerprint request = Quarantine.fingerprint(row);
@@ -136,9 +136,9 @@
     }
 
     /**
-     * Takes the rows of the quarantine that changed since the last question.
+     * Returns and clears the quarantine rows of requests that were quarantined or released since the last call.
      *
-     * @return the rows as they became, in order
+     * @return the rows, in the order of the changes
      */
     public List<QuarantinedRequest> takeChangedRows() {
         List<QuarantinedRequest> rows = List.copyOf(changedRows);
@@ -147,7 +147,7 @@
     }
 
     /**
-     * Tells whether a request is refused as poison.
+     * Checks whether a request is refused as poison.
      *
      * @param request its fingerprint
      * @return whether it is
@@ -157,7 +157,8 @@
     }
 
     /**
-     * Tells whether a request has what makes it poison, and who else was at the crashes may not be known yet.
+     * Checks whether a request has enough crashes to be poison while other requests at these crashes may not be
+     * reported yet.
      *
      * @param now     the time in nanoseconds
      * @param request its fingerprint
@@ -168,7 +169,7 @@
     }
 
     /**
-     * The starts that crashed under a request and that it was not cleared of.
+     * Returns the upstream instances that crashed under a request, without the crashes that it was cleared of.
      *
      * @param request its fingerprint
      * @return their identities
@@ -178,7 +179,7 @@
     }
 
     /**
-     * The quarantine.
+     * Returns the quarantine.
      *
      * @return quarantined and released requests
      */
@@ -187,7 +188,7 @@
     }
 
     /**
-     * Counts requests that may have caused a crash.
+     * Counts the requests that may have caused a crash.
      *
      * @return their number
      */
@@ -196,17 +197,17 @@
     }
 
     /**
-     * Crashes of which something changed since a number.
+     * Returns the crashes that changed since a number.
      *
      * @param changeNumber the number
-     * @return the crashes with what changed
+     * @return the crashes with their changed requests
      */
     public List<UpstreamCrash> crashesChangedSince(long changeNumber) {
         return crashes.changedSince(changeNumber);
     }
 
     /**
-     * When {@link #quarantinePoison} is due.
+     * Returns when {@link #quarantinePoison} is due.
      *
      * @return the time in nanoseconds
      */
--- a/src/main/java/org/cuminshelf/poison/Quarantine.java
+++ b/src/main/java/org/cuminshelf/poison/Quarantine.java
@@ -11,14 +11,15 @@
 /**
  * The requests that are refused as poison, and those that were and have been released.
  *
- * <p>Of what is told of one request the later stands: the higher generation, and of one generation the release. So it
- * merges in any order. Only a release ends a quarantine: a trial now and then would end an upstream each time.
+ * <p>Of several rows of one request the latest is kept: the one with the higher generation, and of one generation the
+ * release. So rows merge in any order. Only a release ends a quarantine: an occasional trial would crash an upstream
+ * each time.
  */
 public final class Quarantine {
 
     /**
-     * Requests kept at the most, released ones among them: each was found at the price of three upstreams' ends, and
-     * takes some 400 bytes. Of more the released go first, then the oldest.
+     * Most rows kept, including released requests: each was found at the cost of three upstream crashes, and takes some
+     * 400 bytes. Released requests are evicted first, then the oldest.
      */
     private static final int MAX_ROWS = 1_024;
 
@@ -31,14 +32,14 @@
 
     private final Map<Fingerprint, Row> rows = new LinkedHashMap<>();
     private long changeCount;
-    /** Number of the newest change. */
+    /** Number of the latest change. */
     private long lastChangeNumber = Long.MIN_VALUE;
 
-    /** Makes an empty quarantine. */
+    /** Creates an empty quarantine. */
     public Quarantine() {}
 
     /**
-     * Names the request of a row.
+     * Returns the request of a row.
      *
      * @param row the row
      * @return its fingerprint
@@ -48,11 +49,11 @@
     }
 
     /**
-     * Takes what is known of a request.
+     * Merges a row.
      *
-     * @param row    what is told of it
-     * @param sequence number the change
-     * @return whether it is news
+     * @param row      the row
+     * @param sequence numbers the change
+     * @return whether this changed the quarantine
      */
     public boolean merge(QuarantinedRequest row, ChangeSequence sequence) {
         Fingerprint request = fingerprint(row);
@@ -81,7 +82,7 @@
     }
 
     /**
-     * Tells whether a request is refused.
+     * Checks whether a request is refused.
      *
      * @param request its fingerprint
      * @return whether it is quarantined and not released
@@ -92,11 +93,12 @@
     }
 
     /**
-     * Tells whether a crash was held against a request before its release, and isn't any more.
+     * Checks whether a crash was among those for which a request was quarantined, and the request has been released
+     * since.
      *
      * @param request  its fingerprint
-     * @param upstream identity of the start that crashed
-     * @return whether the request was released from it
+     * @param upstream identity of the upstream instance that crashed
+     * @return whether it has been released
      */
     public boolean isReleasedAfterCrash(Fingerprint request, String upstream) {
         Row row = rows.get(request);
@@ -106,11 +108,11 @@
     }
 
     /**
-     * Makes the row that quarantines a request, again where it was released before.
+     * Creates the row that quarantines a request, or quarantines it again after a release.
      *
      * @param request   its fingerprint
-     * @param upstreams identities of the starts that crashed under it
-     * @param foundBy   names who found it
+     * @param upstreams identities of the upstream instances that crashed under it
+     * @param foundBy   identity of the process that found it
      * @return the row
      */
     public QuarantinedRequest quarantineRow(Fingerprint request, List<String> upstreams, String foundBy) {
@@ -127,13 +129,13 @@
     }
 
     /**
-     * Makes the row that releases a request.
+     * Creates the row that releases a request.
      *
      * @param request  its fingerprint
      * @param author   who releases it
      * @param reason   why
      * @param atMillis when, in Unix milliseconds; 0 if unknown
-     * @return the row, or nothing if the request is not quarantined
+     * @return the row, or empty if the request is not quarantined
      */
     public Optional<QuarantinedRequest> releaseRow(Fingerprint request, String author, String reason, long atMillis) {
         if (!isQuarantined(request)) {
@@ -148,7 +150,7 @@
     }
 
     /**
-     * Tells whether nothing is kept.
+     * Checks whether there is no row.
      *
      * @return whether no request is quarantined or was released
      */
@@ -157,7 +159,7 @@
     }
 
     /**
-     * All that is kept, the oldest first.
+     * Returns all rows, the oldest first.
      *
      * @return the rows
      */
@@ -166,7 +168,7 @@
     }
 
     /**
-     * What changed since a number.
+     * Returns the rows that changed since a number.
      *
      * @param changeNumber the number
      * @return the rows
@@ -191,7 +193,7 @@
     }
 
     /**
-     * Tells whether what is known of a request is as late as a row.
+     * Checks whether the quarantine already has a row or a later one of the same request.
      *
      * @param row the row
      * @return whether merging it would change nothing
@@ -202,7 +204,7 @@
     }
 
     /**
-     * Counts changes, so that a reader sees when there is news.
+     * Returns a counter of changes, by which a reader detects them.
      *
      * @return a number that rises with each change
      */
@@ -210,7 +212,7 @@
         return changeCount;
     }
 
-    /** Forgets all, before a saved state is read. */
+    /** Removes all rows, before a saved state is restored. */
     public void clear() {
         rows.clear();
         changeCount++;
--- a/src/main/java/org/cuminshelf/poison/package-info.java
+++ b/src/main/java/org/cuminshelf/poison/package-info.java
@@ -1,6 +1,7 @@
 /**
- * Poison requests, also called queries of death: requests that end every upstream that runs them. Here stand what makes
- * two requests the same, what is known of upstreams that ended under requests, and which requests are refused for it.
- * All of it merges in any order and without counting twice; there is no I/O, no clock and no decision on a call here.
+ * Poison requests, also called queries of death: requests that crash every upstream that runs them. The package holds
+ * the fingerprints that identify a request, the crashes of upstreams with the requests that were running there, and the
+ * requests that are quarantined for them. All of this merges in any order and without counting anything twice. The
+ * package does no I/O, reads no clock and makes no decision on a call.
  */
 package org.cuminshelf.poison;
--- a/src/test/java/org/cuminshelf/poison/CrashStormSimulation.java
+++ b/src/test/java/org/cuminshelf/poison/CrashStormSimulation.java
@@ -10,8 +10,9 @@
 import org.cuminshelf.message.Involvement;
 
 /**
- * Two minutes of a fleet of four engines, each of which ends of itself every eight seconds on average, as one register
- * hears of it. Harmless requests are tried up to four times; a poison request comes each second, until it is found.
+ * Simulates two minutes of four engines, each of which crashes at random every eight seconds on average, as one
+ * registry records them. Harmless requests are attempted up to four times; a poison request arrives every second until
+ * it is found.
  */
 final class CrashStormSimulation {
 
@@ -22,12 +23,12 @@
     private static final double CRASH_PROBABILITY_PER_STEP = 0.25 / 8;
     private static final int ARRIVALS_PER_STEP = 12;
     private static final int MAX_ATTEMPTS = 4;
-    /** Steps that a run lasts: a quarter of a second to two. */
+    /** Longest run: a run lasts from a quarter of a second to two seconds. */
     private static final int MAX_RUN_STEPS = 8;
 
     private static final int POISON_INTERVAL_STEPS = 4;
 
-    /** A run at an engine: when it began and ends, in steps. */
+    /** A run at an engine, with the steps at which it starts and ends. */
     private record Run(Fingerprint request, int startStep, int endStep) {}
 
     private final Random random;
--- a/src/test/java/org/cuminshelf/poison/CrashTableTest.java
+++ b/src/test/java/org/cuminshelf/poison/CrashTableTest.java
@@ -7,7 +7,7 @@
 import org.cuminshelf.core.Durations;
 import org.cuminshelf.message.Involvement;
 
-/** Which of the requests that were at crashes is taken for the cause. */
+/** Tests which of the requests that were at crashes is found to be the cause. */
 class CrashTableTest {
 
     private static final Fingerprint POISON = new Fingerprint(0, 1);
@@ -43,8 +43,8 @@
     }
 
     /*
-     * A request is refused for ever though one upstream ended under it. Three entries each had a copy of it there, or
-     * one entry told of it three times, and each counted.
+     * Guards against a request that is refused permanently although one upstream crashed under it: three entries each
+     * had a copy of it there, or one entry reported it three times, and each report counted.
      */
     @Example
     void repeatedReportsOfOneCrashCountOnce() {
@@ -67,8 +67,9 @@
     }
 
     /*
-     * A harmless request is refused for ever. It and the poison request were at the same three crashes, one entry told
-     * of it some milliseconds before another told of the poison request, and was believed at once.
+     * Guards against a harmless request that is refused permanently. It and the poison request were at the same three
+     * crashes, one entry reported it some milliseconds before another reported the poison request, and that report was
+     * acted on at once.
      */
     @Example
     void noRequestIsFoundBeforeReportsOfItsCrashesHaveSettled() {
@@ -103,7 +104,8 @@
     }
 
     /*
-     * Upstreams go on ending for ever: two poison requests come together each time, and neither is told from the other.
+     * Guards against upstreams that crash permanently because two poison requests always arrive together and neither
+     * can be distinguished from the other.
      */
     @Example
     void twoRequestsAlwaysAtTheSameCrashesAreBothPoisonAfterFive() {
@@ -135,8 +137,8 @@
     }
 
     /*
-     * A harmless request is refused for ever: it was beside a known poison request at three crashes, after that one
-     * had been found and before all entries knew.
+     * Guards against a harmless request that is refused permanently because it was beside a known poison request at
+     * three crashes, after that one had been found and before all entries knew.
      */
     @Example
     void crashesExplainedByKnownPoisonDoNotCountAgainstOthers() {
@@ -152,8 +154,8 @@
     }
 
     /*
-     * A poison request is never found: a rack of upstreams fails again and again between its returns, and what was
-     * known of its crashes makes room for what is known of theirs.
+     * Guards against a poison request that is never found: a rack of upstreams fails repeatedly between its arrivals,
+     * and the crashes of the rack evict those of the request.
      */
     @Example
     void manyUnrelatedCrashesDoNotEvictASuspect() {
@@ -164,15 +166,15 @@
         }
         justBegun("u3", POISON);
         assertThat(table.crashedUpstreams(POISON)).containsExactly("u1", "u2", "u3");
-        assertThat(findPoison()).as("in a storm three crashes may be chance").isEmpty();
+        assertThat(findPoison()).as("three crashes may be coincidental in a storm").isEmpty();
         justBegun("u4", POISON);
         justBegun("u5", POISON);
         assertThat(findPoison()).containsExactly(POISON);
     }
 
     /*
-     * A harmless request is refused for ever. Upstreams end of themselves, one after the other, and it was at three of
-     * twelve.
+     * Guards against a harmless request that is refused permanently: upstreams crash independently, one after the
+     * other, and it was at three of twelve crashes.
      */
     @Example
     void threeCrashesAreNotEnoughDuringAStorm() {
@@ -205,7 +207,7 @@
         justBegun("u1", POISON);
         assertThat(table.crashedUpstreams(POISON)).containsExactly("u1");
         assertThat(table.requestCount())
-                .as("nothing is kept of those that were forgotten")
+                .as("evicted requests leave nothing behind")
                 .isEqualTo(128);
         assertThat(table.changedSince(0).getFirst().getRunsCount()).isLessThanOrEqualTo(128);
     }
--- a/src/test/java/org/cuminshelf/poison/FingerprintTest.java
+++ b/src/test/java/org/cuminshelf/poison/FingerprintTest.java
@@ -7,7 +7,7 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 
-/** What makes two requests the same. */
+/** Tests which requests are equal. */
 class FingerprintTest {
 
     private static final byte[] BODY = "body".getBytes(StandardCharsets.UTF_8);
@@ -21,9 +21,7 @@
         assertThat(of("POST", "h", "/a", "c", BODY.clone())).isEqualTo(of("POST", "h", "/a", "c", BODY));
     }
 
-    /*
-     * A harmless request is refused in place of a poison one that differs in one part only.
-     */
+    /* Guards against a harmless request that is refused in place of a poison one which differs in one part only. */
     @Example
     void aDifferenceInAnyPartChangesTheFingerprint() {
         Fingerprint one = of("POST", "h", "/a", "c", BODY);
--- a/src/test/java/org/cuminshelf/poison/PoisonRegistryTest.java
+++ b/src/test/java/org/cuminshelf/poison/PoisonRegistryTest.java
@@ -19,12 +19,15 @@
 import org.cuminshelf.message.QuarantinedRequest;
 import org.cuminshelf.message.UpstreamCrash;
 
-/** What processes tell each other of poison requests. */
+/** Tests of the replication of poison requests between processes. */
 class PoisonRegistryTest {
 
     private static final Fingerprint POISON = new Fingerprint(0, 1);
     private static final long SECOND = Durations.nanos(1_000);
-    /** Harmless requests at crashes of which one may be refused: some 770 are in a storm, so one in thirteen storms. */
+    /**
+     * Harmless requests at crashes of which one may be refused. Some 770 are at crashes in a storm, so one refusal is
+     * allowed in thirteen storms.
+     */
     private static final int HARMLESS_REQUESTS_PER_ALLOWED_REFUSAL = 10_000;
 
     private long lastChangeNumber;
@@ -79,8 +82,9 @@
     }
 
     /*
-     * Harmless requests are refused for ever. Engines end under a poison request, and others of themselves; whatever
-     * was there is sent again, up to four times in all, and is there again when the next one ends.
+     * Guards against harmless requests that are refused permanently. Engines crash under a poison request, and others
+     * at random; the requests that were running are sent again, up to four times in all, and may be running when the
+     * next engine crashes.
      */
     @Example
     void harmlessRequestsAreNotQuarantined() {
@@ -100,7 +104,8 @@
     }
 
     /*
-     * A request is quarantined again as soon as it is released: an entry that was cut off tells of the old crashes.
+     * Guards against a request that is quarantined again as soon as it is released, because an entry that was
+     * partitioned reports the old crashes.
      */
     @Example
     void crashesBeforeAReleaseDoNotQuarantineAgain() {
