--- a/src/main/java/org/cuminshelf/poison/CrashTable.java
+++ b/src/main/java/org/cuminshelf/poison/CrashTable.java
@@ -262,7 +262,7 @@
         if (crashes.size() <= MAX_CRASHES) {
             return;
         }
-        // Ordered from the oldest, so min() takes the oldest of equals. The newest is kept, as its reports have just begun.
+        // Ordered from the oldest, so min() takes the oldest of equals. The newest is kept: its reports have just begun.
         List<CrashRecord> oldestFirst = List.copyOf(crashes.values());
         oldestFirst.subList(0, oldestFirst.size() - 1).stream()
                 .min(Comparator.comparingInt(this::maxPoints))
