--- a/src/main/java/org/cuminshelf/backpressure/UpstreamRateLimit.java
+++ b/src/main/java/org/cuminshelf/backpressure/UpstreamRateLimit.java
@@ -83,11 +83,11 @@
     /**
      * Applies a state if it is the latest: answers may arrive out of order, and so may the reports of other entries.
      */
-    private void update(long now, LimitState state, boolean receivedLocally) {
+    private void update(long now, LimitState state, boolean fromUpstream) {
         lastActiveAt = now;
         if (state.validAt() > latest.validAt()) {
             latest = state;
-            receivedLocally = receivedLocally;
+            receivedLocally = fromUpstream;
             permits = state.perSecond().isPresent() ? permits : null;
         }
     }
--- a/src/main/java/org/cuminshelf/poison/CrashTable.java
+++ b/src/main/java/org/cuminshelf/poison/CrashTable.java
@@ -77,7 +77,8 @@
     }
 
     /** Records that a request was at an upstream instance that crashed. Returns whether this changed the table. */
-    boolean record(long now, String upstream, Fingerprint request, Involvement involvement, ChangeSequence sequence) {
+    boolean recordRun(
+            long now, String upstream, Fingerprint request, Involvement involvement, ChangeSequence sequence) {
         CrashRecord crash = crashes.computeIfAbsent(upstream, key -> new CrashRecord(key, now));
         CrashRecord.Run before = crash.runs.get(request);
         if (before != null && before.involvement().getNumber() >= involvement.getNumber()) {
@@ -126,7 +127,7 @@
         boolean urgent = points(request) >= POISON_POINTS;
         boolean changed = false;
         for (CrashRecord crash : List.copyOf(byRequest.getOrDefault(request, Set.of()))) {
-            changed |= record(now, crash.upstream, request, Involvement.CLEARED, suspect -> sequence.next(urgent));
+            changed |= recordRun(now, crash.upstream, request, Involvement.CLEARED, suspect -> sequence.next(urgent));
         }
         return changed;
     }
@@ -262,7 +263,8 @@
         if (crashes.size() <= MAX_CRASHES) {
             return;
         }
-        // Ordered from the oldest, so min() takes the oldest of equals. The newest is kept: its reports have just begun.
+        // Ordered from the oldest, so min() takes the oldest of equals. The newest is kept: its reports have just
+        // begun.
         List<CrashRecord> oldestFirst = List.copyOf(crashes.values());
         oldestFirst.subList(0, oldestFirst.size() - 1).stream()
                 .min(Comparator.comparingInt(this::maxPoints))
--- a/src/main/java/org/cuminshelf/poison/PoisonRegistry.java
+++ b/src/main/java/org/cuminshelf/poison/PoisonRegistry.java
@@ -52,7 +52,7 @@
     public boolean onCrash(
             long now, String upstream, Fingerprint request, Involvement involvement, ChangeSequence sequence) {
         Involvement counted = quarantine.isReleasedAfterCrash(request, upstream) ? Involvement.CLEARED : involvement;
-        boolean changed = crashes.record(now, upstream, request, counted, sequence);
+        boolean changed = crashes.recordRun(now, upstream, request, counted, sequence);
         if (changed && quarantine.isQuarantined(request)) {
             crashes.updateExplained(request, quarantine::isQuarantined);
         }
--- a/src/test/java/org/cuminshelf/poison/CrashTableTest.java
+++ b/src/test/java/org/cuminshelf/poison/CrashTableTest.java
@@ -20,12 +20,12 @@
 
     private void justBegun(String upstream, Fingerprint... requests) {
         for (Fingerprint request : requests) {
-            table.record(now, upstream, request, Involvement.JUST_BEGUN, SEQUENCE);
+            table.recordRun(now, upstream, request, Involvement.JUST_BEGUN, SEQUENCE);
         }
     }
 
     private void underWay(String upstream, Fingerprint request) {
-        table.record(now, upstream, request, Involvement.UNDER_WAY, SEQUENCE);
+        table.recordRun(now, upstream, request, Involvement.UNDER_WAY, SEQUENCE);
     }
 
     private List<Fingerprint> findPoison() {
@@ -166,7 +166,9 @@
         }
         justBegun("u3", POISON);
         assertThat(table.crashedUpstreams(POISON)).containsExactly("u1", "u2", "u3");
-        assertThat(findPoison()).as("three crashes may be coincidental in a storm").isEmpty();
+        assertThat(findPoison())
+                .as("three crashes may be coincidental in a storm")
+                .isEmpty();
         justBegun("u4", POISON);
         justBegun("u5", POISON);
         assertThat(findPoison()).containsExactly(POISON);
