--- a/src/main/java/org/cuminshelf/planning/DecayingPeak.java
+++ b/src/main/java/org/cuminshelf/planning/DecayingPeak.java
@@ -1,21 +1,21 @@
 package org.cuminshelf.planning;
 
-/** The highest of some values that were seen lately, falling back to the last one seen over time. */
+/** Recent maximum of a value, which decays exponentially towards the last observation. */
 final class DecayingPeak {
 
     private final double decaySeconds;
     private double last;
     private double peak;
-    private double lastSeconds;
+    private double lastObservedAtSeconds;
 
     private DecayingPeak(double decaySeconds) {
         this.decaySeconds = decaySeconds;
     }
 
     /**
-     * Makes a peak of values that are yet to be seen.
+     * Creates a peak without observations.
      *
-     * @param decaySeconds seconds after which a peak stands out by a third of what it did
+     * @param decaySeconds time after which the excess of the peak over the last observation has decayed to 1/e
      * @return the peak
      */
     static DecayingPeak of(double decaySeconds) {
@@ -23,10 +23,10 @@
     }
 
     void observe(double nowSeconds, double value) {
-        double remainingShare = Math.exp(-Math.max(0, nowSeconds - lastSeconds) / decaySeconds);
+        double remainingShare = Math.exp(-Math.max(0, nowSeconds - lastObservedAtSeconds) / decaySeconds);
         peak = Math.max(value, value + (peak - value) * remainingShare);
         last = value;
-        lastSeconds = nowSeconds;
+        lastObservedAtSeconds = nowSeconds;
     }
 
     double last() {
