--- a/src/main/java/org/cuminshelf/direct/AdmissionControl.java
+++ b/src/main/java/org/cuminshelf/direct/AdmissionControl.java
@@ -6,43 +6,49 @@
 import org.cuminshelf.message.Cause;
 import org.cuminshelf.verdict.Verdict;
 
-/** Decides what is done with a call now: it is sent where it is served best, waits a moment, or is refused. */
+/** Decides whether a call is sent to an upstream now, waits in the admission queue or is refused. */
 final class AdmissionControl {
 
-    /** What is done with a call now. */
+    /** The outcome of the decision on a call. */
     sealed interface Decision {
 
-        /** It goes to an upstream. */
+        /** The call is sent to the selected upstream. */
         record Send(UpstreamSelector.Choice choice) implements Decision {}
 
-        /** It waits here, and is decided again. */
+        /** The call waits in the admission queue and is decided again later. */
         record Wait() implements Decision {}
 
         /**
-         * It is refused.
+         * The call is refused.
          *
-         * @param verdict what its caller is told
-         * @param reason  why, for the log
+         * @param verdict the verdict returned to the caller
+         * @param reason  the reason, for the log
          */
         record Refuse(Verdict.NotRun verdict, String reason) implements Decision {}
     }
 
-    /** Time for which a caller waits for the first event at the most, and times the target, whichever is longer. */
-    private static final double LONGEST_FIRST_MILLIS = 1_900;
+    /**
+     * Longest time that a caller waits for the first event, or {@link #MAX_FIRST_EVENT_TARGETS} times the latency
+     * target of the route, whichever is longer.
+     */
+    private static final double MAX_FIRST_EVENT_MILLIS = 1_900;
 
-    private static final double LONGEST_FIRST_FACTOR = 3.8;
+    private static final double MAX_FIRST_EVENT_TARGETS = 3.8;
+    /**
+     * Prefill backlog of an engine up to which a prompt is queued at the engine rather than here: short compared with
+     * the latency targets, and long enough that no engine becomes idle before the next calls are tried.
+     */
+    private static final double MAX_ENGINE_QUEUE_MILLIS = 100;
+    /** Milliseconds to the first event of a usual prompt, used if no engine is available for an estimate. */
+    private static final double USUAL_FIRST_EVENT_MILLIS = 50;
     /**
-     * Milliseconds of prompts before it for which a prompt waits at an engine rather than here: short against the
-     * targets, and long enough that no engine runs dry before the next calls are tried.
+     * Time after which a caller retries if all slots are in use: streams end after some 2 s, so half of them have ended
+     * by then.
      */
-    private static final double ENGINE_WAIT_MILLIS = 100;
-    /** Milliseconds to the first event of a usual prompt, where no engine could be estimated. */
-    private static final double USUAL_FIRST_MILLIS = 50;
-    /** When to come back where all places are taken: streams end after some 2 s, so half of them by then. */
-    private static final long FULL_RETRY_AFTER_MILLIS = 1_000;
+    private static final long NO_SLOT_RETRY_AFTER_MILLIS = 1_000;
 
-    /** Milliseconds over which callers come back that were refused as their upstreams ask to wait. */
-    private static final int RETURNS_SPREAD_MILLIS = 1_000;
+    /** Interval over which the retries of calls are spread that were refused because of rate limits or pauses. */
+    private static final int RETRY_SPREAD_MILLIS = 1_000;
 
     private static final Decision WAIT = new Decision.Wait();
 
@@ -58,11 +64,11 @@
 
     Decision decide(long now, DirectCall call) {
         Optional<UpstreamSelector.Choice> choice = selector.choose(now, call);
-        choice.ifPresent(found -> expect(call, found));
-        return choice.map(found -> decide(now, call, found)).orElseGet(() -> decideUnplaced(now, call));
+        choice.ifPresent(found -> recordEstimate(call, found));
+        return choice.map(found -> decide(now, call, found)).orElseGet(() -> decideWithoutUpstream(now, call));
     }
 
-    private static void expect(DirectCall call, UpstreamSelector.Choice choice) {
+    private static void recordEstimate(DirectCall call, UpstreamSelector.Choice choice) {
         if (call.lastAttempt == null) {
             call.estimatedFirstEventMillis = choice.firstEventMillis();
             call.estimatedQueueMillis = choice.queueMillis();
@@ -70,29 +76,30 @@
     }
 
     private Decision decide(long now, DirectCall call, UpstreamSelector.Choice choice) {
-        if (isHopeless(now, call, choice)) {
+        if (isTooLate(now, call, choice)) {
             return refuse(call, choice, "too-late");
         }
-        double own = choice.firstEventMillis() - choice.queueMillis();
-        if (choice.queueMillis() > ENGINE_WAIT_MILLIS && waitsForTurn(now, call, own)) {
+        double ownMillis = choice.firstEventMillis() - choice.queueMillis();
+        if (choice.queueMillis() > MAX_ENGINE_QUEUE_MILLIS && queuesForCapacity(now, call, ownMillis)) {
             return WAIT;
         }
         return sendUnlessLate(now, call, choice);
     }
 
-    private Decision decideUnplaced(long now, DirectCall call) {
+    private Decision decideWithoutUpstream(long now, DirectCall call) {
         OptionalLong next = selector.nextSend(now, call);
         if (next.isPresent()) {
-            return decideHeldBack(now, call, next.getAsLong());
+            return decideLimited(now, call, next.getAsLong());
         }
-        boolean full = selector.hasOpen(now, call);
-        boolean waits = full ? waitsForTurn(now, call, USUAL_FIRST_MILLIS) : waitsForUpstreams(now, call);
-        if (waits) {
+        boolean allSlotsInUse = selector.hasOpenUpstream(now, call);
+        boolean queued =
+                allSlotsInUse ? queuesForCapacity(now, call, USUAL_FIRST_EVENT_MILLIS) : queuesForDiscovery(now, call);
+        if (queued) {
             return WAIT;
         }
-        if (full) {
+        if (allSlotsInUse) {
             call.offeredLoad.ifPresent(OfferedLoad::onRefusedForSlots);
-            Verdict.NotRun verdict = new Verdict.NotRun(Cause.OVERLOADED, FULL_RETRY_AFTER_MILLIS);
+            Verdict.NotRun verdict = new Verdict.NotRun(Cause.OVERLOADED, NO_SLOT_RETRY_AFTER_MILLIS);
             return new Decision.Refuse(verdict, "all places are taken");
         }
         Verdict.NotRun verdict = new Verdict.NotRun(Cause.NO_UPSTREAM, CallerResponses.DEFAULT_RETRY_AFTER_MILLIS);
@@ -100,12 +107,13 @@
     }
 
     /**
-     * Decides on a call all of whose upstreams rest or state limits: it waits if one takes it before its patience ends,
-     * and is refused at once otherwise. The times to come back are spread, so that not all come for the first chance.
+     * Decides on a call for which every upstream has asked for a pause or has reached its rate limit. It waits if one
+     * of them accepts it before its maximum wait ends, and is refused at once otherwise. Retry times are spread, so
+     * that callers do not all retry at the first opportunity.
      */
-    private Decision decideHeldBack(long now, DirectCall call, long nextAt) {
-        boolean fresh = call.lastAttempt == null;
-        if ((fresh || call.kvCache.isPresent()) && admissionQueue.addUntil(now, call, nextAt)) {
+    private Decision decideLimited(long now, DirectCall call, long nextSendAt) {
+        boolean isFirstAttempt = call.lastAttempt == null;
+        if ((isFirstAttempt || call.kvCache.isPresent()) && admissionQueue.addUntil(now, call, nextSendAt)) {
             return WAIT;
         }
         call.offeredLoad.ifPresent(OfferedLoad::onRefusedForSlots);
@@ -113,70 +121,77 @@
         return new Decision.Refuse(verdict, "upstreams-ask-to-wait");
     }
 
-    /** When the caller of a call that is refused should come back, in milliseconds from now. */
+    /** Returns when the caller of a refused call should retry, in milliseconds from now. */
     long retryAfterMillis(long now, DirectCall call) {
-        OptionalLong next = selector.nextReturn(now, call);
+        OptionalLong next = selector.nextRetryAt(now, call);
         if (next.isEmpty()) {
             return CallerResponses.DEFAULT_RETRY_AFTER_MILLIS;
         }
-        long spread = Math.floorMod(call.intent.id().hashCode(), RETURNS_SPREAD_MILLIS);
+        long spread = Math.floorMod(call.intent.id().hashCode(), RETRY_SPREAD_MILLIS);
         return Math.max(CallerResponses.DEFAULT_RETRY_AFTER_MILLIS, Durations.millis(next.getAsLong() - now)) + spread;
     }
 
     private static Decision refuse(DirectCall call, UpstreamSelector.Choice choice, String reason) {
         call.offeredLoad.ifPresent(OfferedLoad::onRefusedForPrefill);
-        long wait = (long) Math.max(CallerResponses.DEFAULT_RETRY_AFTER_MILLIS, choice.queueMillis());
-        return new Decision.Refuse(new Verdict.NotRun(Cause.OVERLOADED, wait), reason);
+        long retryAfterMillis = (long) Math.max(CallerResponses.DEFAULT_RETRY_AFTER_MILLIS, choice.queueMillis());
+        return new Decision.Refuse(new Verdict.NotRun(Cause.OVERLOADED, retryAfterMillis), reason);
     }
 
-    /** Whether a call waits here for its turn; one that an upstream has had, or whose answer began, doesn't. */
-    private boolean waitsForTurn(long now, DirectCall call, double ownMillis) {
-        return call.lastAttempt == null && call.isStream() && admissionQueue.addForTurn(now, call, ownMillis);
+    /**
+     * Returns whether a call waits for capacity. A call that was sent to an upstream, or whose answer has begun, does
+     * not.
+     */
+    private boolean queuesForCapacity(long now, DirectCall call, double ownMillis) {
+        return call.lastAttempt == null && call.isStream() && admissionQueue.addForCapacity(now, call, ownMillis);
     }
 
     /**
-     * Whether a call waits for upstreams that this entry has not heard of yet. Guards against a refusal of all that
-     * comes while all processes restart together, of which half came back before anything was known and was lost.
+     * Returns whether a call waits for upstreams that this entry has not discovered yet. Guards against refusals while
+     * all processes restart together: half of the refused calls were retried before any upstream was known, and lost.
      */
-    private boolean waitsForUpstreams(long now, DirectCall call) {
-        return call.lastAttempt == null && control.isWarmingUp(now) && admissionQueue.addForUpstreams(now, call);
+    private boolean queuesForDiscovery(long now, DirectCall call) {
+        return call.lastAttempt == null && control.isWarmingUp(now) && admissionQueue.addForDiscovery(now, call);
     }
 
     /**
-     * Sends a call that will be in time, or whose answer is worth more than the engine's time though it comes late, or
-     * whose size was refused more than its share. Under more work than the engines can take their time is dear, so that
-     * only what is in time goes: queues of prompts that are all late serve nobody.
+     * Sends a call that is expected to be in time, whose late answer is worth more than the engine's time, or whose
+     * size group has been refused more than its share. Under overload, engine time is expensive, so that only calls
+     * that are in time are sent: if all queued prompts are late, no caller benefits.
      */
     private static Decision sendUnlessLate(long now, DirectCall call, UpstreamSelector.Choice choice) {
-        double first = Durations.millis(now - call.arrivedAtNanos) + choice.firstEventMillis();
-        boolean inTime = first <= call.route.targetLatencyMillis();
-        if (call.lastAttempt != null || inTime || choice.netValue() > 0 || isAdmittedForFairness(call, first)) {
+        double firstEventMillis = Durations.millis(now - call.arrivedAtNanos) + choice.firstEventMillis();
+        boolean inTime = firstEventMillis <= call.route.targetLatencyMillis();
+        if (call.lastAttempt != null || inTime || choice.netValue() > 0 || isAdmittedForFairness(call, firstEventMillis)) {
             return new Decision.Send(choice);
         }
         return refuse(call, choice, "too-dear");
     }
 
-    /** Whether a call goes for its size's sake, which it does only where its caller will still be there. */
-    private static boolean isAdmittedForFairness(DirectCall call, double firstMillis) {
-        return firstMillis <= longestFirst(call)
+    /**
+     * Returns whether a call is sent because of its size group's fair share. It is sent only if its caller is expected
+     * to be still connected.
+     */
+    private static boolean isAdmittedForFairness(DirectCall call, double firstEventMillis) {
+        return firstEventMillis <= maxFirstEventMillis(call)
                 && call.fairnessClaim.filter(SizeFairness.Claim::hasCredit).isPresent();
     }
 
-    /** Milliseconds after which the caller of a stream that shows nothing has left. */
-    private static double longestFirst(DirectCall call) {
-        return Math.max(LONGEST_FIRST_MILLIS, LONGEST_FIRST_FACTOR * call.route.targetLatencyMillis());
+    /** Returns the milliseconds after which the caller of a stream without an event has disconnected. */
+    private static double maxFirstEventMillis(DirectCall call) {
+        return Math.max(MAX_FIRST_EVENT_MILLIS, MAX_FIRST_EVENT_TARGETS * call.route.targetLatencyMillis());
     }
 
     /**
-     * Whether a generation would be answered too late to be of use. Guards against a queue of which every answer is
-     * late, or made for callers that have left: what can't be served in time is refused at once, while the rest is.
+     * Returns whether the answer to a generation would be too late to be useful. Guards against a queue in which every
+     * answer is late or for a disconnected caller: calls that cannot be served in time are refused at once, so that the
+     * others are served.
      */
-    private static boolean isHopeless(long now, DirectCall call, UpstreamSelector.Choice choice) {
+    private static boolean isTooLate(long now, DirectCall call, UpstreamSelector.Choice choice) {
         if (call.responseStarted || call.kvCache.isPresent() || choice.firstEventMillis() == 0) {
             return false;
         }
-        double own = choice.firstEventMillis() - choice.queueMillis();
-        double first = Durations.millis(now - call.arrivedAtNanos) + own;
-        return first > longestFirst(call) || now + Durations.nanos((long) own) > call.deadlineNanos;
+        double ownMillis = choice.firstEventMillis() - choice.queueMillis();
+        double firstEventMillis = Durations.millis(now - call.arrivedAtNanos) + ownMillis;
+        return firstEventMillis > maxFirstEventMillis(call) || now + Durations.nanos((long) ownMillis) > call.deadlineNanos;
     }
 }
--- a/src/main/java/org/cuminshelf/direct/AdmissionQueue.java
+++ b/src/main/java/org/cuminshelf/direct/AdmissionQueue.java
@@ -9,76 +9,86 @@
 import org.cuminshelf.core.Durations;
 
 /**
- * Calls that can't be placed now but probably soon, in the order in which they are tried again.
+ * Calls that cannot be sent now but probably soon, ordered by the time at which they must be sent.
  *
- * <p>Answers the load pattern of arrivals in clumps: for a tenth of a second there are more prompts, or streams, than
- * engines take. Engines read admitted prompts in the order of their arrival, so whatever waits there can't be overtaken
- * by what has less time; here the call that must start soonest goes first, and what can't be on time any more goes
- * last. A place for a stream comes free each few milliseconds, so that a short wait saves most refusals of a clump.
+ * <p>Smooths clustered arrivals, during which more prompts or streams arrive within a tenth of a second than engines
+ * accept. Engines prefill admitted prompts in order of arrival, so a prompt queued there cannot be overtaken by a more
+ * urgent one. Here the call that must start soonest is first, and calls that can no longer be in time are last. A slot
+ * is released every few milliseconds, so that a short wait avoids most refusals of such a cluster.
  */
 final class AdmissionQueue {
 
-    /** How often they are tried again: a place comes free about as often on the smallest deployment. */
-    private static final long TRY_EVERY = Durations.nanos(10);
     /**
-     * Part of its target for which a call waits here for its turn: a refusal that comes within it leaves its caller as
-     * well off as one at once. A longer wait makes refusals late, and answers: with 300 ms a fifth of the prompts of
-     * heavy days came late that were in time with 100.
+     * Interval between attempts to send queued calls: about as often as a slot is released in the smallest deployment.
      */
-    private static final double PATIENCE_SHARE = 0.125;
-    /** Milliseconds kept for what estimates miss: their usual error. */
-    private static final double MARGIN_MILLIS = 30;
+    private static final long RETRY_INTERVAL_NANOS = Durations.nanos(10);
     /**
-     * Longest time for which a call waits for upstreams that a restarted entry has not heard of yet. Each announces
-     * itself every 1.2 s; callers leave a silent stream after 2 s.
+     * Share of its latency target for which a call waits for capacity: a refusal within that time costs its caller no
+     * more than an immediate one. A longer wait delays refusals and answers: with 300 ms, a fifth of the prompts of
+     * heavy days were late that were in time with 100.
      */
-    private static final long UPSTREAM_PATIENCE = Durations.nanos(1_500);
-    /** Part of a call's time after which it is refused instead, so that its caller can still come back. */
-    private static final double MOST_OF_ITS_TIME = 0.5;
+    private static final double MAX_WAIT_TARGET_SHARE = 0.125;
+    /** Milliseconds reserved for the usual error of latency estimates. */
+    private static final double SAFETY_MARGIN_MILLIS = 30;
+    /**
+     * Longest wait of a call for upstreams that a restarted entry has not discovered yet. Each upstream announces
+     * itself every 1.2 s; callers cancel a silent stream after 2 s.
+     */
+    private static final long MAX_DISCOVERY_WAIT_NANOS = Durations.nanos(1_500);
+    /** Share of a call's time after which it is refused instead, so that its caller has time to retry. */
+    private static final double MAX_DISCOVERY_WAIT_SHARE = 0.5;
 
-    private record Waiting(DirectCall call, long latestStart, long until) {}
+    /**
+     * A queued call.
+     *
+     * @param call          the call
+     * @param latestStartAt when it must be sent to be in time, in nanoseconds
+     * @param expiresAt     when its maximum wait ends, in nanoseconds
+     */
+    private record QueuedCall(DirectCall call, long latestStartAt, long expiresAt) {}
 
-    private final Map<Long, Waiting> calls = new HashMap<>();
-    private long nextTry = Core.NEVER;
+    private final Map<Long, QueuedCall> calls = new HashMap<>();
+    private long nextRetryAt = Core.NEVER;
 
     /**
-     * Lets a call wait for its turn, if it can still be on time.
+     * Queues a call until an engine has capacity for it, if it can still be in time.
      *
      * @param now       the time in nanoseconds
      * @param call      the call
-     * @param ownMillis milliseconds that it takes to its first event once it is placed
-     * @return whether it waits now
+     * @param ownMillis milliseconds from its sending to its first event
+     * @return whether it is queued
      */
-    boolean addForTurn(long now, DirectCall call, double ownMillis) {
-        double slack = call.route.targetLatencyMillis() - ownMillis;
-        double patience = Math.clamp(slack - MARGIN_MILLIS, 0, PATIENCE_SHARE * call.route.targetLatencyMillis());
-        return add(now, call, slack, Durations.nanos((long) patience));
+    boolean addForCapacity(long now, DirectCall call, double ownMillis) {
+        double slackMillis = call.route.targetLatencyMillis() - ownMillis;
+        double maxWaitMillis =
+                Math.clamp(slackMillis - SAFETY_MARGIN_MILLIS, 0, MAX_WAIT_TARGET_SHARE * call.route.targetLatencyMillis());
+        return add(now, call, slackMillis, Durations.nanos((long) maxWaitMillis));
     }
 
     /**
-     * Lets a call wait until an upstream takes it that asked to wait, if that is before its patience ends. A call whose
-     * prompt was read has more of it: what was read would be lost.
+     * Queues a call until an upstream that asked for a pause accepts requests again, if that is within the maximum wait
+     * of the call. A call whose prompt was prefilled waits longer, as its KV cache would be lost.
      *
-     * @param now    the time in nanoseconds
-     * @param call   the call
-     * @param nextAt when an upstream may be sent a request again, in nanoseconds
-     * @return whether it waits now
+     * @param now        the time in nanoseconds
+     * @param call       the call
+     * @param nextSendAt when an upstream accepts a request again, in nanoseconds
+     * @return whether it is queued
      */
-    boolean addUntil(long now, DirectCall call, long nextAt) {
-        double share = call.kvCache.isPresent() ? 1 : PATIENCE_SHARE;
-        long patience = Durations.nanos((long) (share * call.route.targetLatencyMillis()));
-        boolean inTime = nextAt < call.arrivedAtNanos + patience;
-        return inTime && add(now, call, call.route.targetLatencyMillis(), patience);
+    boolean addUntil(long now, DirectCall call, long nextSendAt) {
+        double share = call.kvCache.isPresent() ? 1 : MAX_WAIT_TARGET_SHARE;
+        long maxWaitNanos = Durations.nanos((long) (share * call.route.targetLatencyMillis()));
+        boolean inTime = nextSendAt < call.arrivedAtNanos + maxWaitNanos;
+        return inTime && add(now, call, call.route.targetLatencyMillis(), maxWaitNanos);
     }
 
     /**
-     * Lets a call wait for upstreams that are yet to be heard of.
+     * Queues a call until upstreams are discovered.
      *
      * @param now  the time in nanoseconds
      * @param call the call
-     * @return whether it waits now
+     * @return whether it is queued
      */
-    boolean addForUpstreams(long now, DirectCall call) {
+    boolean addForDiscovery(long now, DirectCall call) {
         return add(
                 now,
                 call,
@@ -86,20 +96,20 @@
                 maxDiscoveryWaitNanos(call.deadlineNanos - call.arrivedAtNanos));
     }
 
-    /** How long a call of so much time, in nanoseconds, waits for what a restarted entry has not heard yet. */
-    static long maxDiscoveryWaitNanos(long time) {
-        return Math.min(UPSTREAM_PATIENCE, (long) (MOST_OF_ITS_TIME * time));
+    /** Returns how long a call waits for discovery at most, given its total time; both in nanoseconds. */
+    static long maxDiscoveryWaitNanos(long totalNanos) {
+        return Math.min(MAX_DISCOVERY_WAIT_NANOS, (long) (MAX_DISCOVERY_WAIT_SHARE * totalNanos));
     }
 
-    private boolean add(long now, DirectCall call, double slackMillis, long patience) {
-        long until = Math.min(call.deadlineNanos, call.arrivedAtNanos + patience);
-        if (now >= until) {
+    private boolean add(long now, DirectCall call, double slackMillis, long maxWaitNanos) {
+        long expiresAt = Math.min(call.deadlineNanos, call.arrivedAtNanos + maxWaitNanos);
+        if (now >= expiresAt) {
             calls.remove(call.number);
             return false;
         }
-        long latestStart = call.arrivedAtNanos + Durations.nanos((long) slackMillis);
-        calls.put(call.number, new Waiting(call, latestStart, until));
-        nextTry = Math.min(nextTry, now + TRY_EVERY);
+        long latestStartAt = call.arrivedAtNanos + Durations.nanos((long) slackMillis);
+        calls.put(call.number, new QueuedCall(call, latestStartAt, expiresAt));
+        nextRetryAt = Math.min(nextRetryAt, now + RETRY_INTERVAL_NANOS);
         return true;
     }
 
@@ -108,25 +118,27 @@
     }
 
     long nextDue() {
-        return calls.isEmpty() ? Core.NEVER : nextTry;
+        return calls.isEmpty() ? Core.NEVER : nextRetryAt;
     }
 
-    /** The calls to try now, those that must start soonest first; what can't be on time any more comes last. */
+    /**
+     * Returns the calls to try now, those that must start soonest first; calls that can no longer be in time are last.
+     */
     List<DirectCall> due(long now) {
         if (now < nextDue()) {
             return List.of();
         }
-        nextTry = now + TRY_EVERY;
-        List<Waiting> ordered = new ArrayList<>(calls.values());
-        ordered.sort(Comparator.comparing((Waiting waiting) -> waiting.latestStart < now)
-                .thenComparingLong(Waiting::latestStart)
-                .thenComparingLong(waiting -> waiting.call.number));
-        return ordered.stream().map(Waiting::call).toList();
+        nextRetryAt = now + RETRY_INTERVAL_NANOS;
+        List<QueuedCall> ordered = new ArrayList<>(calls.values());
+        ordered.sort(Comparator.comparing((QueuedCall queued) -> queued.latestStartAt < now)
+                .thenComparingLong(QueuedCall::latestStartAt)
+                .thenComparingLong(queued -> queued.call.number));
+        return ordered.stream().map(QueuedCall::call).toList();
     }
 
-    /** Whether a call's patience is over, so that it is to be decided now. */
+    /** Returns whether the maximum wait of a call has ended, so that it must be sent or refused now. */
     boolean isExpired(long now, DirectCall call) {
-        Waiting waiting = calls.get(call.number);
-        return waiting == null || now >= waiting.until;
+        QueuedCall queued = calls.get(call.number);
+        return queued == null || now >= queued.expiresAt;
     }
 }
--- a/src/main/java/org/cuminshelf/direct/AnswerValues.java
+++ b/src/main/java/org/cuminshelf/direct/AnswerValues.java
@@ -4,36 +4,37 @@
 import java.util.Map;
 
 /**
- * What an answer is worth, in answers of usual size on the same route: a longer prompt is worth more to its caller, but
- * less than in proportion. Without it the largest prompts are the first to be refused, as they take most of an engine.
+ * Value of an answer, in answers of usual size on the same route. A longer prompt is worth more to its caller, but less
+ * than in proportion to its size. With a constant value the largest prompts would be refused first, as they take most
+ * of an engine's time.
  */
 final class AnswerValues {
 
-    /** Part of a usual answer's worth that has nothing to do with its size. */
-    private static final double BASE = 0.3;
-    /** Times a usual answer that the largest is worth at the most. */
-    private static final double MOST = 4;
-    /** Tokens of a prompt that count as much as one of output. */
-    private static final double OUTPUT_WEIGHT = 10;
-    /** Weight of one call in the mean size of its route: a memory of a hundred. */
-    private static final double MEMORY = 0.01;
+    /** Share of a usual answer's value that does not depend on its size. */
+    private static final double BASE_VALUE = 0.3;
+    /** Maximum value of an answer, in usual answers. */
+    private static final double MAX_VALUE = 4;
+    /** Tokens of a prompt that count as much as one token of output. */
+    private static final double PROMPT_TOKENS_PER_OUTPUT_TOKEN = 10;
+    /** Weight of one call in the mean size of its route: a window of about a hundred calls. */
+    private static final double SAMPLE_WEIGHT = 0.01;
 
     private final Map<String, Double> meanSizes = new HashMap<>();
 
-    /** Notes a call that was asked for. */
+    /** Adds a received call to the mean size of its route. */
     void observe(DirectCall call, GenerationShape shape) {
         double size = sizeInPromptTokens(shape);
-        meanSizes.merge(call.route.name(), size, (mean, next) -> mean + MEMORY * (next - mean));
+        meanSizes.merge(call.route.name(), size, (mean, next) -> mean + SAMPLE_WEIGHT * (next - mean));
     }
 
-    /** What a call's answer is worth if it comes in time. */
+    /** Returns the value of a call's answer if it is in time. */
     double valueOf(DirectCall call, GenerationShape shape) {
         double mean = meanSizes.getOrDefault(call.route.name(), sizeInPromptTokens(shape));
-        return Math.min(MOST, BASE + (1 - BASE) * sizeInPromptTokens(shape) / Math.max(1, mean));
+        return Math.min(MAX_VALUE, BASE_VALUE + (1 - BASE_VALUE) * sizeInPromptTokens(shape) / Math.max(1, mean));
     }
 
-    /** The size of a generation, in tokens of prompt. */
+    /** Returns the size of a generation, in prompt tokens. */
     static double sizeInPromptTokens(GenerationShape shape) {
-        return shape.promptTokens() + OUTPUT_WEIGHT * shape.outputTokens();
+        return shape.promptTokens() + PROMPT_TOKENS_PER_OUTPUT_TOKEN * shape.outputTokens();
     }
 }
--- a/src/main/java/org/cuminshelf/direct/AttemptPlan.java
+++ b/src/main/java/org/cuminshelf/direct/AttemptPlan.java
@@ -5,16 +5,16 @@
 import org.cuminshelf.core.Address;
 
 /**
- * What one attempt asks of its upstream.
+ * Parameters of the request that one attempt sends to its upstream.
  *
- * @param upstream        identity of the upstream's start; another one at its address must refuse
- * @param organisation    the organisation in whose name it runs
- * @param remainingMillis time left for the answer
- * @param priority        place in the upstream's queue, 0 first, 9 last
- * @param prefillOnly     whether only the prompt is to be taken in, for another engine to go on from
+ * @param upstream        identity of the upstream's start; another start at its address must refuse the request
+ * @param organisation    the organisation on whose behalf the request runs
+ * @param remainingMillis milliseconds left for the answer
+ * @param priority        priority in the upstream's queue, from 0 for the first to 9 for the last
+ * @param prefillOnly     whether the upstream only prefills the prompt, for another engine to generate the answer
  * @param cache           where the KV cache of the prompt can be fetched
- * @param prefixSource      another engine from which shared parts of the prompt may be fetched
- * @param resumeAfter     the last event that the caller holds
+ * @param prefixSource    another engine from which shared segments of the prompt may be fetched
+ * @param resumeAfter     the last event that the caller has received
  */
 public record AttemptPlan(
         String upstream,
--- a/src/main/java/org/cuminshelf/direct/CallIntent.java
+++ b/src/main/java/org/cuminshelf/direct/CallIntent.java
@@ -5,13 +5,13 @@
 import org.cuminshelf.organisations.RequestApiKeys;
 
 /**
- * What a caller asks for, beside the request's own bytes.
+ * The properties of a caller's request that its routing depends on, extracted from its headers and body.
  *
- * @param id             names the request, as the caller sent it; empty where it didn't
- * @param deadlineMillis milliseconds that the caller will wait; nothing where it doesn't say
- * @param generation     the shape of a generation, where the request is one
- * @param resumeAfter    the last event that the caller holds, where it resumes a stream
- * @param keys           the keys that came with it
+ * @param id             the request's identifier from the caller; empty if there is none
+ * @param deadlineMillis milliseconds until the caller stops waiting; empty if it states none
+ * @param generation     the shape of the generation, if the request is one
+ * @param resumeAfter    the last event that the caller has received, if it resumes a stream
+ * @param keys           the caller's keys in the request
  */
 public record CallIntent(
         String id,
--- a/src/main/java/org/cuminshelf/direct/EngineModels.java
+++ b/src/main/java/org/cuminshelf/direct/EngineModels.java
@@ -4,12 +4,12 @@
 import java.util.Map;
 import org.cuminshelf.engines.EngineLatencyModel;
 
-/** What is learnt of the engines of each service. */
+/** The performance model of the engines of each service. */
 final class EngineModels {
 
     private final Map<String, EngineLatencyModel> models = new HashMap<>();
 
-    /** The model of a service, which knows nothing at first. */
+    /** Returns the model of a service; one without observations if the service is new. */
     EngineLatencyModel of(String service) {
         return models.computeIfAbsent(service, key -> EngineLatencyModel.create());
     }
--- a/src/main/java/org/cuminshelf/direct/EngineTimePrices.java
+++ b/src/main/java/org/cuminshelf/direct/EngineTimePrices.java
@@ -7,114 +7,122 @@
 import org.cuminshelf.engines.EngineLatencyModel;
 
 /**
- * What a millisecond of an engine's time is worth, in requests, for each service and way of reading.
+ * Price of a millisecond of an engine's time, in requests, for each service and kind of prefill.
  *
- * <p>Where an engine is free its time costs nothing, as the next prompt goes there. Where all have prompts under way, a
- * millisecond for one is one that others wait: then it is worth the requests that could be served in it. The price
- * follows how long the engine has prompts under way that will be free first. With the part of the engines that are
- * taken as the price, prompts waited 0.4 s at the engine that held their parts while others idled.
+ * <p>While an engine is idle its time costs nothing, as the next prompt can be sent there. While all engines have
+ * queued prompts, a millisecond spent on one prompt delays others, and is worth the requests that could be served in
+ * it. The price follows the backlog of the engine that becomes free first. A price that followed the share of busy
+ * engines made prompts wait 0.4 s at the engine that had cached their segments while other engines were idle.
  */
 final class EngineTimePrices {
 
     /**
-     * Milliseconds of prompts at each engine at which its time is worth as much as it can be: with queues of 600 ms a
-     * fifth of the answered prompts of heavy days were late, with 150 ms a twentieth. Targets are 200 ms and more.
+     * Prefill backlog of every engine at which the price reaches its maximum: with queues of 600 ms a fifth of the
+     * answered prompts of heavy days were late, with 150 ms a twentieth. Latency targets are 200 ms and more.
      */
-    private static final double LONGEST_WAIT_MILLIS = 150;
+    private static final double FULL_PRICE_BACKLOG_MILLIS = 150;
 
-    private static final double MEMORY_NANOS = Durations.nanos(1_000);
-    /** Weight of one prompt in the mean of the last fifty. */
-    private static final double WORK_WEIGHT = 0.02;
-    /** Part of an engine's places up to which they are not short. */
-    private static final double FREE_SHARE = 0.4;
-    /** Part of them at which no more streams are sent there. */
-    private static final double FULL_SHARE = 0.85;
-    /** Milliseconds of a usual stream before any was asked for. */
-    private static final double FIRST_RUNNING_MILLIS = 1_500;
-    /** Milliseconds of a usual prompt before any was placed. */
-    private static final double FIRST_WORK_MILLIS = 60;
+    /** Time constant of the mean scarcity. */
+    private static final double SMOOTHING_NANOS = Durations.nanos(1_000);
+    /** Weight of one sample in the moving averages: a window of about fifty samples. */
+    private static final double SAMPLE_WEIGHT = 0.02;
+    /** Share of an engine's slots in use up to which slots are not scarce. */
+    private static final double FREE_SLOT_SHARE = 0.4;
+    /** Share of an engine's slots in use at which no more streams are sent there. */
+    private static final double FULL_SLOT_SHARE = 0.85;
+    /** Duration of a usual stream before the first sample. */
+    private static final double INITIAL_GENERATION_MILLIS = 1_500;
+    /** Prefill time of a usual prompt before the first sample. */
+    private static final double INITIAL_PREFILL_MILLIS = 60;
 
     /**
-     * How scarce the time of one role's engines is: as a mean, and at this moment. A burst fills the engines within
-     * milliseconds; a mean alone would let in all of it, and all of it would come late.
+     * Scarcity of the time of one role's engines, as a moving average and as the last value. A burst fills the engines
+     * within milliseconds: with the average alone, all of it would be admitted and all of it would be late.
      */
     private static final class Scarcity {
         private double mean;
-        private double last;
+        private double latest;
 
         private void observe(double value, double weight) {
             mean += weight * (value - mean);
-            last = value;
+            latest = value;
         }
 
         private double now() {
-            return Math.max(mean, last);
+            return Math.max(mean, latest);
         }
     }
 
+    /** Scarcity and usual request durations of one service. */
     private static final class Price {
-        private final Scarcity reading = new Scarcity();
-        private final Scarcity generating = new Scarcity();
-        private double workMillis = FIRST_WORK_MILLIS;
-        private double runningMillis = FIRST_RUNNING_MILLIS;
+        private final Scarcity prefillScarcity = new Scarcity();
+        private final Scarcity decodeScarcity = new Scarcity();
+        private double prefillMillis = INITIAL_PREFILL_MILLIS;
+        private double generationMillis = INITIAL_GENERATION_MILLIS;
         private long observedAt;
     }
 
     private final Map<String, Price> prices = new HashMap<>();
 
-    /** Looks at which engines have prompts under way. */
+    /** Updates the scarcity of engine time from the prompts queued at the engines. */
     void updateScarcity(long now, String service, Collection<UpstreamInstance> engines, EngineLatencyModel model) {
         Price price = prices.computeIfAbsent(service, key -> new Price());
-        double weight = 1 - Math.exp(-(now - price.observedAt) / MEMORY_NANOS);
+        double weight = 1 - Math.exp(-(now - price.observedAt) / SMOOTHING_NANOS);
         price.observedAt = now;
-        price.reading.observe(scarcity(now, engines, model, false), weight);
-        price.generating.observe(scarcity(now, engines, model, true), weight);
+        price.prefillScarcity.observe(scarcity(now, engines, model, false), weight);
+        price.decodeScarcity.observe(scarcity(now, engines, model, true), weight);
     }
 
-    /** How scarce a role's time is: 0 if an engine is free, 1 if prompts wait for too long at the one freed first. */
+    /**
+     * Returns the scarcity of a role's engine time: 0 if an engine is idle, 1 if the shortest backlog is at least
+     * {@link #FULL_PRICE_BACKLOG_MILLIS}.
+     */
     private static double scarcity(
             long now, Collection<UpstreamInstance> engines, EngineLatencyModel model, boolean generates) {
-        double least = Double.MAX_VALUE;
+        double minBacklogMillis = Double.MAX_VALUE;
         for (UpstreamInstance row : engines) {
             if (row.generatesTokens() == generates) {
-                least = Math.min(least, row.pendingPrompts.waitMillis(now, model.latencyMillis(row.id, generates)));
+                minBacklogMillis =
+                        Math.min(minBacklogMillis, row.pendingPrompts.waitMillis(now, model.latencyMillis(row.id, generates)));
             }
         }
-        return least == Double.MAX_VALUE ? 0 : Math.clamp(least / LONGEST_WAIT_MILLIS, 0, 1);
+        return minBacklogMillis == Double.MAX_VALUE
+                ? 0
+                : Math.clamp(minBacklogMillis / FULL_PRICE_BACKLOG_MILLIS, 0, 1);
     }
 
-    /** Notes what a prompt takes that was placed. */
-    void recordPrefill(String service, double workMillis) {
+    /** Records the prefill time of a prompt for which an engine was selected. */
+    void recordPrefill(String service, double prefillMillis) {
         Price price = prices.computeIfAbsent(service, key -> new Price());
-        price.workMillis += WORK_WEIGHT * (workMillis - price.workMillis);
+        price.prefillMillis += SAMPLE_WEIGHT * (prefillMillis - price.prefillMillis);
     }
 
-    /** Notes how long a stream takes a place. */
+    /** Records how long a stream occupies a slot. */
     void recordGeneration(String service, double millis) {
         Price price = prices.computeIfAbsent(service, key -> new Price());
-        price.runningMillis += WORK_WEIGHT * (millis - price.runningMillis);
+        price.generationMillis += SAMPLE_WEIGHT * (millis - price.generationMillis);
     }
 
-    /** The price of a millisecond for which a prompt takes up an engine. */
+    /** Returns the price of a millisecond of an engine spent on a prompt. */
     double perMillisecond(String service, UpstreamInstance engine) {
         Price price = prices.get(service);
         if (price == null) {
             return 0;
         }
         return engine.generatesTokens()
-                ? price.generating.now() / price.workMillis + ofDelayedStreams(price, engine)
-                : price.reading.now() / price.workMillis;
+                ? price.decodeScarcity.now() / price.prefillMillis + perMillisecondOfStreams(price, engine)
+                : price.prefillScarcity.now() / price.prefillMillis;
     }
 
     /**
-     * What a millisecond of reading takes from the streams beside it: each of them holds its place for that much
-     * longer, and where places are short that is a part of a stream that could have run in it. Without it engines full
-     * of streams took in prompts until all places were taken. At six engines it brought 0.015 of the mean worth of five
-     * heavy days, at thirteen nothing either way.
+     * Returns the cost of a millisecond of prefill to the streams on the same engine. Each of them occupies its slot
+     * for that much longer, and if slots are scarce that time is a fraction of a stream that could have run. Without
+     * this price, engines full of streams accepted prompts until all slots were in use. With six engines it gained
+     * 0.015 of the mean value of five heavy days, with thirteen it made no difference.
      */
-    private static double ofDelayedStreams(Price price, UpstreamInstance engine) {
+    private static double perMillisecondOfStreams(Price price, UpstreamInstance engine) {
         double share = (double) engine.totalAttempts() / engine.slots;
-        double scarcity = Math.clamp((share - FREE_SHARE) / (FULL_SHARE - FREE_SHARE), 0, 1);
-        return scarcity * engine.totalAttempts() / Math.max(FIRST_WORK_MILLIS, price.runningMillis);
+        double scarcity = Math.clamp((share - FREE_SLOT_SHARE) / (FULL_SLOT_SHARE - FREE_SLOT_SHARE), 0, 1);
+        return scarcity * engine.totalAttempts() / Math.max(INITIAL_PREFILL_MILLIS, price.generationMillis);
     }
 }
--- a/src/main/java/org/cuminshelf/direct/GenerationShape.java
+++ b/src/main/java/org/cuminshelf/direct/GenerationShape.java
@@ -3,11 +3,11 @@
 import java.util.List;
 
 /**
- * What a generation asks of an engine.
+ * The properties of a generation that determine its cost.
  *
- * @param model        the model
+ * @param model        the name of the model
  * @param promptTokens tokens of the whole prompt
  * @param outputTokens tokens expected to be generated
- * @param segments      the prompt's parts in order; the last is the request's own
+ * @param segments     the segments of the prompt in order; the last one is unique to the request
  */
 public record GenerationShape(String model, int promptTokens, int outputTokens, List<PromptSegment> segments) {}
--- a/src/main/java/org/cuminshelf/direct/KvCacheHandle.java
+++ b/src/main/java/org/cuminshelf/direct/KvCacheHandle.java
@@ -3,9 +3,9 @@
 import org.cuminshelf.core.Address;
 
 /**
- * KV cache that an engine holds for another one to take, once.
+ * Reference to a KV cache that an engine retains until another engine fetches it, once.
  *
- * @param engine the engine that holds it
- * @param handle its name there
+ * @param engine address of the engine that retains it
+ * @param handle its identifier at that engine
  */
 public record KvCacheHandle(Address engine, String handle) {}
--- a/src/main/java/org/cuminshelf/direct/LoadGossip.java
+++ b/src/main/java/org/cuminshelf/direct/LoadGossip.java
@@ -24,36 +24,43 @@
 import org.cuminshelf.message.WaitingPrompt;
 
 /**
- * What entries tell each other: what each has under way at the engines, which prompts it sent there, how long prompts
- * took, and what upstreams ask for. With it all entries choose by the same view, and learn from each other's
- * requests.
+ * Exchange of load reports between entries: the requests that each has running at the engines, the prompts that it sent
+ * there, how long their prefill took, and the rate limits and pauses that upstreams stated. All entries thereby select
+ * upstreams by the same state, and learn from each other's requests.
  *
- * <p>Failure it guards against: several entries find the same engine free at once and all send to it, so that prompts
- * wait for each other while other engines idle. News of a prompt that was sent leaves within milliseconds, one for each
- * other entry. With news at fixed times, 50 ms apart, five entries chose the same engine within 3 ms, and the last of
- * their prompts waited for 1.7 s.
+ * <p>Guards against several entries finding the same engine idle at once and all sending to it, so that prompts wait
+ * for each other while other engines are idle. The report of a sent prompt leaves within milliseconds, one for each
+ * other entry. With reports every 50 ms, five entries selected the same engine within 3 ms, and the last of their
+ * prompts waited for 1.7 s.
  */
 final class LoadGossip {
 
-    /** How often the state is told again without news, as a message may be lost with its connection. */
-    private static final long TELL_EVERY = Durations.nanos(100);
-    /** Least time between two messages for each other entry where there are few. */
-    private static final long LEAST_GAP = Durations.nanos(1);
+    /** Interval of reports without new prompts, as a message may be lost with its connection. */
+    private static final long REPORT_INTERVAL_NANOS = Durations.nanos(100);
+    /** Minimum interval between two reports for each other entry, if there are few entries. */
+    private static final long MIN_INTERVAL_PER_ENTRY_NANOS = Durations.nanos(1);
     /**
-     * Messages a second that all entries together send at the most, up to {@link #LONGEST_GAP}. Each costs some four
-     * system calls at its two ends; unbounded they grew with the square of the entries, to 640 a second at each of 33.
-     * A heavy day there took 0.144 of a core for each entry before and 0.098 with the bound and the sums kept in
-     * {@link UpstreamInstance}, on machines of other load. At 18 entries news within 110 ms was worth as much as
-     * news within
-     * 20; at 33 that was not measured.
+     * Maximum rate of messages of all entries together, as long as the interval is below {@link #MAX_INTERVAL_NANOS}.
+     * Each message costs some four system calls at its two ends. Without a bound the messages grew with the square of
+     * the entries, to 640 a second at each of 33. On a heavy day there each entry used 0.144 of a core without the
+     * bound, and 0.098 with it and with the sums kept in {@link UpstreamInstance}, on machines of different load. With 18
+     * entries, reports within 110 ms gave the same results as
+     * reports within 20; the effect with 33 entries is not
+     * known.
      */
-    private static final double MOST_MESSAGES = 6_000;
-    /** Gap beyond which news would come after the first event of the prompts that they tell of, 200 to 400 ms later. */
-    private static final long LONGEST_GAP = Durations.nanos(250);
+    private static final double MAX_MESSAGES_PER_SECOND = 6_000;
+    /**
+     * Interval beyond which a report would arrive after the first event of the prompts in it, which follows 200 to 400
+     * ms after their sending.
+     */
+    private static final long MAX_INTERVAL_NANOS = Durations.nanos(250);
 
     private static final double NANOS_PER_SECOND = 1e9;
-    /** News kept for the next message at the most: bounds its size. An entry sends fewer prompts between two. */
-    private static final int MOST_NEWS = 64;
+    /**
+     * Maximum number of sent and of prefilled prompts in a report, which bounds its size. An entry sends fewer between
+     * two reports.
+     */
+    private static final int MAX_PROMPTS_PER_REPORT = 64;
 
     private static final double MICROS_PER_MILLI = 1_000;
     private static final double NANOS_PER_MICRO = 1_000;
@@ -62,12 +69,12 @@
     private final EngineModels models;
     private final Backpressure backpressure;
     private final BackpressureListener demandWatch;
-    private final List<SentPrompt> sent = new ArrayList<>();
-    private final List<TakenPrompt> taken = new ArrayList<>();
-    private long nextTell;
-    private long lastTell;
-    private int listeners;
-    private boolean toldSomething;
+    private final List<SentPrompt> sentPrompts = new ArrayList<>();
+    private final List<TakenPrompt> prefilledPrompts = new ArrayList<>();
+    private long nextReportAt;
+    private long lastReportAt;
+    private int otherEntries;
+    private boolean lastReportNonEmpty;
 
     LoadGossip(
             UpstreamTable upstreams,
@@ -79,34 +86,37 @@
         this.models = models;
         this.backpressure = backpressure;
         this.demandWatch = demandWatch;
-        this.nextTell = now;
-        this.lastTell = now;
+        this.nextReportAt = now;
+        this.lastReportAt = now;
     }
 
-    // ---- what this entry has to tell
+    // ---- reports of this entry
 
-    /** A prompt was sent and will probably have been read in so many milliseconds; the others should know first. */
+    /**
+     * Adds a sent prompt to the next report, which is sent early. The prompt will probably be prefilled in the given
+     * milliseconds.
+     */
     void onPromptSent(UpstreamInstance upstream, GenerationShape shape, double readyMillis) {
-        nextTell = Math.min(nextTell, lastTell + minIntervalNanos());
-        if (sent.size() >= MOST_NEWS) {
+        nextReportAt = Math.min(nextReportAt, lastReportAt + minIntervalNanos());
+        if (sentPrompts.size() >= MAX_PROMPTS_PER_REPORT) {
             return;
         }
         SentPrompt.Builder prompt =
                 SentPrompt.newBuilder().setUpstream(upstream.id).setReadyUs(micros(readyMillis));
-        for (PromptSegment part : shape.segments()) {
-            prompt.addParts(part.id());
-            prompt.addTokens(part.tokens());
+        for (PromptSegment segment : shape.segments()) {
+            prompt.addParts(segment.id());
+            prompt.addTokens(segment.tokens());
         }
-        sent.add(prompt.build());
+        sentPrompts.add(prompt.build());
     }
 
-    /** A prompt was taken in. */
+    /** Adds a prompt whose prefill has completed to the next report, and to the model of its engine. */
     void onPrefillCompleted(UpstreamInstance upstream, PromptSample sample) {
         models.of(upstream.service).observePrompt(sample);
-        if (taken.size() >= MOST_NEWS) {
+        if (prefilledPrompts.size() >= MAX_PROMPTS_PER_REPORT) {
             return;
         }
-        taken.add(TakenPrompt.newBuilder()
+        prefilledPrompts.add(TakenPrompt.newBuilder()
                 .setUpstream(upstream.id)
                 .setBesideStreams(sample.alsoDecodes())
                 .setStreams(sample.streams())
@@ -117,47 +127,54 @@
                 .build());
     }
 
-    /** Least time between two messages to each of the others, in nanoseconds. */
+    /** Returns the minimum interval between two reports, in nanoseconds. */
     private long minIntervalNanos() {
-        return minIntervalNanos(listeners);
+        return minIntervalNanos(otherEntries);
     }
 
-    /** The same, where an entry tells so many others. */
-    static long minIntervalNanos(int listeners) {
-        double shared = listeners * (listeners + 1) / MOST_MESSAGES * NANOS_PER_SECOND;
-        return Math.clamp((long) shared, listeners * LEAST_GAP, Math.max(listeners * LEAST_GAP, LONGEST_GAP));
+    /** Returns the minimum interval between two reports to a given number of other entries, in nanoseconds. */
+    static long minIntervalNanos(int otherEntries) {
+        double intervalAtMaxRateNanos = otherEntries * (otherEntries + 1) / MAX_MESSAGES_PER_SECOND * NANOS_PER_SECOND;
+        return Math.clamp(
+                (long) intervalAtMaxRateNanos,
+                otherEntries * MIN_INTERVAL_PER_ENTRY_NANOS,
+                Math.max(otherEntries * MIN_INTERVAL_PER_ENTRY_NANOS, MAX_INTERVAL_NANOS));
     }
 
+    /** Returns when the next report is due: never if no request is open and the last report was empty. */
     long nextDue(boolean busy) {
-        return busy || toldSomething ? nextTell : Core.NEVER;
+        return busy || lastReportNonEmpty ? nextReportAt : Core.NEVER;
     }
 
-    /** Tells the other entries, if it is time. */
+    /** Sends a report to the other entries if one is due. */
     void tick(long now, Outbox out, Address self, List<Address> entries) {
-        if (now < nextTell) {
+        if (now < nextReportAt) {
             return;
         }
-        lastTell = now;
-        listeners = Math.max(0, entries.size() - 1);
-        nextTell = now + Math.max(TELL_EVERY, minIntervalNanos());
-        EntryLoad.Builder load = EntryLoad.newBuilder().addAllSent(sent).addAllTaken(taken);
+        lastReportAt = now;
+        otherEntries = Math.max(0, entries.size() - 1);
+        nextReportAt = now + Math.max(REPORT_INTERVAL_NANOS, minIntervalNanos());
+        EntryLoad.Builder load = EntryLoad.newBuilder().addAllSent(sentPrompts).addAllTaken(prefilledPrompts);
         upstreams.instances().stream()
                 .filter(row -> row.localAttempts > 0)
-                .forEach(row -> load.addUpstreams(underWay(now, row)));
-        boolean asked = addDemands(now, load);
-        boolean something = load.getUpstreamsCount() > 0 || !taken.isEmpty() || asked;
-        sent.clear();
-        taken.clear();
-        if (something || toldSomething) {
+                .forEach(row -> load.addUpstreams(upstreamLoad(now, row)));
+        boolean hasBackpressure = addBackpressure(now, load);
+        boolean isNonEmpty = load.getUpstreamsCount() > 0 || !prefilledPrompts.isEmpty() || hasBackpressure;
+        sentPrompts.clear();
+        prefilledPrompts.clear();
+        if (isNonEmpty || lastReportNonEmpty) {
             entries.stream()
                     .filter(entry -> !entry.equals(self))
                     .forEach(entry -> out.send(entry, Envelope.newBuilder().setEntryLoad(load)));
         }
-        toldSomething = something;
+        lastReportNonEmpty = isNonEmpty;
     }
 
-    /** Adds what upstreams ask for, and returns whether that is anything. */
-    private boolean addDemands(long now, EntryLoad.Builder load) {
+    /**
+     * Adds the rate limits, pauses and shutdowns that upstreams stated to this entry, and returns whether there are
+     * any.
+     */
+    private boolean addBackpressure(long now, EntryLoad.Builder load) {
         for (UpstreamRateLimits.LimitReport heard : backpressure.limits().localLimitReports(now)) {
             HeardLimit.Builder limit = HeardLimit.newBuilder()
                     .setUpstream(heard.instanceId())
@@ -178,7 +195,7 @@
         return load.getLimitsCount() + load.getDemandsCount() + load.getRestsCount() + load.getLeavingCount() > 0;
     }
 
-    private static UpstreamLoad underWay(long now, UpstreamInstance row) {
+    private static UpstreamLoad upstreamLoad(long now, UpstreamInstance row) {
         UpstreamLoad.Builder load = UpstreamLoad.newBuilder()
                 .setId(row.id)
                 .setRunning(row.localAttempts)
@@ -195,13 +212,14 @@
         return (int) Math.max(0, millis * MICROS_PER_MILLI);
     }
 
-    // ---- what the others told
+    // ---- reports of other entries
 
+    /** Applies the report of another entry. */
     void onLoad(long now, Address entry, EntryLoad load) {
         upstreams.applyLoad(now, entry, load);
-        load.getSentList().forEach(prompt -> onSentElsewhere(now, prompt));
-        load.getTakenList().forEach(prompt -> onTakenElsewhere(now, prompt));
-        load.getLimitsList().forEach(limit -> onLimitHeardElsewhere(now, entry, limit));
+        load.getSentList().forEach(prompt -> onPromptSentElsewhere(now, prompt));
+        load.getTakenList().forEach(prompt -> onPrefillCompletedElsewhere(now, prompt));
+        load.getLimitsList().forEach(limit -> onLimitElsewhere(now, entry, limit));
         load.getLeavingList().forEach(id -> upstreams.markDraining(now, id, false, entry.value()));
         load.getRestsList().forEach(rest -> onRestElsewhere(now, rest));
         load.getDemandsList()
@@ -215,33 +233,33 @@
     }
 
     private void onRestElsewhere(long now, RestingUpstream rest) {
-        long left = (long) (rest.getLeftUs() * NANOS_PER_MICRO);
-        backpressure.backoffs().onRemoteReport(now, new UpstreamBackoffs.RemainingBackoff(rest.getUpstream(), left));
+        long leftNanos = (long) (rest.getLeftUs() * NANOS_PER_MICRO);
+        backpressure.backoffs().onRemoteReport(now, new UpstreamBackoffs.RemainingBackoff(rest.getUpstream(), leftNanos));
     }
 
-    private void onLimitHeardElsewhere(long now, Address entry, HeardLimit limit) {
+    private void onLimitElsewhere(long now, Address entry, HeardLimit limit) {
         OptionalDouble perSecond =
                 limit.hasPerSecond() ? OptionalDouble.of(limit.getPerSecond()) : OptionalDouble.empty();
-        long age = (long) (limit.getAgeUs() * NANOS_PER_MICRO);
+        long ageNanos = (long) (limit.getAgeUs() * NANOS_PER_MICRO);
         upstreams
                 .instance(limit.getUpstream())
                 .ifPresent(row -> demandWatch.onEntryReport(
-                        now, row, entry, new UpstreamRateLimits.LimitReport(row.id, perSecond, age)));
+                        now, row, entry, new UpstreamRateLimits.LimitReport(row.id, perSecond, ageNanos)));
     }
 
-    private void onSentElsewhere(long now, SentPrompt prompt) {
+    private void onPromptSentElsewhere(long now, SentPrompt prompt) {
         Optional<UpstreamInstance> row = upstreams.instance(prompt.getUpstream());
         if (row.isEmpty() || prompt.getPartsCount() != prompt.getTokensCount()) {
             return;
         }
-        List<PromptSegment> parts = new ArrayList<>();
+        List<PromptSegment> segments = new ArrayList<>();
         for (int index = 0; index < prompt.getPartsCount(); index++) {
-            parts.add(new PromptSegment(prompt.getParts(index), prompt.getTokens(index)));
+            segments.add(new PromptSegment(prompt.getParts(index), prompt.getTokens(index)));
         }
-        row.get().promptCache.recordPrompt(parts, now + (long) (prompt.getReadyUs() * NANOS_PER_MICRO));
+        row.get().promptCache.recordPrompt(segments, now + (long) (prompt.getReadyUs() * NANOS_PER_MICRO));
     }
 
-    private void onTakenElsewhere(long now, TakenPrompt prompt) {
+    private void onPrefillCompletedElsewhere(long now, TakenPrompt prompt) {
         Optional<UpstreamInstance> row = upstreams.instance(prompt.getUpstream());
         if (row.isEmpty()) {
             return;
@@ -258,7 +276,7 @@
                         prompt.getTookUs() / MICROS_PER_MILLI));
     }
 
-    /** The prompts that an entry says it has at an engine. */
+    /** Returns the prompts that another entry has queued at an engine, according to its report. */
     static List<PromptQueue.PendingPrompt> queuedPrompts(long now, UpstreamLoad load) {
         List<PromptQueue.PendingPrompt> prompts = new ArrayList<>(load.getPromptsCount());
         for (WaitingPrompt prompt : load.getPromptsList()) {
--- a/src/main/java/org/cuminshelf/direct/OfferedLoad.java
+++ b/src/main/java/org/cuminshelf/direct/OfferedLoad.java
@@ -1,13 +1,13 @@
 package org.cuminshelf.direct;
 
 /**
- * What one generation asks of the engines of each role, for the planner of roles. It is counted once, when the call is
- * sent or refused, and refused work is asked only of the role that was short.
+ * Load that one generation offers to the engines of each role, reported to the planner of roles. It is counted once,
+ * when the call is sent or refused; a refused call counts only for the role that lacked capacity.
  *
- * <p>Answers the load pattern of engines of one role that were lost: their work is refused, and callers come back with
- * it. Counted for both roles, it made the other role look as short as the one that refused it, so that the split seemed
- * right: with one engine left that generates, 990 calls were refused for want of a place within 14 s and six for want
- * of time, while three engines read prompts.
+ * <p>Guards against a wrong split of roles after engines of one role fail. Their calls are refused, and callers retry.
+ * When refused calls counted for both roles, the other role seemed to lack as much capacity as the role that refused
+ * them, and the split seemed right: with one engine left that generates, 990 calls were refused for lack of a slot
+ * within 14 s and six for lack of time, while three engines had the prefill role.
  */
 final class OfferedLoad {
 
@@ -15,47 +15,49 @@
 
     private final ControlSubscription control;
     private final String service;
-    private final long readMicros;
-    private final long runningMicros;
+    private final long prefillMicros;
+    private final long generationMicros;
     private boolean counted;
 
     /**
-     * Makes the work of a call.
+     * Creates the load of a call.
      *
-     * @param control       takes what is counted
-     * @param service       the service it is for
-     * @param readMicros    microseconds that its prompt takes of an engine that only reads prompts
-     * @param runningMicros microseconds for which it takes a place of an engine that generates
+     * @param control          the receiver of the count
+     * @param service          the service of the call
+     * @param prefillMicros    microseconds of prefill on an engine that only prefills
+     * @param generationMicros microseconds for which the call occupies a slot of an engine that generates
      */
-    OfferedLoad(ControlSubscription control, String service, long readMicros, long runningMicros) {
+    OfferedLoad(ControlSubscription control, String service, long prefillMicros, long generationMicros) {
         this.control = control;
         this.service = service;
-        this.readMicros = readMicros;
-        this.runningMicros = runningMicros;
+        this.prefillMicros = prefillMicros;
+        this.generationMicros = generationMicros;
     }
 
-    /** The call was sent. What an engine reads beside its streams is no work for those that only read. */
+    /**
+     * Counts a call that was sent. Prefill on an engine that also generates is no load for engines in the prefill role.
+     */
     void onSent(UpstreamSelector.Choice choice) {
-        long read = choice.prefillOnly()
+        long countedPrefillMicros = choice.prefillOnly()
                 ? (long) (MICROS_PER_MILLI * choice.estimate().prefillMillis())
                 : 0;
-        count(read, runningMicros);
+        count(countedPrefillMicros, generationMicros);
     }
 
-    /** The call was refused, as no engine that generates had a place for it. */
+    /** Counts a call that was refused because no engine that generates had a slot for it. */
     void onRefusedForSlots() {
-        count(0, runningMicros);
+        count(0, generationMicros);
     }
 
-    /** The call was refused, as no engine could read its prompt in time. */
+    /** Counts a call that was refused because no engine could prefill its prompt in time. */
     void onRefusedForPrefill() {
-        count(readMicros, 0);
+        count(prefillMicros, 0);
     }
 
-    private void count(long read, long running) {
+    private void count(long countedPrefillMicros, long countedGenerationMicros) {
         if (!counted) {
             counted = true;
-            control.addOfferedWork(service, read, running);
+            control.addOfferedWork(service, countedPrefillMicros, countedGenerationMicros);
         }
     }
 }
--- a/src/main/java/org/cuminshelf/direct/PrefixCacheTracker.java
+++ b/src/main/java/org/cuminshelf/direct/PrefixCacheTracker.java
@@ -5,76 +5,77 @@
 import java.util.List;
 
 /**
- * Parts of prompts that an engine probably holds: what entries sent there lately, least recently used first out.
+ * Tracks the prompt segments that an engine's prefix cache probably holds: those that entries sent there last, evicted
+ * in least recently used order.
  *
- * <p>A part counts as held only until its engine's memory took as much after it; without that bound parts counted as
- * held for as long as the engine lived, though under load it keeps one for some ten seconds, and prompts took half as
- * long again as expected.
+ * <p>A segment counts as cached only until later segments have filled the engine's memory. Without that bound segments
+ * counted as cached for as long as the engine lived, although under load it evicts them after some ten seconds, and
+ * prompts took half as long again as expected.
  *
- * <p>A part that is still being read is as good as held for the next prompt on the same engine, which reads in order.
- * Another engine can't fetch it yet: prompts that named such a source read all of it again, 0.7 s where 0.1 s was
- * expected.
+ * <p>A segment that is still being prefilled counts as cached for the next prompt on the same engine, which prefills in
+ * order. Another engine cannot fetch it yet: prompts that named such a source were prefilled completely, in 0.7 s where
+ * 0.1 s was expected.
  */
 final class PrefixCacheTracker {
 
-    /** Parts remembered for one engine where its memory is not known. */
-    private static final int MOST_PARTS = 4_096;
+    /** Maximum number of segments tracked for one engine, which bounds them if its memory size is unknown. */
+    private static final int MAX_SEGMENTS = 4_096;
 
     /**
-     * A part.
+     * A segment.
      *
-     * @param tokens  its tokens
-     * @param readyAt when it has been read, in nanoseconds
+     * @param tokens  its length in tokens
+     * @param readyAt when its prefill ends, in nanoseconds
      */
-    private record Held(int tokens, long readyAt) {}
+    private record CachedSegment(int tokens, long readyAt) {}
 
-    private final LinkedHashMap<String, Held> parts = new LinkedHashMap<>(16, 0.75f, true);
-    private long mostTokens = Long.MAX_VALUE;
+    private final LinkedHashMap<String, CachedSegment> segments = new LinkedHashMap<>(16, 0.75f, true);
+    private long maxTokens = Long.MAX_VALUE;
     private long tokens;
 
-    /** Bounds the tokens that the engine has room for. */
-    void setCapacityTokens(long most) {
-        mostTokens = most;
+    /** Sets the number of tokens that the engine's prefix cache can hold. */
+    void setCapacityTokens(long capacityTokens) {
+        maxTokens = capacityTokens;
     }
 
     /**
-     * Notes that the engine was given a prompt.
+     * Records that a prompt was sent to the engine.
      *
-     * @param prompt  its parts in order
-     * @param readyAt when it will probably have been read, in nanoseconds
+     * @param prompt  its segments in order
+     * @param readyAt when it will probably be prefilled, in nanoseconds
      */
     void recordPrompt(List<PromptSegment> prompt, long readyAt) {
-        for (PromptSegment part : prompt) {
-            Held before = parts.get(part.id());
-            long ready = before == null ? readyAt : Math.min(before.readyAt, readyAt);
-            parts.put(part.id(), new Held(part.tokens(), ready));
-            tokens += part.tokens() - (before == null ? 0 : before.tokens);
+        for (PromptSegment segment : prompt) {
+            CachedSegment previous = segments.get(segment.id());
+            long firstReadyAt = previous == null ? readyAt : Math.min(previous.readyAt, readyAt);
+            segments.put(segment.id(), new CachedSegment(segment.tokens(), firstReadyAt));
+            tokens += segment.tokens() - (previous == null ? 0 : previous.tokens);
         }
-        Iterator<Held> eldest = parts.values().iterator();
-        while (eldest.hasNext() && (tokens > mostTokens || parts.size() > MOST_PARTS)) {
+        Iterator<CachedSegment> eldest = segments.values().iterator();
+        while (eldest.hasNext() && (tokens > maxTokens || segments.size() > MAX_SEGMENTS)) {
             tokens -= eldest.next().tokens;
             eldest.remove();
         }
     }
 
-    /** Tokens at the beginning of a prompt that the engine will hold when it comes to it. */
+    /** Returns the tokens at the beginning of a prompt that the engine will have cached when it prefills the prompt. */
     int cachedPrefixTokens(List<PromptSegment> prompt) {
         return fetchablePrefixTokens(prompt, Long.MAX_VALUE);
     }
 
     /**
-     * Tokens at the beginning of a prompt that another engine can fetch from this one: a part counts only if all before
-     * it do.
+     * Returns the tokens at the beginning of a prompt that another engine can fetch from this one. A segment counts
+     * only if all segments before it do.
      */
     int fetchablePrefixTokens(List<PromptSegment> prompt, long now) {
-        int ready = 0;
-        for (PromptSegment part : prompt) {
-            Held held = parts.get(part.id());
-            if (held == null || held.readyAt > now) {
-                return ready;
+        int readyTokens = 0;
+        for (PromptSegment segment : prompt) {
+            CachedSegment cached = segments.get(segment.id());
+            if (cached == null || cached.readyAt > now) {
+                return readyTokens;
             }
-            ready += part.tokens();
+            readyTokens += segment.tokens();
         }
-        return ready;
+        return readyTokens;
     }
 }
--- a/src/main/java/org/cuminshelf/direct/PromptEstimate.java
+++ b/src/main/java/org/cuminshelf/direct/PromptEstimate.java
@@ -1,18 +1,19 @@
 package org.cuminshelf.direct;
 
 /**
- * What a prompt is expected to take at one engine.
+ * Expected time of a prompt at one engine.
  *
- * @param cachedTokens        tokens of it that the engine holds, or can fetch from another
- * @param uncachedTokens    tokens that it has to read
- * @param queueMillis  milliseconds for the prompts before it
- * @param prefillMillis  milliseconds for which it takes up the engine
- * @param firstEventMillis milliseconds to the first event, all told
+ * @param cachedTokens     tokens of the prompt that the engine has cached or can fetch from another engine
+ * @param uncachedTokens   tokens that the engine has to prefill
+ * @param queueMillis      milliseconds for the prompts queued before it
+ * @param prefillMillis    milliseconds for which the prompt occupies the engine, including the fetching of cached
+ *                         tokens
+ * @param firstEventMillis milliseconds from sending to the first event, the other times included
  */
 record PromptEstimate(
         int cachedTokens, int uncachedTokens, double queueMillis, double prefillMillis, double firstEventMillis) {
 
-    /** The estimate for what has no prompt to be read. */
+    /** Returns the estimate for a request without a prompt to prefill. */
     static PromptEstimate withoutPrefill(double firstEventMillis) {
         return new PromptEstimate(0, 0, 0, 0, firstEventMillis);
     }
--- a/src/main/java/org/cuminshelf/direct/PromptSegment.java
+++ b/src/main/java/org/cuminshelf/direct/PromptSegment.java
@@ -1,9 +1,9 @@
 package org.cuminshelf.direct;
 
 /**
- * A part of a prompt that requests may share.
+ * A segment of a prompt that several requests may share.
  *
- * @param id     names the part
+ * @param id     identity of the segment
  * @param tokens its length in tokens
  */
 public record PromptSegment(String id, int tokens) {}
--- a/src/main/java/org/cuminshelf/direct/RetryLimits.java
+++ b/src/main/java/org/cuminshelf/direct/RetryLimits.java
@@ -1,14 +1,14 @@
 package org.cuminshelf.direct;
 
 /**
- * How often all entries together may send requests of a service once more.
+ * Limits on the retries of a service by all entries together.
  *
- * @param ratio        repeats for each request
- * @param allowance    repeats beyond that in each window
- * @param windowMillis length of the sliding window
+ * @param ratio        retries per request
+ * @param allowance    retries in each window in addition to the ratio
+ * @param windowMillis length of the sliding window in milliseconds
  */
 public record RetryLimits(double ratio, double allowance, long windowMillis) {
 
-    /** The usual limits where a deployment states none: one in five, and ten in ten seconds. */
+    /** The limits if a deployment states none: one retry for five requests, and ten more in ten seconds. */
     public static final RetryLimits DEFAULT = new RetryLimits(0.2, 10, 10_000);
 }
--- a/src/main/java/org/cuminshelf/direct/ServiceRetryBudget.java
+++ b/src/main/java/org/cuminshelf/direct/ServiceRetryBudget.java
@@ -7,65 +7,71 @@
 import org.cuminshelf.core.Durations;
 
 /**
- * Bounds how often requests of a service are sent once more, in each sliding window, to this entry's share of what all
- * entries together may: a ratio of its own requests, and an equal part of a fixed allowance. Guards against a retry
- * storm when many upstreams fail at once. Shares sum to less than the whole, as entries come and go unseen.
- *
- * <p>Requests are counted in the current window and the one before, whichever has more, as a dip in load is no reason
- * to withhold a retry.
+ * Limits the retries of each service in a sliding window to this entry's share of the limit for all entries together: a
+ * ratio of its own requests, and an equal part of a fixed allowance. Guards against a retry storm when many upstreams
+ * fail at once. The shares add up to less than the limit, as entries may start and stop without this entry knowing.
  */
 final class ServiceRetryBudget {
 
+    /** Slices of the sliding window; the oldest one is dropped as a whole. */
     private static final int SLICES = 10;
-    /** Part of the whole that is handed out; the rest covers entries not counted yet and counts that lag. */
-    private static final double USED = 0.7;
+    /** Share of the limit that is used; the rest covers unknown entries and delayed counts. */
+    private static final double USED_SHARE = 0.7;
 
     private final double ratio;
     private final double allowance;
-    private final long slice;
+    private final long sliceNanos;
+    /** Slices of the window of each service, oldest first; each holds its number, its requests and its retries. */
     private final Map<String, Deque<long[]>> slices = new HashMap<>();
 
     /**
-     * Makes a budget.
+     * Creates a budget without any requests.
      *
-     * @param settings what all entries together may
+     * @param limits the limits for all entries together
      */
-    ServiceRetryBudget(RetryLimits settings) {
-        this.ratio = settings.ratio();
-        this.allowance = settings.allowance();
-        this.slice = Durations.nanos(settings.windowMillis()) / SLICES;
+    ServiceRetryBudget(RetryLimits limits) {
+        this.ratio = limits.ratio();
+        this.allowance = limits.allowance();
+        this.sliceNanos = Durations.nanos(limits.windowMillis()) / SLICES;
     }
 
+    /** Counts a request of a caller. */
     void onRequest(long now, String service) {
-        current(now, service)[1]++;
+        currentSlice(now, service)[1]++;
     }
 
-    /** Whether one more may be sent; counts it if so. */
+    /**
+     * Returns whether one more retry may be sent, and counts it if so.
+     *
+     * @param now     the time in nanoseconds
+     * @param service the service of the request
+     * @param entries number of entries among which the allowance is divided
+     */
     boolean tryAcquire(long now, String service, int entries) {
-        long[] newest = current(now, service);
-        long repeats = 0;
+        long[] currentSlice = currentSlice(now, service);
+        long retries = 0;
         long requests = 0;
-        for (long[] row : slices.get(service)) {
-            repeats += row[2];
-            requests += row[1];
+        for (long[] slice : slices.get(service)) {
+            retries += slice[2];
+            requests += slice[1];
         }
-        double limit = USED * (ratio * requests + allowance / Math.max(1, entries));
-        if (repeats + 1 > limit) {
+        double limit = USED_SHARE * (ratio * requests + allowance / Math.max(1, entries));
+        if (retries + 1 > limit) {
             return false;
         }
-        newest[2]++;
+        currentSlice[2]++;
         return true;
     }
 
-    private long[] current(long now, String service) {
-        long number = Math.floorDiv(now, slice);
-        Deque<long[]> rows = slices.computeIfAbsent(service, key -> new ArrayDeque<>());
-        if (rows.isEmpty() || rows.getLast()[0] != number) {
-            rows.add(new long[] {number, 0, 0});
+    private long[] currentSlice(long now, String service) {
+        long number = Math.floorDiv(now, sliceNanos);
+        Deque<long[]> serviceSlices = slices.computeIfAbsent(service, key -> new ArrayDeque<>());
+        if (serviceSlices.isEmpty() || serviceSlices.getLast()[0] != number) {
+            serviceSlices.add(new long[] {number, 0, 0});
         }
-        while (rows.getFirst()[0] <= number - SLICES) {
-            rows.removeFirst();
+        while (serviceSlices.getFirst()[0] <= number - SLICES) {
+            serviceSlices.removeFirst();
         }
-        return rows.getLast();
+        return serviceSlices.getLast();
     }
 }
--- a/src/main/java/org/cuminshelf/direct/SharedPrefixLocations.java
+++ b/src/main/java/org/cuminshelf/direct/SharedPrefixLocations.java
@@ -5,112 +5,121 @@
 import net.openhft.hashing.LongHashFunction;
 
 /**
- * Where the parts of one prompt that other requests share probably are.
+ * The engines that have probably cached the shared prefix of one prompt: all of its segments except the last.
  *
- * <p>Entries tell each other what they send, so each knows which engine was given which part. Streams of a subject go
- * on at the same engine, its home: the one of highest rank by rendezvous hashing, so that a change of the fleet moves
- * few subjects.
+ * <p>Entries report to each other which prompts they send to which engine. Streams with the same shared prefix continue
+ * on the same engine, the home engine of the prefix. It is selected by rendezvous hashing of the last shared segment,
+ * so that a change of the fleet moves few prefixes.
  */
 final class SharedPrefixLocations {
 
-    /** Tokens below which reading is as quick as having them fetched: 3 ms. */
-    private static final int LEAST_FETCH = 256;
+    /** Tokens below which prefilling is as fast as fetching: 3 ms. */
+    private static final int MIN_FETCH_TOKENS = 256;
 
     private final GenerationShape shape;
     private final long now;
     private final List<UpstreamInstance> engines;
     private final int tokens;
-    private final String streamHome;
-    /** The two engines that probably hold most, so that the choice of a source takes no second look at all. */
-    private Optional<UpstreamInstance> most = Optional.empty();
+    private final String homeEngine;
+    /**
+     * The two engines that have probably cached most of the prefix, so that the choice of a source needs no second scan
+     * of all engines.
+     */
+    private Optional<UpstreamInstance> mostCached = Optional.empty();
 
-    private Optional<UpstreamInstance> second = Optional.empty();
+    private Optional<UpstreamInstance> nextMostCached = Optional.empty();
 
     private SharedPrefixLocations(GenerationShape shape, List<UpstreamInstance> engines, long now) {
         this.shape = shape;
         this.now = now;
         this.engines = engines;
         this.tokens = sharedTokens(shape.segments());
-        this.streamHome = home();
+        this.homeEngine = findHomeEngine();
         engines.forEach(this::rank);
     }
 
     private void rank(UpstreamInstance row) {
-        int ready = readyAt(row);
-        if (most.isEmpty() || ready > readyAt(most.get())) {
-            second = most;
-            most = Optional.of(row);
-        } else if (second.isEmpty() || ready > readyAt(second.get())) {
-            second = Optional.of(row);
+        int fetchable = tokensFetchableFrom(row);
+        if (mostCached.isEmpty() || fetchable > tokensFetchableFrom(mostCached.get())) {
+            nextMostCached = mostCached;
+            mostCached = Optional.of(row);
+        } else if (nextMostCached.isEmpty() || fetchable > tokensFetchableFrom(nextMostCached.get())) {
+            nextMostCached = Optional.of(row);
         }
     }
 
-    /** Those of a prompt among the engines that may be asked. */
+    /** Returns the locations of the shared prefix of a prompt among the engines that are available. */
     static SharedPrefixLocations of(GenerationShape shape, List<UpstreamInstance> engines, long now) {
         return new SharedPrefixLocations(shape, engines, now);
     }
 
-    /** Tokens of the parts that other requests share. */
+    /** Returns the tokens of the shared prefix. */
     int tokens() {
         return tokens;
     }
 
-    /** Tokens of the prompt that an engine probably holds. */
+    /**
+     * Returns the tokens of the shared prefix that an engine has probably cached, or will have when it prefills the
+     * prompt.
+     */
     int tokensCachedBy(UpstreamInstance row) {
         return Math.min(tokens, row.promptCache.cachedPrefixTokens(shape.segments()));
     }
 
-    /** Tokens of the prompt that another engine can fetch from an engine. */
-    private int readyAt(UpstreamInstance row) {
+    /** Returns the tokens of the shared prefix that other engines can fetch from an engine now. */
+    private int tokensFetchableFrom(UpstreamInstance row) {
         return Math.min(tokens, row.promptCache.fetchablePrefixTokens(shape.segments(), now));
     }
 
-    /** Whether an engine is the home of the subject among those that generate. */
+    /** Returns whether an engine is the home engine of the prefix, among the engines that generate. */
     boolean isHomeOfStreams(UpstreamInstance row) {
-        return row.id.equals(streamHome);
+        return row.id.equals(homeEngine);
     }
 
-    /** Tokens of the prompt that the engine holds which holds most of it. */
-    int maxCachedTokens() {
-        return most.map(this::readyAt).orElse(0);
+    /** Returns the most tokens of the shared prefix that can be fetched from any engine. */
+    int maxFetchableTokens() {
+        return mostCached.map(this::tokensFetchableFrom).orElse(0);
     }
 
     /**
-     * Another engine from which an engine may fetch what it lacks of the shared parts. It fetches nothing that it
-     * holds, and reads what the other turns out to have dropped, so that a wrong guess costs next to nothing.
+     * Returns another engine from which an engine may fetch segments of the shared prefix that it lacks. It does not
+     * fetch segments that it has cached, and prefills those that the other has evicted, so that a wrong estimate costs
+     * very little.
      */
     Optional<UpstreamInstance> sourceFor(UpstreamInstance row) {
-        int known = row.promptCache.cachedPrefixTokens(shape.segments());
-        Optional<UpstreamInstance> other = most.filter(engine -> engine != row).or(() -> second);
-        return other.filter(engine -> readyAt(engine) >= known + LEAST_FETCH);
+        int cachedTokens = row.promptCache.cachedPrefixTokens(shape.segments());
+        Optional<UpstreamInstance> other = mostCached.filter(engine -> engine != row).or(() -> nextMostCached);
+        return other.filter(engine -> tokensFetchableFrom(engine) >= cachedTokens + MIN_FETCH_TOKENS);
     }
 
-    /** Tokens of the prompt that an engine probably holds or can fetch. */
+    /** Returns the tokens of the shared prefix that an engine has probably cached or can fetch. */
     int tokensAvailableTo(UpstreamInstance row) {
-        return Math.max(tokensCachedBy(row), sourceFor(row).map(this::readyAt).orElse(0));
+        return Math.max(
+                tokensCachedBy(row),
+                sourceFor(row).map(this::tokensFetchableFrom).orElse(0));
     }
 
-    private static int sharedTokens(List<PromptSegment> parts) {
+    private static int sharedTokens(List<PromptSegment> segments) {
         int sum = 0;
-        for (PromptSegment part : parts.subList(0, Math.max(0, parts.size() - 1))) {
-            sum += part.tokens();
+        for (PromptSegment segment : segments.subList(0, Math.max(0, segments.size() - 1))) {
+            sum += segment.tokens();
         }
         return sum;
     }
 
-    private String home() {
-        int parts = shape.segments().size();
-        if (parts < 2) {
+    private String findHomeEngine() {
+        int segments = shape.segments().size();
+        if (segments < 2) {
             return "";
         }
-        String subject = shape.segments().get(parts - 2).id();
+        String lastSharedSegment = shape.segments().get(segments - 2).id();
         String best = "";
         long highest = Long.MIN_VALUE;
         for (UpstreamInstance row : engines) {
             if (!row.generatesTokens()) {
                 continue;
             }
-            long hash = LongHashFunction.xx3().hashChars(subject + row.id);
+            long hash = LongHashFunction.xx3().hashChars(lastSharedSegment + row.id);
             if (hash > highest) {
                 highest = hash;
                 best = row.id;
--- a/src/main/java/org/cuminshelf/direct/SizeFairness.java
+++ b/src/main/java/org/cuminshelf/direct/SizeFairness.java
@@ -5,81 +5,82 @@
 import java.util.Map;
 
 /**
- * Keeps the large generations of a route from being refused far more often than its usual ones.
+ * Prevents the large generations of a route from being refused far more often than its usual ones.
  *
- * <p>Answers the load pattern of a burst of prompts whose sizes have a heavy tail: where engine time is scarce, the
- * largest prompts take ten times the time of a usual one for at most four times its worth, so that by worth alone they
- * are always the ones to be refused. On a day of bursts with engines lost, 0.23 of the largest tenth of a route's
- * prompts were answered and 0.60 of all.
+ * <p>Applies to bursts of prompts with heavy-tailed sizes. When engine time is scarce, the largest prompts take ten
+ * times the time of a usual one for at most four times its value, so that admission by value alone always refuses them.
+ * On a day of bursts with failed engines, 0.23 of the largest tenth of a route's prompts were answered and 0.60 of all.
  *
- * <p>A deficit counter, as in deficit round robin, for each route and size group: each arrival adds the share of the
- * route's calls that are answered, times {@link #SHARE}; each call that is sent takes one off. While a group is owed,
- * its next call goes though its engine's time is worth more than its answer. The cost is bounded: a group gets no more
- * than its share of what its route gets, and the counter holds no more than {@link #MOST_OWED} calls.
+ * <p>Each route and size group has a deficit counter, as in deficit round robin. An arriving call adds the route's rate
+ * of answered calls, times {@link #GUARANTEED_SHARE}; a sent call subtracts one. While a group has credit, its next
+ * call is sent although its engine time is worth more than its answer. The cost is bounded: a group gets no more than
+ * its share of what its route gets, and its credit is at most {@link #MAX_CREDIT_CALLS} calls.
  */
 final class SizeFairness {
 
     /**
-     * Part of the rate at which its route is answered that each group gets at least: one half, and two fifths of that
-     * for calls that are told to the wrong group and for what is sent in vain.
+     * Share of its route's rate of answered calls that is credited to each group: one half, and two fifths of that in
+     * addition for calls assigned to the wrong group and for calls sent without success.
      */
-    private static final double SHARE = 0.7;
-    /** Calls that a group can be owed at the most, so that what a long outage refused is not made up for afterwards. */
-    private static final double MOST_OWED = 3;
+    private static final double GUARANTEED_SHARE = 0.7;
     /**
-     * Calls by which a group can be ahead: what it got while engines idled counts in a burst of some 10 s. With one
-     * call, each burst sent large prompts at the moment at which they delay others most: eight heavy days of six
-     * engines were worth 0.02 less than without any share, with five or six calls the same.
+     * Maximum credit of a group in calls, so that calls refused during a long outage are not compensated afterwards.
      */
-    private static final double MOST_AHEAD = 5;
-    /** Weight of one call in the rate at which a route is answered: a memory of some thirty calls. */
+    private static final double MAX_CREDIT_CALLS = 3;
+    /**
+     * Maximum debt of a group in calls: calls sent while engines were idle count against it in a burst of some 10 s.
+     * With one call, each burst sent large prompts when they delay others most: eight heavy days of six engines were
+     * worth 0.02 less than without any share, and the same as without it with five or six calls.
+     */
+    private static final double MAX_DEBT_CALLS = 5;
+    /** Weight of one call in the rate of answered calls of a route: a window of about thirty calls. */
     private static final double RATE_WEIGHT = 0.03;
-    /** Sizes remembered of a route, from which the rank of the next is told. */
-    private static final int WINDOW = 128;
-    /** Sizes of a route to be seen before any counts as large: as many as there are in a tenth, and one more. */
-    private static final int LEAST_KNOWN = 11;
-    /** What a call of the same size counts among the larger ones. */
-    private static final double TIE = 0.5;
-    /** Part of a route's calls that counts as the largest. */
+    /** Recent sizes of a route from which the rank of the next call is determined. */
+    private static final int WINDOW_CALLS = 128;
+    /** Known sizes of a route below which no call counts as large: ten, a tenth of which is one call, and one more. */
+    private static final int MIN_KNOWN_SIZES = 11;
+    /** How much a call of the same size counts as a larger one. */
+    private static final double TIE_WEIGHT = 0.5;
+    /** Share of a route's calls that count as largest. */
     private static final double LARGEST_SHARE = 0.1;
-    /** Part of a route's calls that counts as large, the largest among them. */
+    /** Share of a route's calls that count as large or largest. */
     private static final double LARGE_SHARE = 0.3;
 
-    /** Where the size of a call stands among those of its route. */
+    /** Rank of a call's size among the calls of its route. */
     private enum SizeGroup {
         USUAL,
         LARGE,
         LARGEST
     }
 
-    /** What is remembered of one route; a few hundred bytes. */
+    /** State of one route: about 1 kB, mostly the recent sizes. */
     private static final class RouteSizes {
-        private final double[] sizes = new double[WINDOW];
-        private int seen;
+        private final double[] sizes = new double[WINDOW_CALLS];
+        private int sizesSeen;
         private double answeredRate = 1;
-        private final double[] owed = new double[SizeGroup.values().length];
+        private final double[] credits = new double[SizeGroup.values().length];
 
         private SizeGroup groupOf(double size) {
-            int known = Math.min(seen, WINDOW);
+            int known = Math.min(sizesSeen, WINDOW_CALLS);
             double larger = 0;
             for (int index = 0; index < known; index++) {
-                // Calls of one size stand in the middle of each other: where all are alike none is large.
-                larger += sizes[index] > size ? 1 : sizes[index] == size ? TIE : 0;
+                // A call of the same size counts by half: if all calls are of one size, none is large.
+                larger += sizes[index] > size ? 1 : sizes[index] == size ? TIE_WEIGHT : 0;
             }
-            sizes[seen % WINDOW] = size;
-            seen++;
-            if (known < LEAST_KNOWN || larger >= LARGE_SHARE * known) {
+            sizes[sizesSeen % WINDOW_CALLS] = size;
+            sizesSeen++;
+            if (known < MIN_KNOWN_SIZES || larger >= LARGE_SHARE * known) {
                 return SizeGroup.USUAL;
             }
             return larger >= LARGEST_SHARE * known ? SizeGroup.LARGE : SizeGroup.LARGEST;
         }
 
-        private void add(SizeGroup group, double calls) {
-            owed[group.ordinal()] = Math.clamp(owed[group.ordinal()] + calls, -MOST_AHEAD, MOST_OWED);
+        private void addCredit(SizeGroup group, double calls) {
+            credits[group.ordinal()] = Math.clamp(credits[group.ordinal()] + calls, -MAX_DEBT_CALLS, MAX_CREDIT_CALLS);
         }
     }
 
-    /** The claim of one call to its group's share. */
+    /** One call, counted against the credit of its size group. */
     static final class Claim {
         private final RouteSizes route;
         private final SizeGroup group;
@@ -91,25 +92,27 @@
             this.group = group;
         }
 
-        /** The group of its size among those of its route, in one word. */
+        /** Returns the size group of the call in lower case, for logs. */
         String sizeGroup() {
             return group.name().toLowerCase(Locale.ROOT);
         }
 
-        /** Whether its group was sent less than its share, so that this call is not to be refused for its cost. */
+        /**
+         * Returns whether its group was sent less than its share, so that this call must not be refused for its cost.
+         */
         boolean hasCredit() {
-            return group != SizeGroup.USUAL && route.owed[group.ordinal()] > 0;
+            return group != SizeGroup.USUAL && route.credits[group.ordinal()] > 0;
         }
 
-        /** The call was sent to an engine. */
+        /** Records that the call was sent to an engine; only the first time counts. */
         void onSent() {
             if (!sent) {
                 sent = true;
-                route.add(group, -1);
+                route.addCredit(group, -1);
             }
         }
 
-        /** The call ended. What was sent in vain is owed again. */
+        /** Records that the call ended. The credit of a call that was sent but not answered is returned. */
         void onEnded(boolean answered) {
             if (ended) {
                 return;
@@ -117,7 +120,7 @@
             ended = true;
             route.answeredRate += RATE_WEIGHT * ((answered ? 1 : 0) - route.answeredRate);
             if (sent && !answered) {
-                route.add(group, 1);
+                route.addCredit(group, 1);
             }
         }
     }
@@ -125,16 +128,16 @@
     private final Map<String, RouteSizes> routes = new HashMap<>();
 
     /**
-     * Notes a generation that was asked for.
+     * Registers a generation on its arrival.
      *
-     * @param route names its route
-     * @param size  its size, in the unit in which the answer's worth is told
-     * @return its claim, which is to be told what becomes of it
+     * @param route the name of its route
+     * @param size  its size, in the unit of its value
+     * @return its claim, which must be notified when the call is sent and when it ends
      */
     Claim register(String route, double size) {
         RouteSizes sizes = routes.computeIfAbsent(route, key -> new RouteSizes());
         SizeGroup group = sizes.groupOf(size);
-        sizes.add(group, SHARE * sizes.answeredRate);
+        sizes.addCredit(group, GUARANTEED_SHARE * sizes.answeredRate);
         return new Claim(sizes, group);
     }
 }
--- a/src/main/java/org/cuminshelf/direct/StartupRequestQueue.java
+++ b/src/main/java/org/cuminshelf/direct/StartupRequestQueue.java
@@ -11,70 +11,74 @@
 import org.cuminshelf.exchange.ReceivedRequest;
 
 /**
- * Requests that came before a quorum confirmed the routes to a starting entry.
+ * Requests received before a quorum has confirmed the routes to a starting entry.
  *
- * <p>Failure it guards against: all processes restart together, callers find the entries before the control group has a
- * leader again, are refused, come back 0.2 s later and are refused for good. A leader is there within a second, so a
- * request waits for it, for half of its time at the most.
+ * <p>Guards against lost requests while all processes restart together: callers reach the entries before the control
+ * group has a leader again, are refused, retry 0.2 s later and are refused for good. A leader is elected within a
+ * second, so a request waits for it, for at most half of its time.
  */
 final class StartupRequestQueue {
 
-    /** Requests that wait at the most; what comes beyond is refused at once. */
-    private static final int MOST = 2_000;
-    /** Bytes of bodies that wait at the most: an eighth of the heap of an entry of today. */
-    private static final long MOST_BYTES = 16 << 20;
+    /** Maximum number of waiting requests; further ones are refused at once. */
+    private static final int MAX_REQUESTS = 2_000;
+    /** Maximum size of the waiting bodies: an eighth of the heap of an entry in current deployments. */
+    private static final long MAX_BODY_BYTES = 16 << 20;
 
     /**
-     * One such request.
+     * A waiting request.
      *
      * @param request   the request
-     * @param exchange  takes its answer
-     * @param intent    what it asks for
-     * @param arrivedAt when it came, in nanoseconds
-     * @param until     when it is refused, in nanoseconds
+     * @param exchange  receives its answer
+     * @param intent    the properties of the request that its routing depends on
+     * @param arrivedAt when it was received, in nanoseconds
+     * @param expiresAt when it is refused, in nanoseconds
      */
     record PendingRequest(
-            ReceivedRequest request, CallerExchange exchange, CallIntent intent, long arrivedAt, long until) {}
+            ReceivedRequest request, CallerExchange exchange, CallIntent intent, long arrivedAt, long expiresAt) {}
 
     private final Map<CallerExchange, PendingRequest> requests = new LinkedHashMap<>();
-    private long bytes;
+    private long bodyBytes;
 
-    /** Takes a request in, unless there are too many. */
-    boolean add(long now, ReceivedRequest request, CallerExchange exchange, CallIntent intent, long patienceMillis) {
-        if (requests.size() >= MOST || bytes + request.body().length > MOST_BYTES) {
+    /** Adds a request; returns false if the queue is full. */
+    boolean add(long now, ReceivedRequest request, CallerExchange exchange, CallIntent intent, long totalMillis) {
+        if (requests.size() >= MAX_REQUESTS || bodyBytes + request.body().length > MAX_BODY_BYTES) {
             return false;
         }
-        bytes += request.body().length;
-        long until = now + AdmissionQueue.maxDiscoveryWaitNanos(Durations.nanos(patienceMillis));
-        requests.put(exchange, new PendingRequest(request, exchange, intent, now, until));
+        bodyBytes += request.body().length;
+        long expiresAt = now + AdmissionQueue.maxDiscoveryWaitNanos(Durations.nanos(totalMillis));
+        requests.put(exchange, new PendingRequest(request, exchange, intent, now, expiresAt));
         return true;
     }
 
-    /** The caller left. Returns whether its request was waiting here. */
+    /** Removes the request of a caller that disconnected. Returns whether it was waiting. */
     boolean remove(CallerExchange exchange) {
         PendingRequest removed = requests.remove(exchange);
-        bytes -= removed == null ? 0 : removed.request.body().length;
+        bodyBytes -= removed == null ? 0 : removed.request.body().length;
         return removed != null;
     }
 
-    /** Takes out all requests, in the order in which they came. */
+    /** Removes and returns all requests, in order of arrival. */
     List<PendingRequest> drain() {
         List<PendingRequest> all = new ArrayList<>(requests.values());
         requests.clear();
-        bytes = 0;
+        bodyBytes = 0;
         return all;
     }
 
-    /** Takes out a request that waited too long. */
+    /** Removes and returns a request that has waited too long. */
     Optional<PendingRequest> pollExpired(long now) {
-        Optional<PendingRequest> overdue =
-                requests.values().stream().filter(early -> now >= early.until).findFirst();
-        overdue.ifPresent(early -> remove(early.exchange));
-        return overdue;
+        Optional<PendingRequest> expired = requests.values().stream()
+                .filter(pending -> now >= pending.expiresAt)
+                .findFirst();
+        expired.ifPresent(pending -> remove(pending.exchange));
+        return expired;
     }
 
     long nextDue() {
-        return requests.values().stream().mapToLong(PendingRequest::until).min().orElse(Core.NEVER);
+        return requests.values().stream()
+                .mapToLong(PendingRequest::expiresAt)
+                .min()
+                .orElse(Core.NEVER);
     }
 
     int size() {
--- a/src/main/java/org/cuminshelf/direct/UpstreamSelector.java
+++ b/src/main/java/org/cuminshelf/direct/UpstreamSelector.java
@@ -19,25 +19,26 @@
 import org.cuminshelf.routes.RoutedService;
 
 /**
- * Chooses the upstream of a request.
+ * Selects the upstream of a request.
  *
- * <p>Plain services: the one with the fewest requests for each of its slots, as all entries report them.
+ * <p>Requests that are no generations go to the upstream with the fewest requests per slot, counted over all entries.
  *
- * <p>Generations: the way that costs least, where the costs are an answer that comes too late, shared parts of a prompt
- * that are read once more, and KV cache that is moved. Prompts are what takes time: an engine in the prefill role takes
- * them in at full speed and hands its KV cache on; one in another role takes them in at half the speed between the
- * tokens of its streams, so there only a little may wait at once, or the streams' pauses grow too long.
+ * <p>Generations go where the expected cost is least: the cost of a late answer, of the engine's time, of prefilling
+ * shared segments of the prompt again and of transferring KV cache. Prefill takes most of the time. An engine in the
+ * prefill role runs it at full speed and hands its KV cache over to another engine. An engine in another role runs it
+ * at half the speed, interleaved with the decoding of its streams; its prefill backlog must stay short, or the pauses
+ * of its streams grow too long.
  */
 final class UpstreamSelector {
 
     /**
-     * A choice.
+     * The upstream selected for a request.
      *
-     * @param upstream    where the request goes
-     * @param prefillOnly whether only its prompt is taken in there
-     * @param estimate    what its prompt is expected to take there
-     * @param prefixSource    another engine from which it may fetch shared parts of the prompt that it lacks
-     * @param netValue    what the answer is worth on average, in usual answers, less what its engine's time is worth
+     * @param upstream     the upstream that the request is sent to
+     * @param prefillOnly  whether that upstream only prefills the prompt, for another engine to generate the answer
+     * @param estimate     the expected time of the prompt there
+     * @param prefixSource another engine from which the upstream may fetch cached segments of the prompt that it lacks
+     * @param netValue     expected value of the answer less the price of the engine's time, in answers of usual size
      */
     record Choice(
             UpstreamInstance upstream,
@@ -46,8 +47,8 @@
             Optional<UpstreamInstance> prefixSource,
             double netValue) {
 
-        private static Choice of(UpstreamInstance upstream, double firstMillis) {
-            return new Choice(upstream, false, PromptEstimate.withoutPrefill(firstMillis), Optional.empty(), 1);
+        private static Choice of(UpstreamInstance upstream, double firstEventMillis) {
+            return new Choice(upstream, false, PromptEstimate.withoutPrefill(firstEventMillis), Optional.empty(), 1);
         }
 
         double firstEventMillis() {
@@ -60,50 +61,67 @@
     }
 
     /**
-     * Requests that the home of a subject may have more than another engine and still get the next stream of it. What
-     * it fetched it keeps: engines that generate have room for parts that those in the prefill role drop in seconds.
+     * Number of requests by which the home engine of a prompt prefix may exceed another engine and still be preferred
+     * for its next stream. The home engine keeps the prefix that it fetched: engines that generate have memory for
+     * segments that engines in the prefill role evict within seconds.
      */
-    private static final double HOME_PREFERENCE = 6;
-    /** Milliseconds of prompts on an engine that count as much as one more request there. */
-    private static final double WAIT_OF_REQUEST_MILLIS = 14;
+    private static final double HOME_ENGINE_BONUS_REQUESTS = 6;
+    /** Milliseconds of queued prefill that weigh as much as one request on the engine. */
+    private static final double QUEUE_MILLIS_PER_REQUEST = 14;
 
-    private static final double OTHER_ZONE_MILLIS = 1;
-    /** What an answer that misses its target loses, against one request of middling worth. */
+    /** Latency added for an upstream in another zone; also its weight in requests when a prompt is handed over. */
+    private static final double CROSS_ZONE_MILLIS = 1;
+    /** Cost of an answer that misses its latency target, relative to the value of an answer of usual size. */
     private static final double LATE_COST = 0.6;
-    /** What each whole target adds by which it is missed, up to {@link #MOST_TARGETS_LATE}: callers leave by then. */
-    private static final double LATER_COST = 0.4;
+    /**
+     * Additional cost of each multiple of the latency target by which an answer is late, up to {@link
+     * #MAX_TARGETS_LATE}: callers have disconnected by then.
+     */
+    private static final double LATENESS_COST_PER_TARGET = 0.4;
 
-    private static final double MOST_TARGETS_LATE = 4;
-    /** Least milliseconds by which expectations may be off, whatever was seen: the clocks and hops on the way. */
-    private static final double LEAST_ERROR_MILLIS = 15;
-    /** Steepness of the logistic function whose median error is one. */
-    private static final double LOGISTIC = 1.1;
-    /** What moving a gigabyte of KV cache costs, in the same unit: what the first deployments take for it. */
-    private static final double MOVE_COST = 0.0275;
+    private static final double MAX_TARGETS_LATE = 4;
+    /**
+     * Lower bound of the assumed error of an estimate, whatever was observed: clocks and network hops contribute as
+     * much.
+     */
+    private static final double MIN_ERROR_MILLIS = 15;
+    /** Steepness of a logistic function whose median absolute error is one. */
+    private static final double LOGISTIC_STEEPNESS = 1.1;
+    /**
+     * Cost of transferring a gigabyte of KV cache, in the unit of {@link #LATE_COST}: the price in the first
+     * deployments.
+     */
+    private static final double TRANSFER_COST_PER_GIGABYTE = 0.0275;
 
     private static final double BYTES_PER_GIGABYTE = 1e9;
     /**
-     * What reading a token of a shared part once more costs, in the same unit, beside the engine's time. It keeps
-     * subjects together where engines idle, so that the parts are there when they don't.
+     * Cost of prefilling a token of a shared segment again, in the unit of {@link #LATE_COST} and in addition to the
+     * engine's time. It keeps requests with a common prefix on one engine while engines are idle, so that the prefix is
+     * cached when they are busy.
+     */
+    private static final double REPEATED_PREFILL_COST_PER_TOKEN = 0.05e-3;
+    /** Breaks ties between engines of equal cost in favour of the earlier first event. */
+    private static final double LATENCY_COST_PER_MILLI = 1e-4;
+    /**
+     * Share of an engine's KV cache in use beyond which other engines are preferred. Beyond it the engine preempts
+     * running requests and prefills their prompts again, which lengthens the pauses of all its streams.
+     */
+    private static final double MAX_MEMORY_SHARE = 0.8;
+    /**
+     * Share of an engine's KV cache that retains prompt segments after their requests end; running requests use the
+     * rest.
      */
-    private static final double REREAD_COST = 0.05e-3;
-    /** Decides between equals: the sooner. */
-    private static final double MILLI_COST = 1e-4;
+    private static final double PREFIX_CACHE_SHARE = 0.7;
     /**
-     * Part of an engine's memory that may be taken before others go first. Beyond it the engine puts running requests
-     * back and reads their prompts again, which lengthens the pauses of all its streams.
+     * Share of an engine's slots that may be in use, given that entries learn of each other's requests some 50 ms late.
      */
-    private static final double MEMORY_SHARE = 0.8;
-    /** Part of an engine's memory that holds parts of prompts once their requests ended; the rest is in use. */
-    private static final double CACHED_SHARE = 0.7;
-    /** Part of an engine's places that may be taken, by what entries know of each other some 50 ms late. */
-    private static final double PLACES_SHARE = 0.85;
-    /** The same for what is over soon: it holds a place for a tenth of a second, others for two. */
-    private static final double PLACES_SHARE_BRIEF = 0.95;
-    /** Events of a stream that are over soon: few beside those of a usual one, some 0.25 s at the first users. */
-    private static final int BRIEF_EVENTS = 4;
-    /** What a full engine counts for against one with room, in requests. */
-    private static final double FULL_COST = 1_000;
+    private static final double MAX_SLOT_SHARE = 0.85;
+    /** The same for short streams, which hold a slot for a tenth of a second where others hold it for two seconds. */
+    private static final double MAX_SLOT_SHARE_SHORT_STREAM = 0.95;
+    /** Events of a short stream: few compared with a usual stream. They take some 0.25 s in the first deployments. */
+    private static final int MAX_SHORT_STREAM_EVENTS = 4;
+    /** Load added for an engine whose memory is full, in requests. */
+    private static final double FULL_MEMORY_PENALTY_REQUESTS = 1_000;
 
     private static final double MICROS_PER_MILLI = 1e3;
 
@@ -113,7 +131,7 @@
     private final Backpressure backpressure;
     private final EngineTimePrices prices = new EngineTimePrices();
     private final AnswerValues values = new AnswerValues();
-    private final Map<String, UnreportedWork> unseen = new HashMap<>();
+    private final Map<String, UnreportedWork> unreported = new HashMap<>();
     private final String zone;
 
     UpstreamSelector(
@@ -129,31 +147,34 @@
         this.zone = zone;
     }
 
-    /** Chooses for a request, or finds nothing that takes it. */
+    /** Selects the upstream of a request; empty if no upstream accepts it now. */
     Optional<Choice> choose(long now, DirectCall call) {
         Optional<GenerationShape> shape = call.intent.generation();
         if (shape.isEmpty() || !call.isStream()) {
-            return forService(now, call);
+            return chooseByOccupancy(now, call);
         }
-        return call.kvCache.isPresent() ? forHandover(now, call) : forPrompt(now, call, shape.get());
+        return call.kvCache.isPresent() ? chooseForHandover(now, call) : chooseForPrompt(now, call, shape.get());
     }
 
-    /** Whether any upstream is there for a call, with or without a place for it. */
-    boolean hasOpen(long now, DirectCall call) {
+    /** Returns whether any upstream is available for a call, whether or not it has a free slot. */
+    boolean hasOpenUpstream(long now, DirectCall call) {
         return upstreams.instancesOf(call.service).stream().anyMatch(row -> isOpen(now, row, call));
     }
 
-    /** What a prompt takes of an engine that only reads prompts and holds as much of it as any engine does. */
+    /**
+     * Returns the prefill time of a prompt in microseconds, on an engine that only prefills and has cached as much of
+     * the prompt as any engine has.
+     */
     long prefillMicros(long now, DirectCall call, GenerationShape shape) {
         values.observe(call, shape);
         SharedPrefixLocations shared = SharedPrefixLocations.of(shape, open(now, call), now);
-        int held = shared.maxCachedTokens();
+        int held = shared.maxFetchableTokens();
         double millis =
                 models.of(call.service).prefillMillis("", false, 0, held, Math.max(0, shape.promptTokens() - held));
         return (long) (MICROS_PER_MILLI * millis);
     }
 
-    /** How long a generation takes a place of an engine that has a usual number of streams. */
+    /** Returns how long a generation occupies a slot, in microseconds, on an engine with half of its slots in use. */
     long generationMicros(String service, GenerationShape shape) {
         Optional<EngineCapacity> limits = limits(service);
         int perEvent = tokensPerEvent(service);
@@ -164,13 +185,13 @@
         return (long) (MICROS_PER_MILLI * millis);
     }
 
-    private Optional<Choice> forService(long now, DirectCall call) {
+    private Optional<Choice> chooseByOccupancy(long now, DirectCall call) {
         UpstreamInstance best = null;
         double bestLoad = Double.MAX_VALUE;
         for (UpstreamInstance row : open(now, call)) {
             double load = (double) row.totalAttempts() / row.slots
                     + (row.zone.equals(zone) ? 0 : 1e-3)
-                    + 1e-4 * spread(row, call.number);
+                    + 1e-4 * pseudoRandomFraction(row, call.number);
             if (load < bestLoad) {
                 best = row;
                 bestLoad = load;
@@ -179,12 +200,16 @@
         return Optional.ofNullable(best).map(row -> Choice.of(row, 0));
     }
 
-    private static double spread(UpstreamInstance row, long number) {
+    /**
+     * Returns a number from 0 to 1 that depends only on the upstream and the call, to spread calls over equal
+     * upstreams.
+     */
+    private static double pseudoRandomFraction(UpstreamInstance row, long number) {
         return (LongHashFunction.xx3(number).hashChars(row.id) >>> 40) / (double) (1 << 24);
     }
 
-    /** The engine that goes on after the prompt was taken in elsewhere: the one with the least to do. */
-    private Optional<Choice> forHandover(long now, DirectCall call) {
+    /** Selects the least loaded engine to generate the answer to a prompt that another engine has prefilled. */
+    private Optional<Choice> chooseForHandover(long now, DirectCall call) {
         UpstreamInstance best = null;
         double least = Double.MAX_VALUE;
         EngineLatencyModel model = models.of(call.service);
@@ -197,11 +222,11 @@
             }
             boolean home = shared.filter(parts -> parts.isHomeOfStreams(row)).isPresent();
             double load = memoryLoad(row, call)
-                    - (home ? HOME_PREFERENCE : 0)
+                    - (home ? HOME_ENGINE_BONUS_REQUESTS : 0)
                     + row.totalAttempts()
-                    + row.pendingPrompts.waitMillis(now, model.latencyMillis(row.id, true)) / WAIT_OF_REQUEST_MILLIS
-                    + (row.zone.equals(zone) ? 0 : OTHER_ZONE_MILLIS)
-                    + spread(row, call.number);
+                    + row.pendingPrompts.waitMillis(now, model.latencyMillis(row.id, true)) / QUEUE_MILLIS_PER_REQUEST
+                    + (row.zone.equals(zone) ? 0 : CROSS_ZONE_MILLIS)
+                    + pseudoRandomFraction(row, call.number);
             if (load < least) {
                 best = row;
                 least = load;
@@ -211,8 +236,8 @@
     }
 
     /**
-     * The engine's memory taken with a call on it, as a number of requests: the places of the engine, scaled by the
-     * part of the memory, and much more where it would not fit.
+     * Returns the memory use of an engine with a call added, expressed in requests: the used share times the engine's
+     * slots, plus a large penalty if the call would not fit.
      */
     private double memoryLoad(UpstreamInstance row, DirectCall call) {
         long capacity = cacheTokens(call);
@@ -224,7 +249,7 @@
                 .map(shape -> shape.promptTokens() + shape.outputTokens())
                 .orElse(0);
         double share = (double) (row.totalMemoryTokens() + own) / capacity;
-        return share * row.slots + (share > MEMORY_SHARE ? FULL_COST * share : 0);
+        return share * row.slots + (share > MAX_MEMORY_SHARE ? FULL_MEMORY_PENALTY_REQUESTS * share : 0);
     }
 
     private long cacheTokens(DirectCall call) {
@@ -243,26 +268,30 @@
         return control.routes().service(service).flatMap(RoutedService::engine);
     }
 
-    /** Tokens of prompts for which each engine of a call's service has room, beside those of running requests. */
-    private long cacheRoom(DirectCall call) {
+    /** Returns the tokens of prompts that each engine of a service can retain beside those of running requests. */
+    private long prefixCacheTokens(DirectCall call) {
         long capacity = cacheTokens(call);
-        return capacity == 0 ? Long.MAX_VALUE : (long) (CACHED_SHARE * capacity);
+        return capacity == 0 ? Long.MAX_VALUE : (long) (PREFIX_CACHE_SHARE * capacity);
     }
 
-    /** Takes note that a call was sent where it was chosen to go. */
+    /** Records that a call was sent to the selected upstream. */
     void onSent(long now, Choice choice) {
         if (choice.estimate.prefillMillis() > 0) {
-            unseenOf(choice.upstream.service).recordSent(now, choice.upstream.role, choice.estimate.prefillMillis());
+            unreportedWork(choice.upstream.service)
+                    .recordSent(now, choice.upstream.role, choice.estimate.prefillMillis());
         }
     }
 
-    private UnreportedWork unseenOf(String service) {
-        return unseen.computeIfAbsent(service, key -> new UnreportedWork());
+    private UnreportedWork unreportedWork(String service) {
+        return unreported.computeIfAbsent(service, key -> new UnreportedWork());
     }
 
-    /** Milliseconds of work of other entries that is probably on its way to each open engine, by role. */
-    private Map<Role, Double> unseenMillis(long now, String service, List<UpstreamInstance> open) {
-        UnreportedWork work = unseenOf(service);
+    /**
+     * Returns the milliseconds of prefill that other entries have probably sent to each open engine without this entry
+     * knowing, by role.
+     */
+    private Map<Role, Double> unreportedMillisByRole(long now, String service, List<UpstreamInstance> open) {
+        UnreportedWork work = unreportedWork(service);
         int others = Math.max(0, control.entries().size() - 1);
         Map<Role, Integer> engines = new EnumMap<>(Role.class);
         open.forEach(row -> engines.merge(row.role, 1, Integer::sum));
@@ -272,24 +301,25 @@
         return millis;
     }
 
-    private Optional<Choice> forPrompt(long now, DirectCall call, GenerationShape shape) {
+    private Optional<Choice> chooseForPrompt(long now, DirectCall call, GenerationShape shape) {
         List<UpstreamInstance> open = open(now, call);
-        boolean splits = call.lastEventId.isEmpty() && !call.singleEngineOnly;
-        boolean prefillThere = splits && open.stream().anyMatch(row -> !row.generatesTokens());
-        boolean placeThere = open.stream().anyMatch(row -> row.generatesTokens() && hasPlace(row, call));
+        boolean maySplit = call.lastEventId.isEmpty() && !call.singleEngineOnly;
+        boolean hasPrefillEngines = maySplit && open.stream().anyMatch(row -> !row.generatesTokens());
+        boolean hasDecodeSlot = open.stream().anyMatch(row -> row.generatesTokens() && hasFreeSlot(row, call));
         EngineLatencyModel model = models.of(call.service);
-        long room = cacheRoom(call);
-        open.forEach(row -> row.promptCache.setCapacityTokens(room));
+        long cacheCapacityTokens = prefixCacheTokens(call);
+        open.forEach(row -> row.promptCache.setCapacityTokens(cacheCapacityTokens));
         Choice best = null;
         double least = Double.MAX_VALUE;
         SharedPrefixLocations shared = SharedPrefixLocations.of(shape, open, now);
-        Map<Role, Double> onTheirWay = unseenMillis(now, call.service, open);
+        Map<Role, Double> unreportedMillis = unreportedMillisByRole(now, call.service, open);
         long callHash = LongHashFunction.xx3().hashChars(call.intent.id());
         for (UpstreamInstance row : open) {
-            double onItsWay = onTheirWay.get(row.role) * UnreportedWork.randomShare(row.id, callHash);
-            Choice choice = estimate(now, row, model, shape, shared, onItsWay);
-            boolean fits =
-                    row.generatesTokens() ? fitsBesideStreams(choice, call, model, prefillThere) : splits && placeThere;
+            double unreportedHere = unreportedMillis.get(row.role) * UnreportedWork.randomFactor(row.id, callHash);
+            Choice choice = estimate(now, row, model, shape, shared, unreportedHere);
+            boolean fits = row.generatesTokens()
+                    ? canPrefillBesideStreams(choice, call, model, hasPrefillEngines)
+                    : maySplit && hasDecodeSlot;
             double cost = fits ? cost(now, choice, call, model, shape, shared) : Double.MAX_VALUE;
             if (cost < least) {
                 best = choice;
@@ -299,40 +329,44 @@
         prices.updateScarcity(now, call.service, open, model);
         Optional.ofNullable(best)
                 .ifPresent(choice -> prices.recordPrefill(call.service, choice.estimate.prefillMillis()));
-        return Optional.ofNullable(best).map(choice -> withGain(now, choice, call, model, shape));
+        return Optional.ofNullable(best).map(choice -> withNetValue(now, choice, call, model, shape));
     }
 
-    private Choice withGain(long now, Choice choice, DirectCall call, EngineLatencyModel model, GenerationShape shape) {
-        double answer = values.valueOf(call, shape) * (1 - LATE_COST * lateChance(now, choice, call, model));
+    private Choice withNetValue(long now, Choice choice, DirectCall call, EngineLatencyModel model, GenerationShape shape) {
+        double answer = values.valueOf(call, shape) * (1 - LATE_COST * lateProbability(now, choice, call, model));
         double time = choice.estimate.prefillMillis() * prices.perMillisecond(call.service, choice.upstream);
         return new Choice(choice.upstream, choice.prefillOnly, choice.estimate, choice.prefixSource, answer - time);
     }
 
-    /** Whether a prompt may be taken in by an engine that also generates; more may wait there if no other can do it. */
-    private boolean fitsBesideStreams(Choice choice, DirectCall call, EngineLatencyModel model, boolean prefillThere) {
+    /**
+     * Returns whether an engine that also generates may prefill a prompt. Its backlog is not bounded if there is no
+     * engine in the prefill role.
+     */
+    private boolean canPrefillBesideStreams(Choice choice, DirectCall call, EngineLatencyModel model, boolean hasPrefillEngines) {
         UpstreamInstance row = choice.upstream;
-        // A stream that its caller has half of goes on beside what is there: cutting it would lose what it took so far.
+        // A stream that the caller has received in part continues whatever the load: cutting it would waste that part.
         boolean idle = row.totalAttempts() == 0 || call.responseStarted;
         double backlog = choice.queueMillis() + choice.estimate.prefillMillis();
         return idle
-                || hasPlace(row, call)
-                        && (!prefillThere || backlog <= model.prefillAllowance().millis());
+                || hasFreeSlot(row, call)
+                        && (!hasPrefillEngines || backlog <= model.prefillAllowance().millis());
     }
 
     /**
-     * Whether an engine has a place for one more stream, and memory. Failure this guards against: with all places taken
-     * an urgent request puts another back, whose prompt is read again beside the streams, which slows them all, so that
-     * places come free ever later. A fleet was seen to stay in that state for ten seconds after the burst that began
-     * it.
+     * Returns whether an engine has a slot and memory for one more stream. Guards against a failure in which all slots
+     * are in use and an urgent request preempts another one: the preempted prompt is prefilled again beside the
+     * streams, which slows all of them, so that slots are released ever later. A fleet stayed in that state for ten
+     * seconds after the burst that caused it.
      */
-    private boolean hasPlace(UpstreamInstance row, DirectCall call) {
-        int briefTokens = BRIEF_EVENTS * tokensPerEvent(call.service);
-        boolean brief = call.intent
+    private boolean hasFreeSlot(UpstreamInstance row, DirectCall call) {
+        int maxShortTokens = MAX_SHORT_STREAM_EVENTS * tokensPerEvent(call.service);
+        boolean isShort = call.intent
                 .generation()
-                .filter(shape -> shape.outputTokens() <= briefTokens)
+                .filter(shape -> shape.outputTokens() <= maxShortTokens)
                 .isPresent();
-        double share = brief ? PLACES_SHARE_BRIEF : PLACES_SHARE;
-        return row.totalAttempts() < share * row.slots && memoryLoad(row, call) < FULL_COST * MEMORY_SHARE;
+        double share = isShort ? MAX_SLOT_SHARE_SHORT_STREAM : MAX_SLOT_SHARE;
+        return row.totalAttempts() < share * row.slots
+                && memoryLoad(row, call) < FULL_MEMORY_PENALTY_REQUESTS * MAX_MEMORY_SHARE;
     }
 
     private Choice estimate(
@@ -341,18 +375,18 @@
             EngineLatencyModel model,
             GenerationShape shape,
             SharedPrefixLocations shared,
-            double onItsWay) {
-        int own = shared.tokensCachedBy(row);
-        int held = shared.tokensAvailableTo(row);
-        int uncached = Math.max(0, shape.promptTokens() - held);
+            double unreportedHere) {
+        int ownTokens = shared.tokensCachedBy(row);
+        int cachedTokens = shared.tokensAvailableTo(row);
+        int uncachedTokens = Math.max(0, shape.promptTokens() - cachedTokens);
         boolean generates = row.generatesTokens();
         double latency = model.latencyMillis(row.id, generates);
-        double work = model.prefillMillis(row.id, generates, row.totalAttempts(), held, uncached)
-                + model.transferMillis(Math.max(0, held - own));
-        double wait = row.pendingPrompts.waitMillis(now, latency) + onItsWay;
+        double work = model.prefillMillis(row.id, generates, row.totalAttempts(), cachedTokens, uncachedTokens)
+                + model.transferMillis(Math.max(0, cachedTokens - ownTokens));
+        double wait = row.pendingPrompts.waitMillis(now, latency) + unreportedHere;
         double handover = generates ? 0 : model.handoverMillis(shape.promptTokens());
-        double first = wait + work + latency + (row.zone.equals(zone) ? 0 : OTHER_ZONE_MILLIS) + handover;
-        PromptEstimate estimate = new PromptEstimate(held, uncached, wait, work, first);
+        double first = wait + work + latency + (row.zone.equals(zone) ? 0 : CROSS_ZONE_MILLIS) + handover;
+        PromptEstimate estimate = new PromptEstimate(cachedTokens, uncachedTokens, wait, work, first);
         return new Choice(row, !generates, estimate, shared.sourceFor(row), 0);
     }
 
@@ -364,34 +398,43 @@
             GenerationShape shape,
             SharedPrefixLocations shared) {
         UpstreamInstance row = choice.upstream;
-        int own = shared.tokensCachedBy(row);
-        int movedTokens =
-                Math.max(0, choice.estimate.cachedTokens() - own) + (choice.prefillOnly ? shape.promptTokens() : 0);
-        double moved = movedTokens * tokenBytes(call) / BYTES_PER_GIGABYTE * MOVE_COST;
-        double reread = Math.max(0, shared.tokens() - choice.estimate.cachedTokens()) * REREAD_COST;
+        int ownTokens = shared.tokensCachedBy(row);
+        int transferredTokens = Math.max(0, choice.estimate.cachedTokens() - ownTokens)
+                + (choice.prefillOnly ? shape.promptTokens() : 0);
+        double transferCost = transferredTokens * tokenBytes(call) / BYTES_PER_GIGABYTE * TRANSFER_COST_PER_GIGABYTE;
+        double repeatedTokensCost =
+                Math.max(0, shared.tokens() - choice.estimate.cachedTokens()) * REPEATED_PREFILL_COST_PER_TOKEN;
         double work = choice.estimate.prefillMillis() * prices.perMillisecond(call.service, row);
-        return lateCost(now, choice, call, model) + work + moved + reread + choice.firstEventMillis() * MILLI_COST;
+        return latenessCost(now, choice, call, model)
+                + work
+                + transferCost
+                + repeatedTokensCost
+                + choice.firstEventMillis() * LATENCY_COST_PER_MILLI;
     }
 
-    /** What is lost on average by an answer's coming late: its chance to, and by how much. */
-    private static double lateCost(long now, Choice choice, DirectCall call, EngineLatencyModel model) {
-        double late = lateMillis(now, choice, call) / call.route.targetLatencyMillis();
-        return lateChance(now, choice, call, model) * LATE_COST + Math.clamp(late, 0, MOST_TARGETS_LATE) * LATER_COST;
+    /** Returns the expected cost of lateness, from its probability and its extent. */
+    private static double latenessCost(long now, Choice choice, DirectCall call, EngineLatencyModel model) {
+        double late = latenessMillis(now, choice, call) / call.route.targetLatencyMillis();
+        return lateProbability(now, choice, call, model) * LATE_COST
+                + Math.clamp(late, 0, MAX_TARGETS_LATE) * LATENESS_COST_PER_TARGET;
     }
 
-    private static double lateChance(long now, Choice choice, DirectCall call, EngineLatencyModel model) {
-        double error = Math.max(LEAST_ERROR_MILLIS, model.relativeError() * choice.firstEventMillis());
-        return 1 / (1 + Math.exp(-LOGISTIC * lateMillis(now, choice, call) / error));
+    private static double lateProbability(long now, Choice choice, DirectCall call, EngineLatencyModel model) {
+        double error = Math.max(MIN_ERROR_MILLIS, model.relativeError() * choice.firstEventMillis());
+        return 1 / (1 + Math.exp(-LOGISTIC_STEEPNESS * latenessMillis(now, choice, call) / error));
     }
 
-    /** Milliseconds by which the first event is expected after the target, or before it if negative. */
-    private static double lateMillis(long now, Choice choice, DirectCall call) {
+    /** Returns by how many milliseconds the first event is expected after the target; negative if before it. */
+    private static double latenessMillis(long now, Choice choice, DirectCall call) {
         return Durations.millis(now - call.arrivedAtNanos)
                 + choice.firstEventMillis()
                 - call.route.targetLatencyMillis();
     }
 
-    /** The upstreams that take a call now; one that asked another entry for rest only if no other has its role. */
+    /**
+     * Returns the upstreams that accept a call now. An upstream that asked another entry to pause is included only if
+     * all upstreams of its role did.
+     */
     private List<UpstreamInstance> open(long now, DirectCall call) {
         List<UpstreamInstance> open = upstreams.instancesOf(call.service).stream()
                 .filter(row -> isOpen(now, row, call))
@@ -399,10 +442,10 @@
         if (!backpressure.backoffs().hasRemoteBackoffs()) {
             return open;
         }
-        Set<Role> willing = EnumSet.noneOf(Role.class);
-        open.stream().filter(row -> !isAskedElsewhere(now, row)).forEach(row -> willing.add(row.role));
+        Set<Role> rolesWithoutRest = EnumSet.noneOf(Role.class);
+        open.stream().filter(row -> !isAskedElsewhere(now, row)).forEach(row -> rolesWithoutRest.add(row.role));
         return open.stream()
-                .filter(row -> !isAskedElsewhere(now, row) || !willing.contains(row.role))
+                .filter(row -> !isAskedElsewhere(now, row) || !rolesWithoutRest.contains(row.role))
                 .toList();
     }
 
@@ -421,45 +464,47 @@
         return kept ? backpressure.maySendWithReservedPermit(now, row.id) : backpressure.maySend(now, row.id);
     }
 
-    /** Whether an upstream can answer a call, and not just read its prompt. */
+    /** Returns whether an upstream can generate the answer to a call, rather than only prefill its prompt. */
     private static boolean canAnswer(UpstreamInstance row, DirectCall call) {
         return !call.isStream() || row.generatesTokens();
     }
 
     /**
-     * When a call may be sent, where the upstreams that could answer it rest, or state limits and have no permit left.
+     * Returns when a call may be sent, if every upstream that could answer it has asked for a pause or has used up its
+     * stated rate limit.
      *
-     * @return that time in nanoseconds; empty where an upstream is open, or none asked to wait
+     * @return the time in nanoseconds; empty if an upstream is open, or if none of them limits requests
      */
     OptionalLong nextSend(long now, DirectCall call) {
         return nextSend(now, call, row -> !call.excludedUpstreams.contains(row.id));
     }
 
-    /** The same for a caller that comes back, whose request may go to any upstream. */
-    OptionalLong nextReturn(long now, DirectCall call) {
+    /** Returns the same for a caller that retries later, whose request may go to any upstream. */
+    OptionalLong nextRetryAt(long now, DirectCall call) {
         return nextSend(now, call, row -> true);
     }
 
-    private OptionalLong nextSend(long now, DirectCall call, Predicate<UpstreamInstance> counts) {
+    private OptionalLong nextSend(long now, DirectCall call, Predicate<UpstreamInstance> isCandidate) {
         long next = Core.NEVER;
         boolean askedToWait = false;
         for (UpstreamInstance row : upstreams.instancesOf(call.service)) {
-            if (row.draining || row.roleChanging || !canAnswer(row, call) || !counts.test(row)) {
+            if (row.draining || row.roleChanging || !canAnswer(row, call) || !isCandidate.test(row)) {
                 continue;
             }
-            boolean held = !hasPermit(now, row, call);
-            if (!held && !row.isAvoided(now)) {
+            boolean limited = !hasPermit(now, row, call);
+            if (!limited && !row.isAvoided(now)) {
                 return OptionalLong.empty();
             }
-            askedToWait |= held;
-            long open = Math.max(row.avoidedUntilNanos(), held ? backpressure.nextSendTime(now, row.id) : now);
+            askedToWait |= limited;
+            long open = Math.max(row.avoidedUntilNanos(), limited ? backpressure.nextSendTime(now, row.id) : now);
             next = Math.min(next, open);
         }
         return askedToWait ? OptionalLong.of(next) : OptionalLong.empty();
     }
 
     /**
-     * The engine of which a permit should be kept for the handover of a call: none if one without a limit can do it.
+     * Returns the engine whose permit should be reserved for the handover of a call; empty if an engine without a rate
+     * limit can take the handover.
      */
     Optional<UpstreamInstance> handoverEngineToReserve(long now, DirectCall call) {
         if (backpressure.limits().activeCount() == 0) {
@@ -467,7 +512,7 @@
         }
         UpstreamInstance best = null;
         for (UpstreamInstance row : open(now, call)) {
-            if (!row.generatesTokens() || !hasPlace(row, call)) {
+            if (!row.generatesTokens() || !hasFreeSlot(row, call)) {
                 continue;
             }
             if (!backpressure.limits().isLimited(row.id)) {
--- a/src/test/java/org/cuminshelf/direct/LargePromptsUnderLoadTest.java
+++ b/src/test/java/org/cuminshelf/direct/LargePromptsUnderLoadTest.java
@@ -12,19 +12,22 @@
 import org.cuminshelf.message.Role;
 import org.cuminshelf.routes.RequestKind;
 
-/** An entry in front of one engine that reads prompts one after the other, under more of them than it can read. */
+/**
+ * Tests an entry with one engine that prefills prompts one after the other and receives more of them than it can
+ * process.
+ */
 class LargePromptsUnderLoadTest {
 
     private static final String ENGINE = "d0";
     private static final double MILLIS_PER_TOKEN = 1 / 40.0;
     private static final int USUAL_TOKENS = 1_000;
     private static final int LARGE_TOKENS = 7_000;
-    /** A burst of twice what the engine can read. */
-    private static final int GAP_MILLIS = 20;
+    /** Interval between calls in a burst of twice the load that the engine can process. */
+    private static final int ARRIVAL_INTERVAL_MILLIS = 20;
 
     private static final int CALLS = 1_500;
 
-    /** A prompt that the engine has and has not read yet, or a stream that has not ended. */
+    /** A prompt at the engine that is not prefilled yet, or a stream that has not ended. */
     private record Running(DirectFixture.SentRequest sent, long endsAt) {}
 
     private final UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(5);
@@ -34,11 +37,11 @@
     private long engineFreeAt;
 
     /*
-     * The dealers with the longest histories get no draft on a busy morning: there is twice the work that the engine
-     * can do, and the largest prompts, worth less than the time they take, are the ones that are refused.
+     * Guards against refusing all of the largest prompts under overload: with twice the work that the engine can do,
+     * their answers are worth less than the engine time that they take.
      */
     @Example
-    void largePromptsAreAnsweredHalfAsOftenAsAllAtLeast() {
+    void largePromptsAreAnsweredAtLeastHalfAsOftenAsAll() {
         entry.advance(5_000);
         entry.addUpstream(ENGINE, Role.ROLE_DECODE);
         entry.reportPrefillTimes(ENGINE, Role.ROLE_DECODE, 5, 1_000 * MILLIS_PER_TOKEN);
@@ -50,12 +53,12 @@
             int before = entry.sentRequests.size();
             (isLarge ? large : usual)
                     .add(entry.sendRequest("r" + call, "Tokens", String.valueOf(tokens), "Shared", "1"));
-            take(before, tokens);
-            for (int millis = 0; millis < GAP_MILLIS; millis++) {
+            prefill(before, tokens);
+            for (int millis = 0; millis < ARRIVAL_INTERVAL_MILLIS; millis++) {
                 int sentBefore = entry.sentRequests.size();
                 entry.advance(1);
-                take(sentBefore, USUAL_TOKENS);
-                finish();
+                prefill(sentBefore, USUAL_TOKENS);
+                completeFinished();
             }
         }
         double largeShare = answered(large);
@@ -71,8 +74,8 @@
         return (double) complete / answers.size();
     }
 
-    /** The engine takes what was sent since: it reads one prompt after the other. */
-    private void take(int from, int tokens) {
+    /** Queues the requests sent since an index at the engine, which prefills one prompt after the other. */
+    private void prefill(int from, int tokens) {
         for (DirectFixture.SentRequest sent : entry.sentRequests.subList(from, entry.sentRequests.size())) {
             long start = Math.max(entry.now, engineFreeAt);
             engineFreeAt = start + Durations.nanos((long) (tokens * MILLIS_PER_TOKEN));
@@ -80,7 +83,8 @@
         }
     }
 
-    private void finish() {
+    /** Completes the requests whose prefill has ended. */
+    private void completeFinished() {
         Iterator<Running> all = running.iterator();
         List<DirectFixture.SentRequest> done = new ArrayList<>();
         while (all.hasNext()) {
--- a/src/test/java/org/cuminshelf/direct/LoadGossipTest.java
+++ b/src/test/java/org/cuminshelf/direct/LoadGossipTest.java
@@ -14,7 +14,7 @@
 import org.cuminshelf.message.WaitingPrompt;
 import org.cuminshelf.routes.RequestKind;
 
-/** What entries tell each other of the prompts under way. */
+/** Tests the load reports that entries exchange. */
 class LoadGossipTest {
 
     private static final String OTHER = "10.0.1.2:7000";
@@ -33,32 +33,33 @@
         return entry;
     }
 
-    private static List<EntryLoad> told(DirectFixture entry) {
+    /** Removes and returns the load reports that an entry has sent. */
+    private static List<EntryLoad> sentReports(DirectFixture entry) {
         return entry.out.take(Envelope::hasEntryLoad).stream()
                 .map(Envelope::getEntryLoad)
                 .toList();
     }
 
     /*
-     * Five prompts wait for each other at one engine while the others idle: five entries found it free within 3 ms, as
-     * each heard of the others' prompts 50 ms later.
+     * Guards against five prompts waiting for each other at one engine while other engines are idle: five entries found
+     * it idle within 3 ms, as each received the reports of the others 50 ms later.
      */
     @Example
-    void aPromptIsToldBeforeOthersChooseByAnOldView() {
+    void aSentPromptIsReportedWithinMilliseconds() {
         DirectFixture entry = entry();
-        told(entry);
+        sentReports(entry);
         entry.sendRequest("r", "Tokens", "4000");
         entry.advance(5);
-        List<EntryLoad> told = told(entry);
-        assertThat(told).hasSize(1);
-        assertThat(told.getFirst().getUpstreams(0).getPromptsList()).hasSize(1);
-        assertThat(told.getFirst().getSent(0).getUpstream()).isEqualTo(entry.lastSent().upstream);
-        assertThat(told.getFirst().getSent(0).getReadyUs()).isPositive();
+        List<EntryLoad> reports = sentReports(entry);
+        assertThat(reports).hasSize(1);
+        assertThat(reports.getFirst().getUpstreams(0).getPromptsList()).hasSize(1);
+        assertThat(reports.getFirst().getSent(0).getUpstream()).isEqualTo(entry.lastSent().upstream);
+        assertThat(reports.getFirst().getSent(0).getReadyUs()).isPositive();
     }
 
     /*
-     * Entries of a quarter of a core answer late at 33 entries: each tells each other one of each prompt, and a third
-     * of their processor time goes into such news.
+     * Guards against late answers with 33 entries of a quarter of a core each: if each entry reports each prompt to
+     * each other entry, a third of their processor time is spent on reports.
      */
     @Example
     void theMessagesOfAnEntryDoNotGrowWithTheNumberOfEntries() {
@@ -74,17 +75,20 @@
             update.addEntryAddresses("10.0.2." + other + ":7000");
         }
         entry.sendUpdate(update);
-        told(entry);
+        sentReports(entry);
         for (int request = 0; request < 100; request++) {
             entry.sendRequest("r" + request, "Tokens", "100");
             entry.advance(10);
         }
-        return told(entry).size();
+        return sentReports(entry).size();
     }
 
-    /* An engine stays crowded for good in the view of an entry: another one named it once and has left it since. */
+    /*
+     * Guards against an engine that seems busy for ever because another entry reported a prompt there once and does not
+     * report it any more.
+     */
     @Example
-    void whatAnotherEntryDoesNotNameAnyMoreIsForgotten() {
+    void loadThatAnotherEntryNoLongerReportsIsRemoved() {
         DirectFixture entry = entry();
         entry.reportLoad(EntryLoad.newBuilder()
                 .addUpstreams(UpstreamLoad.newBuilder()
@@ -105,7 +109,7 @@
     }
 
     @Example
-    void whatTheOthersSentCountsAtTheEngineThatGotIt() {
+    void promptsOfOtherEntriesCountAtTheirEngine() {
         DirectFixture entry = entry();
         for (String busy : List.of("p0", "p1")) {
             entry.reportLoad(EntryLoad.newBuilder()
@@ -119,11 +123,9 @@
         }
     }
 
-    /*
-     * A prompt's shared part is read again though an engine holds it, since another entry had it read there.
-     */
+    /* Guards against prefilling a shared segment again although an engine has prefilled it for another entry. */
     @Example
-    void partsThatTheOthersSentAreFetched() {
+    void segmentsOfPromptsFromOtherEntriesAreFetched() {
         DirectFixture entry = entry();
         entry.reportLoad(EntryLoad.newBuilder()
                 .addSent(SentPrompt.newBuilder()
@@ -144,7 +146,7 @@
     }
 
     @Example
-    void anIncompleteWordOfAPromptChangesNothing() {
+    void anInvalidReportOfAPromptIsIgnored() {
         DirectFixture entry = entry();
         entry.reportLoad(EntryLoad.newBuilder()
                 .addSent(SentPrompt.newBuilder().setUpstream("p0").addParts("shared"))
@@ -156,9 +158,9 @@
         assertThat(entry.lastSent().request.headers().contains("Parts-From")).isFalse();
     }
 
-    /** Guards against entries that each pay a request to learn what another one was told by an upstream. */
+    /** Guards against each entry spending a request to learn what an upstream has stated to another entry. */
     @Example
-    void whatUpstreamsAskForIsTold() {
+    void limitsAndPausesOfUpstreamsAreReported() {
         DirectFixture entry = new DirectFixture(DirectFixture.route(RequestKind.NON_IDEMPOTENT, 1, false))
                 .becomeReady()
                 .addUpstream("u1", Role.ROLE_MIXED);
@@ -169,17 +171,17 @@
         first.respondHead(503, "Not-Run", "1", "Rest", "3000", "Limit", "2.5");
         first.handler.onComplete();
         entry.lastSent().respondHead(200, "Seal", "s", "Leaving", "1");
-        told(entry);
+        sentReports(entry);
         entry.advance(150);
-        EntryLoad told = told(entry).getLast();
-        assertThat(told.getLimits(0).getPerSecond()).isEqualTo(2.5);
-        assertThat(told.getDemands(0).getCallsPerSecond()).isPositive();
-        assertThat(told.getRests(0).getLeftUs()).isBetween(2_700_000L, 3_000_000L);
-        assertThat(told.getLeavingList()).containsExactly("u1");
+        EntryLoad reports = sentReports(entry).getLast();
+        assertThat(reports.getLimits(0).getPerSecond()).isEqualTo(2.5);
+        assertThat(reports.getDemands(0).getCallsPerSecond()).isPositive();
+        assertThat(reports.getRests(0).getLeftUs()).isBetween(2_700_000L, 3_000_000L);
+        assertThat(reports.getLeavingList()).containsExactly("u1");
     }
 
     @Example
-    void whatAnUpstreamAskedOfAnotherEntryIsTaken() {
+    void limitsAndShutdownsReportedByAnotherEntryApply() {
         DirectFixture entry = new DirectFixture(DirectFixture.route(RequestKind.NON_IDEMPOTENT, 1, false))
                 .becomeReady()
                 .addUpstream("u1", Role.ROLE_MIXED)
--- a/src/test/java/org/cuminshelf/direct/PrefixCacheTrackerTest.java
+++ b/src/test/java/org/cuminshelf/direct/PrefixCacheTrackerTest.java
@@ -5,13 +5,13 @@
 import java.util.List;
 import net.jqwik.api.Example;
 
-/** What an engine probably still holds. */
+/** Tests which segments are assumed to be in an engine's prefix cache. */
 class PrefixCacheTrackerTest {
 
     private final PrefixCacheTracker cache = new PrefixCacheTracker();
 
     @Example
-    void aPartCountsOnlyIfAllBeforeItAreHeld() {
+    void aSegmentCountsOnlyIfAllSegmentsBeforeItAreCached() {
         cache.recordPrompt(List.of(new PromptSegment("b", 20)), 0);
         List<PromptSegment> prompt = List.of(new PromptSegment("a", 10), new PromptSegment("b", 20));
         assertThat(cache.cachedPrefixTokens(prompt)).isZero();
@@ -20,32 +20,32 @@
     }
 
     /*
-     * Long prompts take half as long again as expected: the engine dropped their shared parts for newer ones long ago,
-     * while the entry still counts them as held.
+     * Guards against long prompts taking half as long again as expected: the engine evicted their shared segments long
+     * ago, while the entry still counted them as cached.
      */
     @Example
-    void aPartIsForgottenOnceTheMemoryWasFilledByOthers() {
+    void aSegmentIsEvictedOnceOthersHaveFilledTheMemory() {
         cache.setCapacityTokens(1_000);
-        List<PromptSegment> subject = List.of(new PromptSegment("subject", 400));
-        cache.recordPrompt(subject, 0);
+        List<PromptSegment> sharedPrompt = List.of(new PromptSegment("subject", 400));
+        cache.recordPrompt(sharedPrompt, 0);
         for (int index = 0; index < 6; index++) {
             cache.recordPrompt(List.of(new PromptSegment("own" + index, 100)), 0);
         }
-        assertThat(cache.cachedPrefixTokens(subject)).isEqualTo(400);
+        assertThat(cache.cachedPrefixTokens(sharedPrompt)).isEqualTo(400);
         for (int index = 6; index < 17; index++) {
             cache.recordPrompt(List.of(new PromptSegment("own" + index, 100)), 0);
         }
-        assertThat(cache.cachedPrefixTokens(subject)).isZero();
+        assertThat(cache.cachedPrefixTokens(sharedPrompt)).isZero();
     }
 
     @Example
-    void aPartThatIsUsedAgainStays() {
+    void aSegmentThatIsUsedAgainStaysCached() {
         cache.setCapacityTokens(1_000);
-        List<PromptSegment> subject = List.of(new PromptSegment("subject", 400));
+        List<PromptSegment> sharedPrompt = List.of(new PromptSegment("subject", 400));
         for (int index = 0; index < 40; index++) {
             cache.recordPrompt(List.of(new PromptSegment("own" + index, 100)), 0);
-            cache.recordPrompt(subject, 0);
+            cache.recordPrompt(sharedPrompt, 0);
         }
-        assertThat(cache.cachedPrefixTokens(subject)).isEqualTo(400);
+        assertThat(cache.cachedPrefixTokens(sharedPrompt)).isEqualTo(400);
     }
 }
--- a/src/test/java/org/cuminshelf/direct/ServiceRetryBudgetTest.java
+++ b/src/test/java/org/cuminshelf/direct/ServiceRetryBudgetTest.java
@@ -5,15 +5,15 @@
 import net.jqwik.api.Example;
 import org.cuminshelf.core.Durations;
 
-/** How often an entry may send requests once more. */
+/** Tests the limit on retries. */
 class ServiceRetryBudgetTest {
 
     /*
-     * All upstreams of a zone fail at once, every request is sent once more by every entry, and what is left falls
-     * over. The entries together must stay within one sum over any window.
+     * Guards against a retry storm: all upstreams of a zone fail at once, every entry retries every request, and the
+     * remaining upstreams are overloaded. All entries together must stay within one limit in any window.
      */
     @Example
-    void entriesTogetherStayWithinTheSumInAnyWindow() {
+    void allEntriesTogetherStayWithinTheLimitInAnyWindow() {
         int entries = 5;
         int granted = 0;
         for (int entry = 0; entry < entries; entry++) {
@@ -29,7 +29,7 @@
     }
 
     @Example
-    void anOldWindowIsForgotten() {
+    void retriesBeforeTheWindowDoNotCount() {
         ServiceRetryBudget budget = new ServiceRetryBudget(new RetryLimits(0, 10, 10_000));
         long now = 0;
         while (budget.tryAcquire(now, "s", 1)) {
--- a/src/test/java/org/cuminshelf/direct/SharedPrefixLocationsTest.java
+++ b/src/test/java/org/cuminshelf/direct/SharedPrefixLocationsTest.java
@@ -11,54 +11,56 @@
 import net.jqwik.api.constraints.IntRange;
 import org.cuminshelf.message.Role;
 
-/** Where shared parts are believed to be, and from where they are fetched. */
+/** Tests where the shared prefix of a prompt is assumed to be cached, and from where it is fetched. */
 class SharedPrefixLocationsTest {
 
     private static final GenerationShape SHAPE = new GenerationShape(
             "m", 9_000, 100, List.of(new PromptSegment("subject", 5_000), new PromptSegment("own", 4_000)));
 
     @Property(seed = "11")
-    void aSourceIsAnotherEngineThatHoldsMoreThanIsKnownOfTheOwn(
-            @ForAll @IntRange(min = 1, max = 12) int engines, @ForAll @IntRange(max = 0xFFF) int holders) {
+    void aSourceIsAnotherEngineThatHasCachedMoreOfThePrefix(
+            @ForAll @IntRange(min = 1, max = 12) int engines, @ForAll @IntRange(max = 0xFFF) int cachingEngines) {
         List<UpstreamInstance> rows = rows(engines, engines / 3);
         for (int index = 0; index < engines; index++) {
-            if ((holders >> index & 1) == 1) {
+            if ((cachingEngines >> index & 1) == 1) {
                 rows.get(index).promptCache.recordPrompt(SHAPE.segments().subList(0, 1), 0);
             }
         }
         SharedPrefixLocations shared = SharedPrefixLocations.of(SHAPE, rows, 0);
         for (UpstreamInstance row : rows) {
             Optional<UpstreamInstance> source = shared.sourceFor(row);
-            int known = row.promptCache.cachedPrefixTokens(SHAPE.segments());
+            int cachedTokens = row.promptCache.cachedPrefixTokens(SHAPE.segments());
             assertThat(source).isNotEqualTo(Optional.of(row));
-            source.ifPresent(other -> assertThat(shared.tokensCachedBy(other)).isGreaterThan(known));
-            boolean elsewhere =
-                    rows.stream().anyMatch(other -> other != row && shared.tokensCachedBy(other) >= known + 256);
-            assertThat(source.isPresent()).isEqualTo(elsewhere);
+            source.ifPresent(other -> assertThat(shared.tokensCachedBy(other)).isGreaterThan(cachedTokens));
+            boolean hasSource =
+                    rows.stream().anyMatch(other -> other != row && shared.tokensCachedBy(other) >= cachedTokens + 256);
+            assertThat(source.isPresent()).isEqualTo(hasSource);
             assertThat(shared.tokensAvailableTo(row)).isBetween(shared.tokensCachedBy(row), 5_000);
         }
     }
 
     /*
-     * A subject's parts are read again by every engine after one of them left: another home is chosen for all subjects.
+     * Guards against all engines prefilling the shared prefixes again after one of them left, because another home
+     * engine was selected for every prefix.
      */
     @Example
-    void onlySubjectsOfTheEngineThatLeftGetAnotherHome() {
+    void onlyPrefixesOfTheRemovedEngineGetAnotherHomeEngine() {
         List<UpstreamInstance> before = rows(9, 3);
         List<UpstreamInstance> after = before.subList(0, 8);
-        int moved = 0;
-        for (int subject = 0; subject < 200; subject++) {
-            String old = home(subject, before);
-            moved += old.equals(before.get(8).id) ? 1 : 0;
-            assertThat(home(subject, after)).matches(now -> old.equals(before.get(8).id) || now.equals(old));
+        int movedPrefixes = 0;
+        for (int prefix = 0; prefix < 200; prefix++) {
+            String previousHome = homeEngine(prefix, before);
+            movedPrefixes += previousHome.equals(before.get(8).id) ? 1 : 0;
+            assertThat(homeEngine(prefix, after))
+                    .matches(now -> previousHome.equals(before.get(8).id) || now.equals(previousHome));
         }
-        // Six engines generate; the one that left was the home of about a sixth.
-        assertThat(moved).isBetween(15, 55);
+        // Six engines generate; the removed one was the home engine of about a sixth of the prefixes.
+        assertThat(movedPrefixes).isBetween(15, 55);
     }
 
-    private static String home(int subject, List<UpstreamInstance> rows) {
+    private static String homeEngine(int prefix, List<UpstreamInstance> rows) {
         GenerationShape shape = new GenerationShape(
-                "m", 100, 1, List.of(new PromptSegment("subject" + subject, 50), new PromptSegment("own", 50)));
+                "m", 100, 1, List.of(new PromptSegment("subject" + prefix, 50), new PromptSegment("own", 50)));
         SharedPrefixLocations shared = SharedPrefixLocations.of(shape, rows, 0);
         return rows.stream().filter(shared::isHomeOfStreams).findFirst().orElseThrow().id;
     }
--- a/src/test/java/org/cuminshelf/direct/SizeFairnessTest.java
+++ b/src/test/java/org/cuminshelf/direct/SizeFairnessTest.java
@@ -9,17 +9,17 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
 
-/** Shares of large and usual prompts under a load of which a part is refused. */
+/** Tests the answered shares of large and usual prompts under a load of which a part is refused. */
 class SizeFairnessTest {
 
     private static final int CALLS = 6_000;
-    private static final double LARGEST = 0.9;
+    private static final double LARGEST_RANK = 0.9;
 
-    /** Share answered of all calls and of the largest tenth. */
+    /** Answered share of all calls and of the largest tenth. */
     private record Shares(double all, double largest) {}
 
-    /** Plays calls of heavy-tailed sizes; what is above a size is refused unless it is owed. */
-    private static Shares play(long seed, double fitting, boolean fair) {
+    /** Runs calls of heavy-tailed sizes; calls above a size are refused unless their group has credit. */
+    private static Shares run(long seed, double admittedShare, boolean withFairness) {
         UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
         SizeFairness fairness = new SizeFairness();
         int answered = 0;
@@ -29,64 +29,64 @@
             double rank = random.nextDouble();
             double size = 1_000 * Math.pow(1 - rank, -0.7);
             SizeFairness.Claim claim = fairness.register("r", size);
-            boolean sent = rank < fitting || fair && claim.hasCredit();
+            boolean sent = rank < admittedShare || withFairness && claim.hasCredit();
             if (sent) {
                 claim.onSent();
             }
             claim.onEnded(sent);
             answered += sent ? 1 : 0;
-            large += rank >= LARGEST ? 1 : 0;
-            largeAnswered += sent && rank >= LARGEST ? 1 : 0;
+            large += rank >= LARGEST_RANK ? 1 : 0;
+            largeAnswered += sent && rank >= LARGEST_RANK ? 1 : 0;
         }
         return new Shares((double) answered / CALLS, (double) largeAnswered / large);
     }
 
     /*
-     * The dealer with the longest vehicle history never gets a draft on a busy morning: each time there is more work
-     * than engines, and the largest prompts, worth less than the time they take, are the ones refused.
+     * Guards against refusing all of the largest prompts: whenever there is more work than the engines can do, their
+     * answers are worth less than the engine time that they take.
      */
     @Property(tries = 60, seed = "31")
     void theLargestAreAnsweredMoreThanHalfAsOftenAsAll(
-            @ForAll long seed, @ForAll @DoubleRange(min = 0.2, max = 0.9) double fitting) {
-        assertThat(play(seed, fitting, false).largest()).isZero();
-        Shares shares = play(seed, fitting, true);
+            @ForAll long seed, @ForAll @DoubleRange(min = 0.2, max = 0.9) double admittedShare) {
+        assertThat(run(seed, admittedShare, false).largest()).isZero();
+        Shares shares = run(seed, admittedShare, true);
         assertThat(shares.largest()).isGreaterThan(0.55 * shares.all());
     }
 
-    /* The other side of it: large prompts take all there is, and the usual ones are refused for them. */
+    /* Guards against the opposite: large prompts using all engine time, and usual ones refused for them. */
     @Property(tries = 60, seed = "32")
     void theLargestAreNotPreferredToTheOthers(
-            @ForAll long seed, @ForAll @DoubleRange(min = 0.2, max = 0.9) double fitting) {
-        Shares shares = play(seed, fitting, true);
+            @ForAll long seed, @ForAll @DoubleRange(min = 0.2, max = 0.9) double admittedShare) {
+        Shares shares = run(seed, admittedShare, true);
         assertThat(shares.largest()).isLessThan(shares.all());
     }
 
     /*
-     * Engines are lost for half a minute and all large prompts are refused. Once the engines are back, what was refused
-     * is gone with its callers: making up for it would delay those who ask now.
+     * Guards against delaying current calls to compensate for an outage: engines fail for half a minute and all large
+     * prompts are refused. Once the engines are back, the refused callers are gone.
      */
     @Example
-    void whatALongOutageRefusedIsNotMadeUpFor() {
+    void callsRefusedInALongOutageAreNotCompensated() {
         SizeFairness fairness = new SizeFairness();
         for (int call = 0; call < 400; call++) {
             fairness.register("r", 1 + call % 100).onEnded(call % 2 == 0);
         }
-        int owed = 0;
+        int withCredit = 0;
         for (int call = 0; call < 100; call++) {
             SizeFairness.Claim claim = fairness.register("r", 1_000);
-            owed += claim.hasCredit() ? 1 : 0;
+            withCredit += claim.hasCredit() ? 1 : 0;
             claim.onSent();
             claim.onEnded(true);
         }
-        assertThat(owed).isBetween(3, 16);
+        assertThat(withCredit).isBetween(3, 16);
     }
 
     /*
-     * Counter staff wait for short replies: each time callers come in a burst, large prompts that are late anyway are
-     * sent first, though all of them were answered until then. What they got before counts, up to a bound.
+     * Guards against delaying short replies: with each burst, large prompts that are late anyway were sent first,
+     * although all of them had been answered until then. Earlier answers count against the credit, up to a bound.
      */
     @Example
-    void aShortBurstSendsNoLargeCallsWhereTheyWereAnsweredBefore() {
+    void aShortBurstSendsNoLargeCallsIfTheyWereAnsweredBefore() {
         SizeFairness fairness = new SizeFairness();
         for (int call = 0; call < 300; call++) {
             SizeFairness.Claim claim = fairness.register("r", 1 + call % 100);
@@ -104,7 +104,7 @@
     }
 
     @Example
-    void whatWasSentInVainIsOwedAgain() {
+    void theCreditOfACallThatWasNotAnsweredIsReturned() {
         SizeFairness fairness = new SizeFairness();
         for (int call = 0; call < 100; call++) {
             fairness.register("r", call).onEnded(true);
--- a/src/test/java/org/cuminshelf/direct/StartupRequestQueueTest.java
+++ b/src/test/java/org/cuminshelf/direct/StartupRequestQueueTest.java
@@ -10,19 +10,19 @@
 import org.cuminshelf.organisations.RequestApiKeys;
 import org.eclipse.jetty.http.HttpFields;
 
-/** What waits for a starting entry. */
+/** Tests the requests that wait for a starting entry. */
 class StartupRequestQueueTest {
 
     private static final CallIntent INTENT =
             new CallIntent("id", OptionalLong.of(8_000), Optional.empty(), OptionalLong.empty(), RequestApiKeys.none());
-    private final StartupRequestQueue early = new StartupRequestQueue();
+    private final StartupRequestQueue queue = new StartupRequestQueue();
 
     /*
-     * An entry runs out of memory at its start and is started again and again: callers with large bodies wait for it,
-     * more of them each time.
+     * Guards against an entry that runs out of memory at its start and restarts repeatedly: callers with large bodies
+     * wait for it, more of them each time.
      */
     @Example
-    void noMoreBytesWaitThanTheEntryHasRoomFor() {
+    void theWaitingBodiesAreBounded() {
         byte[] large = new byte[4 << 20];
         DirectFixture.CallerResponse first = new DirectFixture.CallerResponse();
         assertThat(add(first, large)).isTrue();
@@ -30,22 +30,22 @@
             assertThat(add(new DirectFixture.CallerResponse(), large)).isTrue();
         }
         assertThat(add(new DirectFixture.CallerResponse(), large)).isFalse();
-        assertThat(early.remove(first)).isTrue();
+        assertThat(queue.remove(first)).isTrue();
         assertThat(add(new DirectFixture.CallerResponse(), large)).isTrue();
-        assertThat(early.drain()).hasSize(4);
+        assertThat(queue.drain()).hasSize(4);
         assertThat(add(new DirectFixture.CallerResponse(), large)).isTrue();
     }
 
     @Example
-    void aRequestIsOverdueOnceItWaitedLongEnough() {
+    void aRequestExpiresAfterItsMaximumWait() {
         add(new DirectFixture.CallerResponse(), new byte[0]);
-        assertThat(early.pollExpired(Durations.nanos(1_400))).isEmpty();
-        assertThat(early.pollExpired(Durations.nanos(1_600))).isPresent();
-        assertThat(early.size()).isZero();
+        assertThat(queue.pollExpired(Durations.nanos(1_400))).isEmpty();
+        assertThat(queue.pollExpired(Durations.nanos(1_600))).isPresent();
+        assertThat(queue.size()).isZero();
     }
 
     private boolean add(DirectFixture.CallerResponse caller, byte[] body) {
         ReceivedRequest request = new ReceivedRequest("POST", "/a/b", HttpFields.EMPTY, body);
-        return early.add(0, request, caller, INTENT, 8_000);
+        return queue.add(0, request, caller, INTENT, 8_000);
     }
 }
--- a/src/test/java/org/cuminshelf/direct/UpstreamSelectorTest.java
+++ b/src/test/java/org/cuminshelf/direct/UpstreamSelectorTest.java
@@ -10,15 +10,15 @@
 import org.cuminshelf.message.Role;
 import org.cuminshelf.routes.RequestKind;
 
-/** Where requests go under the load patterns of the first users. */
+/** Tests which upstream is selected under the load patterns of the first deployments. */
 class UpstreamSelectorTest {
 
-    /** Milliseconds after which no request waits at the entry any more. */
-    private static final long PATIENCE_OVER = 200;
+    /** Milliseconds after which no request waits in the admission queue any more. */
+    private static final long MAX_QUEUE_MILLIS = 200;
 
     private static DirectFixture fleet(int prefill, int decode) {
         DirectFixture entry = new DirectFixture(DirectFixture.route(RequestKind.STREAM, 1, false)).becomeReady();
-        // Long after its start: a young entry waits for upstreams that it has not heard of.
+        // An entry that has just started queues calls for upstreams that it has not discovered yet.
         entry.advance(5_000);
         for (int index = 0; index < prefill; index++) {
             entry.addUpstream("p" + index, Role.ROLE_PREFILL);
@@ -26,7 +26,7 @@
         for (int index = 0; index < decode; index++) {
             entry.addUpstream("d" + index, Role.ROLE_DECODE);
         }
-        // Engines that read 85 tokens a millisecond, half as many beside streams.
+        // Engines that prefill 85 tokens per millisecond, and half as many beside streams.
         if (prefill > 0) {
             entry.reportPrefillTimes("p0", Role.ROLE_PREFILL, 5, 1_000 / 85.0);
         }
@@ -35,31 +35,32 @@
     }
 
     /*
-     * Streams pause for longer than callers bear: a burst of prompts is taken in by the engines that generate, in
-     * between their tokens. Only a little may wait there; the rest goes to the engines kept for prompts.
+     * Guards against stream pauses that exceed the limit of callers: engines that generate prefill a burst of prompts
+     * between the tokens of their streams. Only a short backlog is allowed there; the other prompts go to the prefill
+     * engines.
      */
     @Example
-    void aBurstOfPromptsLeavesTheEnginesThatGenerateNearlyFree() {
+    void aBurstOfPromptsLeavesEnginesThatGenerateNearlyIdle() {
         DirectFixture entry = fleet(2, 2);
         for (int index = 0; index < 12; index++) {
-            pausingStream(entry, "s" + index);
+            streamWithPause(entry, "s" + index);
         }
         entry.sentRequests.clear();
         for (int index = 0; index < 60; index++) {
             entry.sendRequest("r" + index, "Tokens", "2000");
         }
-        entry.advance(PATIENCE_OVER);
+        entry.advance(MAX_QUEUE_MILLIS);
         Map<String, Integer> counts = new HashMap<>();
         entry.sentRequests.forEach(sent -> counts.merge(sent.upstream, 1, Integer::sum));
         assertThat(counts.getOrDefault("d0", 0)).isLessThanOrEqualTo(2);
         assertThat(counts.getOrDefault("d1", 0)).isLessThanOrEqualTo(2);
-        // 2,000 tokens take 24 ms, so that some seven of them make 150 ms for the next.
+        // 2,000 tokens take 24 ms, so about seven of them are a queue of 150 ms for the next.
         assertThat(counts.get("p0")).isBetween(6, 9);
         assertThat(counts.get("p1")).isBetween(6, 9);
     }
 
-    /** A stream that pauses for nearly as long as callers bear. */
-    private static void pausingStream(DirectFixture entry, String id) {
+    /** Runs a stream with a pause that is nearly as long as callers accept. */
+    private static void streamWithPause(DirectFixture entry, String id) {
         entry.sendRequest(id, "Tokens", "20");
         DirectFixture.SentRequest sent = entry.lastSent();
         sent.respondSealedHead(200);
@@ -71,28 +72,28 @@
     }
 
     /*
-     * Every answer is late though engines are as busy as they can be: each prompt is taken in after half a second of
-     * others. What would wait for longer than 150 ms is refused once a short wait did not help.
+     * Guards against late answers from fully used engines, where each prompt is prefilled after half a second of
+     * others. A prompt that would wait for longer than 150 ms is refused after a short wait.
      */
     @Example
-    void aPromptThatWouldWaitForManyOthersIsRefused() {
+    void aPromptThatWouldWaitTooLongIsRefused() {
         DirectFixture entry = fleet(1, 1);
         DirectFixture.CallerResponse answer = entry.sendRequest("r", "Tokens", "4000");
         for (int index = 0; index < 20 && answer.status == 0; index++) {
             answer = entry.sendRequest("r" + index, "Tokens", "4000");
         }
-        entry.advance(PATIENCE_OVER);
+        entry.advance(MAX_QUEUE_MILLIS);
         assertThat(answer.status).isEqualTo(503);
         assertThat(entry.sentRequests).hasSizeBetween(3, 6);
         assertThat(answer.headers.get("Retry-After")).isNotNull();
     }
 
     /*
-     * The engine that holds the shared part of a subject is busy, so the next request of the subject goes to another,
-     * which reads the same 5,000 tokens again for 60 ms instead of fetching them in 10.
+     * The engine that has cached the shared segment is busy, so the next request with that segment goes to another
+     * engine. It must not prefill the same 5,000 tokens again in 60 ms, but fetch them in 10.
      */
     @Example
-    void anEngineFetchesTheSharedPartsThatItLacksFromTheOneThatHoldsThem() {
+    void anEngineFetchesMissingSharedSegmentsFromTheEngineThatHasCachedThem() {
         DirectFixture entry = fleet(2, 1);
         entry.sendRequest("warm", "Tokens", "100", "Shared", "10");
         entry.sendRequest("first", "Tokens", "6000", "Shared", "5000");
@@ -110,11 +111,12 @@
     }
 
     /*
-     * An answer comes 0.5 s late: its engine was to fetch the shared part from another, which had not read it yet, and
-     * had to read all of it. A part that is still being read is no source for others.
+     * Guards against an answer that is 0.5 s late because its engine was told to fetch a shared segment from another
+     * one that had not prefilled it yet, and had to prefill all of it. A segment that is still being prefilled is no
+     * source for other engines.
      */
     @Example
-    void aPartThatIsStillBeingReadIsNotFetched() {
+    void aSegmentThatIsStillBeingPrefilledIsNotFetched() {
         DirectFixture entry = fleet(2, 1);
         entry.sendRequest("first", "Tokens", "6000", "Shared", "5000");
         String first = entry.lastSent().upstream;
@@ -127,11 +129,11 @@
     }
 
     /*
-     * The same 5,000 tokens of a subject are read again by every engine. Requests of one subject keep to one engine as
-     * long as it is not late there.
+     * Guards against every engine prefilling the same 5,000 shared tokens. Requests with a common prefix go to one
+     * engine as long as they are not late there.
      */
     @Example
-    void requestsOfOneSubjectKeepToOneEngineWhileItIsNotLate() {
+    void requestsWithACommonPrefixGoToOneEngineWhileTheyAreInTime() {
         DirectFixture entry = fleet(4, 1);
         entry.sendRequest("warm", "Tokens", "100");
         entry.sendRequest("r0", "Tokens", "6000", "Shared", "5000");
@@ -141,11 +143,11 @@
     }
 
     /*
-     * Streams are refused for want of places while engines for prompts are idle: each short prompt is taken in by an
-     * engine that generates, delays all its streams for twice the time, and their places come free later.
+     * Guards against streams refused for lack of slots while prefill engines are idle: each short prompt is prefilled
+     * by an engine that generates, delays all its streams for twice the time, and their slots are released later.
      */
     @Example
-    void aShortPromptKeepsOffAnEngineCrowdedWithStreams() {
+    void aShortPromptAvoidsAnEngineWithManyStreams() {
         DirectFixture entry = fleet(1, 1);
         for (int index = 0; index < 4; index++) {
             entry.sendRequest("r" + index, "Tokens", "900");
@@ -158,11 +160,12 @@
     }
 
     /*
-     * Shared parts are read over and over: engines in the prefill role drop them within seconds, and each stream goes
-     * on at another engine, so that none of those that have room for the parts holds them when they are next asked for.
+     * Guards against prefilling shared segments again and again: prefill engines evict them within seconds, and if each
+     * stream continued at a different engine, none of the engines with enough memory would have cached them for the
+     * next request.
      */
     @Example
-    void streamsOfOneSubjectGoOnAtTheSameEngine() {
+    void streamsWithACommonPrefixContinueAtTheSameEngine() {
         DirectFixture entry = fleet(1, 4);
         Set<String> engines = new HashSet<>();
         for (int index = 0; index < 4; index++) {
@@ -175,18 +178,18 @@
     }
 
     /*
-     * Engines put running requests back and read their prompts again, and all streams slow down, long after a burst:
-     * more streams were sent to them than they have places. What has no place is refused at once, with a time to come
-     * back.
+     * Guards against sending more streams to engines than they have slots: engines then preempt running requests and
+     * prefill their prompts again, and all streams slow down until long after a burst. A stream without a slot is
+     * refused with a time to retry.
      */
     @Example
-    void moreStreamsThanThereArePlacesAreRefusedWithATimeToComeBack() {
+    void streamsBeyondTheAvailableSlotsAreRefusedWithARetryTime() {
         DirectFixture entry = fleet(1, 1);
         DirectFixture.CallerResponse answer = entry.sendRequest("r", "Tokens", "100");
         for (int index = 0; index < 20; index++) {
             answer = entry.sendRequest("r" + index, "Tokens", "100");
         }
-        entry.advance(PATIENCE_OVER);
+        entry.advance(MAX_QUEUE_MILLIS);
         long onDecode = entry.sentRequests.stream()
                 .filter(sent -> sent.upstream.equals("d0"))
                 .count();
@@ -196,16 +199,16 @@
                 .forEach(sent -> sent.respondSealedHead(200));
         assertThat(answer.status).isIn(0, 503);
         DirectFixture.CallerResponse last = entry.sendRequest("last", "Tokens", "100");
-        entry.advance(PATIENCE_OVER);
+        entry.advance(MAX_QUEUE_MILLIS);
         assertThat(last.headers.get("Retry-After")).isEqualTo("1.0");
     }
 
     /*
-     * Requests come in clumps: for a few milliseconds there is no place for one more stream, and what came then was
-     * refused, though the next place came free 20 ms later.
+     * Guards against refusals during clustered arrivals: for a few milliseconds there is no free slot, although the
+     * next one is released 20 ms later.
      */
     @Example
-    void aStreamWaitsAMomentForAPlace() {
+    void aStreamWaitsBrieflyForASlot() {
         DirectFixture entry = fleet(0, 1);
         for (int index = 0; index < 6; index++) {
             entry.sendRequest("r" + index, "Tokens", "10");
@@ -221,11 +224,11 @@
     }
 
     /*
-     * A caller loses the half of a stream that it has: its engine died, and as all places of the others were taken, it
-     * was refused like a new request.
+     * Guards against losing a stream that the caller has received in part: its engine failed, and because all slots of
+     * the other engines were in use, it was refused like a new request.
      */
     @Example
-    void aStreamThatHasBegunGoesOnThoughAllPlacesAreTaken() {
+    void aStreamThatHasBegunContinuesAlthoughAllSlotsAreInUse() {
         DirectFixture entry = new DirectFixture(DirectFixture.route(RequestKind.STREAM, 2, true)).becomeReady();
         entry.addUpstream("d0", Role.ROLE_DECODE);
         DirectFixture.CallerResponse answer = entry.sendRequest("first", "Tokens", "100");
@@ -242,12 +245,12 @@
     }
 
     @Example
-    void withoutEnginesForPromptsTheOthersTakeThemAll() {
+    void withoutPrefillEnginesTheOtherEnginesPrefillAllPrompts() {
         DirectFixture entry = fleet(0, 2);
         for (int index = 0; index < 6; index++) {
             entry.sendRequest("r" + index, "Tokens", "2000");
         }
-        entry.advance(PATIENCE_OVER);
+        entry.advance(MAX_QUEUE_MILLIS);
         assertThat(entry.sentRequests).hasSize(6);
     }
 }
--- a/src/test/java/org/cuminshelf/direct/UsageMeterTest.java
+++ b/src/test/java/org/cuminshelf/direct/UsageMeterTest.java
@@ -17,7 +17,7 @@
 import org.cuminshelf.organisations.Organisations;
 import org.cuminshelf.routes.RequestKind;
 
-/** Which calls an entry counts for the usage of organisations. */
+/** Tests which calls an entry counts for the usage of organisations. */
 class UsageMeterTest {
 
     private static final Organisations ACME =
@@ -38,22 +38,22 @@
         return entry;
     }
 
-    /** What the entry tells of usage next. */
-    private static Subscribe told(DirectFixture entry) {
+    /** Returns the next message with usage counts to control. */
+    private static Subscribe nextReport(DirectFixture entry) {
         entry.out.take(Envelope::hasSubscribe);
         entry.advance(600);
         return entry.out.take(Envelope::hasSubscribe).getFirst().getSubscribe();
     }
 
     private static int counted(DirectFixture entry) {
-        return told(entry).getUsageList().stream()
+        return nextReport(entry).getUsageList().stream()
                 .flatMap(window -> window.getCountsList().stream())
                 .mapToInt(OrganisationCount::getCount)
                 .sum();
     }
 
     @Example
-    void aStreamCountsOnceItShowedItsFirstEvent() {
+    void aStreamCountsOnceItsFirstEventArrives() {
         DirectFixture entry = entry(RequestKind.STREAM);
         entry.sendRequest("x", "Key", "k");
         assertThat(counted(entry)).isZero();
@@ -62,9 +62,9 @@
         assertThat(counted(entry)).isEqualTo(1);
     }
 
-    /* An organisation is charged twice for one call, as its stream broke and went on at another upstream. */
+    /* Guards against charging an organisation twice for a call whose stream broke and continued at another upstream. */
     @Example
-    void aStreamThatGoesOnElsewhereCountsOnce() {
+    void aStreamThatContinuesElsewhereCountsOnce() {
         DirectFixture entry = entry(RequestKind.STREAM);
         entry.sendRequest("x", "Key", "k");
         entry.lastSent().respondSealedHead(200);
@@ -88,7 +88,7 @@
         assertThat(counted(entry)).isEqualTo(1);
     }
 
-    /* Usage is too low by the calls whose answers were lost: they ran all the same. */
+    /* Guards against omitting calls whose answers were lost: they ran nevertheless. */
     @Example
     void aPlainCallWhoseAnswerWasLostCounts() {
         DirectFixture entry = entry(RequestKind.NON_IDEMPOTENT);
@@ -97,17 +97,17 @@
         assertThat(counted(entry)).isEqualTo(1);
     }
 
-    /* Control was told and says so: the next word leaves out what it has, until a window that stands is forgotten. */
+    /* Control acknowledges a report, and the next report omits the acknowledged counts. */
     @Example
-    void onlyWhatControlHasNotHeardIsToldAgain() {
+    void onlyUnacknowledgedCountsAreReportedAgain() {
         DirectFixture entry = entry(RequestKind.IDEMPOTENT);
         entry.sendRequest("x", "Key", "k");
         entry.lastSent().respond(200, "done");
-        Subscribe first = told(entry);
+        Subscribe first = nextReport(entry);
         assertThat(first.getUsageCount()).isEqualTo(1);
-        assertThat(told(entry).getUsageCount()).isEqualTo(1);
+        assertThat(nextReport(entry).getUsageCount()).isEqualTo(1);
         entry.sendUpdate(Update.newBuilder().setVoter(true).setConfigVersion(7).setUsageHeard(first.getUsageVersion()));
-        assertThat(told(entry).getUsageCount()).isZero();
+        assertThat(nextReport(entry).getUsageCount()).isZero();
         assertThat(first.getUsageUntil()).isLessThanOrEqualTo(first.getUsage(0).getWindow());
     }
 }
