--- a/src/main/java/org/cuminshelf/direct/AdmissionControl.java
+++ b/src/main/java/org/cuminshelf/direct/AdmissionControl.java
@@ -87,7 +87,7 @@
     }
 
     private Decision decideWithoutUpstream(long now, DirectCall call) {
-        OptionalLong next = selector.nextSend(now, call);
+        OptionalLong next = selector.nextSendAt(now, call);
         if (next.isPresent()) {
             return decideLimited(now, call, next.getAsLong());
         }
--- a/src/main/java/org/cuminshelf/direct/KvCacheHandle.java
+++ b/src/main/java/org/cuminshelf/direct/KvCacheHandle.java
@@ -3,7 +3,7 @@
 import org.cuminshelf.core.Address;
 
 /**
- * Reference to a KV cache that an engine retains until another engine fetches it, once.
+ * Reference to a KV cache that an engine retains for another engine, which can fetch it once.
  *
  * @param engine address of the engine that retains it
  * @param handle its identifier at that engine
--- a/src/main/java/org/cuminshelf/direct/SizeFairness.java
+++ b/src/main/java/org/cuminshelf/direct/SizeFairness.java
@@ -29,8 +29,8 @@
     private static final double MAX_CREDIT_CALLS = 3;
     /**
      * Maximum debt of a group in calls: calls sent while engines were idle count against it in a burst of some 10 s.
-     * With one call, each burst sent large prompts when they delay others most: eight heavy days of six engines were
-     * worth 0.02 less than without any share, and the same as without it with five or six calls.
+     * With one call, each burst sent large prompts when they delay others most, and eight heavy days of six engines
+     * were worth 0.02 less than without any share; with five or six calls they were worth the same.
      */
     private static final double MAX_DEBT_CALLS = 5;
     /** Weight of one call in the rate of answered calls of a route: a window of about thirty calls. */
--- a/src/main/java/org/cuminshelf/direct/UpstreamSelector.java
+++ b/src/main/java/org/cuminshelf/direct/UpstreamSelector.java
@@ -21,7 +21,7 @@
 /**
  * Selects the upstream of a request.
  *
- * <p>Requests that are no generations go to the upstream with the fewest requests per slot, counted over all entries.
+ * <p>Requests other than streamed generations go to the upstream with the fewest requests per slot, counted over all entries.
  *
  * <p>Generations go where the expected cost is least: the cost of a late answer, of the engine's time, of prefilling
  * shared segments of the prompt again and of transferring KV cache. Prefill takes most of the time. An engine in the
@@ -167,10 +167,10 @@
      */
     long prefillMicros(long now, DirectCall call, GenerationShape shape) {
         values.observe(call, shape);
-        SharedPrefixLocations shared = SharedPrefixLocations.of(shape, open(now, call), now);
-        int held = shared.maxFetchableTokens();
-        double millis =
-                models.of(call.service).prefillMillis("", false, 0, held, Math.max(0, shape.promptTokens() - held));
+        SharedPrefixLocations shared = SharedPrefixLocations.of(shape, openUpstreams(now, call), now);
+        int fetchableTokens = shared.maxFetchableTokens();
+        double millis = models.of(call.service)
+                .prefillMillis("", false, 0, fetchableTokens, Math.max(0, shape.promptTokens() - fetchableTokens));
         return (long) (MICROS_PER_MILLI * millis);
     }
 
@@ -187,14 +187,14 @@
 
     private Optional<Choice> chooseByOccupancy(long now, DirectCall call) {
         UpstreamInstance best = null;
-        double bestLoad = Double.MAX_VALUE;
-        for (UpstreamInstance row : open(now, call)) {
+        double lowestLoad = Double.MAX_VALUE;
+        for (UpstreamInstance row : openUpstreams(now, call)) {
             double load = (double) row.totalAttempts() / row.slots
                     + (row.zone.equals(zone) ? 0 : 1e-3)
                     + 1e-4 * pseudoRandomFraction(row, call.number);
-            if (load < bestLoad) {
+            if (load < lowestLoad) {
                 best = row;
-                bestLoad = load;
+                lowestLoad = load;
             }
         }
         return Optional.ofNullable(best).map(row -> Choice.of(row, 0));
@@ -211,25 +211,26 @@
     /** Selects the least loaded engine to generate the answer to a prompt that another engine has prefilled. */
     private Optional<Choice> chooseForHandover(long now, DirectCall call) {
         UpstreamInstance best = null;
-        double least = Double.MAX_VALUE;
+        double lowestLoad = Double.MAX_VALUE;
         EngineLatencyModel model = models.of(call.service);
-        List<UpstreamInstance> open = open(now, call);
+        List<UpstreamInstance> open = openUpstreams(now, call);
         Optional<SharedPrefixLocations> shared =
                 call.intent.generation().map(shape -> SharedPrefixLocations.of(shape, open, now));
         for (UpstreamInstance row : open) {
             if (row.role == Role.ROLE_PREFILL) {
                 continue;
             }
-            boolean home = shared.filter(parts -> parts.isHomeOfStreams(row)).isPresent();
+            boolean isHomeEngine =
+                    shared.filter(locations -> locations.isHomeOfStreams(row)).isPresent();
             double load = memoryLoad(row, call)
-                    - (home ? HOME_ENGINE_BONUS_REQUESTS : 0)
+                    - (isHomeEngine ? HOME_ENGINE_BONUS_REQUESTS : 0)
                     + row.totalAttempts()
                     + row.pendingPrompts.waitMillis(now, model.latencyMillis(row.id, true)) / QUEUE_MILLIS_PER_REQUEST
                     + (row.zone.equals(zone) ? 0 : CROSS_ZONE_MILLIS)
                     + pseudoRandomFraction(row, call.number);
-            if (load < least) {
+            if (load < lowestLoad) {
                 best = row;
-                least = load;
+                lowestLoad = load;
             }
         }
         return Optional.ofNullable(best).map(row -> Choice.of(row, model.handoverMillis(call.promptTokens())));
@@ -240,23 +241,23 @@
      * slots, plus a large penalty if the call would not fit.
      */
     private double memoryLoad(UpstreamInstance row, DirectCall call) {
-        long capacity = cacheTokens(call);
-        if (capacity == 0) {
+        long capacityTokens = kvCacheTokens(call);
+        if (capacityTokens == 0) {
             return 0;
         }
-        int own = call.intent
+        int requestTokens = call.intent
                 .generation()
                 .map(shape -> shape.promptTokens() + shape.outputTokens())
                 .orElse(0);
-        double share = (double) (row.totalMemoryTokens() + own) / capacity;
+        double share = (double) (row.totalMemoryTokens() + requestTokens) / capacityTokens;
         return share * row.slots + (share > MAX_MEMORY_SHARE ? FULL_MEMORY_PENALTY_REQUESTS * share : 0);
     }
 
-    private long cacheTokens(DirectCall call) {
+    private long kvCacheTokens(DirectCall call) {
         return limits(call.service).map(EngineCapacity::kvCacheTokens).orElse(0L);
     }
 
-    private double tokenBytes(DirectCall call) {
+    private double kvBytesPerToken(DirectCall call) {
         return limits(call.service).map(EngineCapacity::kvBytesPerToken).orElse(0.0);
     }
 
@@ -270,8 +271,8 @@
 
     /** Returns the tokens of prompts that each engine of a service can retain beside those of running requests. */
     private long prefixCacheTokens(DirectCall call) {
-        long capacity = cacheTokens(call);
-        return capacity == 0 ? Long.MAX_VALUE : (long) (PREFIX_CACHE_SHARE * capacity);
+        long capacityTokens = kvCacheTokens(call);
+        return capacityTokens == 0 ? Long.MAX_VALUE : (long) (PREFIX_CACHE_SHARE * capacityTokens);
     }
 
     /** Records that a call was sent to the selected upstream. */
@@ -292,17 +293,17 @@
      */
     private Map<Role, Double> unreportedMillisByRole(long now, String service, List<UpstreamInstance> open) {
         UnreportedWork work = unreportedWork(service);
-        int others = Math.max(0, control.entries().size() - 1);
+        int otherEntries = Math.max(0, control.entries().size() - 1);
         Map<Role, Integer> engines = new EnumMap<>(Role.class);
         open.forEach(row -> engines.merge(row.role, 1, Integer::sum));
         Map<Role, Double> millis = new EnumMap<>(Role.class);
-        engines.forEach((role, count) ->
-                millis.put(role, work.expectedMillis(now, role, LoadGossip.minIntervalNanos(others), others, count)));
+        engines.forEach((role, count) -> millis.put(
+                role, work.expectedMillis(now, role, LoadGossip.minIntervalNanos(otherEntries), otherEntries, count)));
         return millis;
     }
 
     private Optional<Choice> chooseForPrompt(long now, DirectCall call, GenerationShape shape) {
-        List<UpstreamInstance> open = open(now, call);
+        List<UpstreamInstance> open = openUpstreams(now, call);
         boolean maySplit = call.lastEventId.isEmpty() && !call.singleEngineOnly;
         boolean hasPrefillEngines = maySplit && open.stream().anyMatch(row -> !row.generatesTokens());
         boolean hasDecodeSlot = open.stream().anyMatch(row -> row.generatesTokens() && hasFreeSlot(row, call));
@@ -310,7 +311,7 @@
         long cacheCapacityTokens = prefixCacheTokens(call);
         open.forEach(row -> row.promptCache.setCapacityTokens(cacheCapacityTokens));
         Choice best = null;
-        double least = Double.MAX_VALUE;
+        double lowestCost = Double.MAX_VALUE;
         SharedPrefixLocations shared = SharedPrefixLocations.of(shape, open, now);
         Map<Role, Double> unreportedMillis = unreportedMillisByRole(now, call.service, open);
         long callHash = LongHashFunction.xx3().hashChars(call.intent.id());
@@ -321,9 +322,9 @@
                     ? canPrefillBesideStreams(choice, call, model, hasPrefillEngines)
                     : maySplit && hasDecodeSlot;
             double cost = fits ? cost(now, choice, call, model, shape, shared) : Double.MAX_VALUE;
-            if (cost < least) {
+            if (cost < lowestCost) {
                 best = choice;
-                least = cost;
+                lowestCost = cost;
             }
         }
         prices.updateScarcity(now, call.service, open, model);
@@ -333,14 +334,16 @@
     }
 
     private Choice withNetValue(long now, Choice choice, DirectCall call, EngineLatencyModel model, GenerationShape shape) {
-        double answer = values.valueOf(call, shape) * (1 - LATE_COST * lateProbability(now, choice, call, model));
-        double time = choice.estimate.prefillMillis() * prices.perMillisecond(call.service, choice.upstream);
-        return new Choice(choice.upstream, choice.prefillOnly, choice.estimate, choice.prefixSource, answer - time);
+        double expectedValue =
+                values.valueOf(call, shape) * (1 - LATE_COST * lateProbability(now, choice, call, model));
+        double timePrice = choice.estimate.prefillMillis() * prices.perMillisecond(call.service, choice.upstream);
+        return new Choice(
+                choice.upstream, choice.prefillOnly, choice.estimate, choice.prefixSource, expectedValue - timePrice);
     }
 
     /**
-     * Returns whether an engine that also generates may prefill a prompt. Its backlog is not bounded if there is no
-     * engine in the prefill role.
+     * Returns whether an engine that also generates may prefill a prompt: it must have a free slot and, if there are
+     * engines in the prefill role, a short backlog. An idle engine always may.
      */
     private boolean canPrefillBesideStreams(Choice choice, DirectCall call, EngineLatencyModel model, boolean hasPrefillEngines) {
         UpstreamInstance row = choice.upstream;
@@ -401,7 +404,8 @@
         int ownTokens = shared.tokensCachedBy(row);
         int transferredTokens = Math.max(0, choice.estimate.cachedTokens() - ownTokens)
                 + (choice.prefillOnly ? shape.promptTokens() : 0);
-        double transferCost = transferredTokens * tokenBytes(call) / BYTES_PER_GIGABYTE * TRANSFER_COST_PER_GIGABYTE;
+        double transferCost =
+                transferredTokens * kvBytesPerToken(call) / BYTES_PER_GIGABYTE * TRANSFER_COST_PER_GIGABYTE;
         double repeatedTokensCost =
                 Math.max(0, shared.tokens() - choice.estimate.cachedTokens()) * REPEATED_PREFILL_COST_PER_TOKEN;
         double work = choice.estimate.prefillMillis() * prices.perMillisecond(call.service, row);
@@ -435,7 +439,7 @@
      * Returns the upstreams that accept a call now. An upstream that asked another entry to pause is included only if
      * all upstreams of its role did.
      */
-    private List<UpstreamInstance> open(long now, DirectCall call) {
+    private List<UpstreamInstance> openUpstreams(long now, DirectCall call) {
         List<UpstreamInstance> open = upstreams.instancesOf(call.service).stream()
                 .filter(row -> isOpen(now, row, call))
                 .toList();
@@ -475,16 +479,16 @@
      *
      * @return the time in nanoseconds; empty if an upstream is open, or if none of them limits requests
      */
-    OptionalLong nextSend(long now, DirectCall call) {
-        return nextSend(now, call, row -> !call.excludedUpstreams.contains(row.id));
+    OptionalLong nextSendAt(long now, DirectCall call) {
+        return nextSendAt(now, call, row -> !call.excludedUpstreams.contains(row.id));
     }
 
     /** Returns the same for a caller that retries later, whose request may go to any upstream. */
     OptionalLong nextRetryAt(long now, DirectCall call) {
-        return nextSend(now, call, row -> true);
+        return nextSendAt(now, call, row -> true);
     }
 
-    private OptionalLong nextSend(long now, DirectCall call, Predicate<UpstreamInstance> isCandidate) {
+    private OptionalLong nextSendAt(long now, DirectCall call, Predicate<UpstreamInstance> isCandidate) {
         long next = Core.NEVER;
         boolean askedToWait = false;
         for (UpstreamInstance row : upstreams.instancesOf(call.service)) {
@@ -496,8 +500,8 @@
                 return OptionalLong.empty();
             }
             askedToWait |= limited;
-            long open = Math.max(row.avoidedUntilNanos(), limited ? backpressure.nextSendTime(now, row.id) : now);
-            next = Math.min(next, open);
+            long openAt = Math.max(row.avoidedUntilNanos(), limited ? backpressure.nextSendTime(now, row.id) : now);
+            next = Math.min(next, openAt);
         }
         return askedToWait ? OptionalLong.of(next) : OptionalLong.empty();
     }
@@ -511,7 +515,7 @@
             return Optional.empty();
         }
         UpstreamInstance best = null;
-        for (UpstreamInstance row : open(now, call)) {
+        for (UpstreamInstance row : openUpstreams(now, call)) {
             if (!row.generatesTokens() || !hasFreeSlot(row, call)) {
                 continue;
             }
