--- a/src/main/java/org/cuminshelf/direct/AdmissionControl.java
+++ b/src/main/java/org/cuminshelf/direct/AdmissionControl.java
@@ -161,7 +161,10 @@
     private static Decision sendUnlessLate(long now, DirectCall call, UpstreamSelector.Choice choice) {
         double firstEventMillis = Durations.millis(now - call.arrivedAtNanos) + choice.firstEventMillis();
         boolean inTime = firstEventMillis <= call.route.targetLatencyMillis();
-        if (call.lastAttempt != null || inTime || choice.netValue() > 0 || isAdmittedForFairness(call, firstEventMillis)) {
+        if (call.lastAttempt != null
+                || inTime
+                || choice.netValue() > 0
+                || isAdmittedForFairness(call, firstEventMillis)) {
             return new Decision.Send(choice);
         }
         return refuse(call, choice, "too-dear");
@@ -192,6 +195,7 @@
         }
         double ownMillis = choice.firstEventMillis() - choice.queueMillis();
         double firstEventMillis = Durations.millis(now - call.arrivedAtNanos) + ownMillis;
-        return firstEventMillis > maxFirstEventMillis(call) || now + Durations.nanos((long) ownMillis) > call.deadlineNanos;
+        return firstEventMillis > maxFirstEventMillis(call)
+                || now + Durations.nanos((long) ownMillis) > call.deadlineNanos;
     }
 }
--- a/src/main/java/org/cuminshelf/direct/AdmissionQueue.java
+++ b/src/main/java/org/cuminshelf/direct/AdmissionQueue.java
@@ -60,8 +60,8 @@
      */
     boolean addForCapacity(long now, DirectCall call, double ownMillis) {
         double slackMillis = call.route.targetLatencyMillis() - ownMillis;
-        double maxWaitMillis =
-                Math.clamp(slackMillis - SAFETY_MARGIN_MILLIS, 0, MAX_WAIT_TARGET_SHARE * call.route.targetLatencyMillis());
+        double maxWaitMillis = Math.clamp(
+                slackMillis - SAFETY_MARGIN_MILLIS, 0, MAX_WAIT_TARGET_SHARE * call.route.targetLatencyMillis());
         return add(now, call, slackMillis, Durations.nanos((long) maxWaitMillis));
     }
 
--- a/src/main/java/org/cuminshelf/direct/EngineTimePrices.java
+++ b/src/main/java/org/cuminshelf/direct/EngineTimePrices.java
@@ -82,8 +82,8 @@
         double minBacklogMillis = Double.MAX_VALUE;
         for (UpstreamInstance row : engines) {
             if (row.generatesTokens() == generates) {
-                minBacklogMillis =
-                        Math.min(minBacklogMillis, row.pendingPrompts.waitMillis(now, model.latencyMillis(row.id, generates)));
+                minBacklogMillis = Math.min(
+                        minBacklogMillis, row.pendingPrompts.waitMillis(now, model.latencyMillis(row.id, generates)));
             }
         }
         return minBacklogMillis == Double.MAX_VALUE
--- a/src/main/java/org/cuminshelf/direct/LoadGossip.java
+++ b/src/main/java/org/cuminshelf/direct/LoadGossip.java
@@ -234,7 +234,9 @@
 
     private void onRestElsewhere(long now, RestingUpstream rest) {
         long leftNanos = (long) (rest.getLeftUs() * NANOS_PER_MICRO);
-        backpressure.backoffs().onRemoteReport(now, new UpstreamBackoffs.RemainingBackoff(rest.getUpstream(), leftNanos));
+        backpressure
+                .backoffs()
+                .onRemoteReport(now, new UpstreamBackoffs.RemainingBackoff(rest.getUpstream(), leftNanos));
     }
 
     private void onLimitElsewhere(long now, Address entry, HeardLimit limit) {
--- a/src/main/java/org/cuminshelf/direct/SharedPrefixLocations.java
+++ b/src/main/java/org/cuminshelf/direct/SharedPrefixLocations.java
@@ -88,7 +88,8 @@
      */
     Optional<UpstreamInstance> sourceFor(UpstreamInstance row) {
         int cachedTokens = row.promptCache.cachedPrefixTokens(shape.segments());
-        Optional<UpstreamInstance> other = mostCached.filter(engine -> engine != row).or(() -> nextMostCached);
+        Optional<UpstreamInstance> other =
+                mostCached.filter(engine -> engine != row).or(() -> nextMostCached);
         return other.filter(engine -> tokensFetchableFrom(engine) >= cachedTokens + MIN_FETCH_TOKENS);
     }
 
--- a/src/main/java/org/cuminshelf/direct/UpstreamSelector.java
+++ b/src/main/java/org/cuminshelf/direct/UpstreamSelector.java
@@ -333,7 +333,8 @@
         return Optional.ofNullable(best).map(choice -> withNetValue(now, choice, call, model, shape));
     }
 
-    private Choice withNetValue(long now, Choice choice, DirectCall call, EngineLatencyModel model, GenerationShape shape) {
+    private Choice withNetValue(
+            long now, Choice choice, DirectCall call, EngineLatencyModel model, GenerationShape shape) {
         double expectedValue =
                 values.valueOf(call, shape) * (1 - LATE_COST * lateProbability(now, choice, call, model));
         double timePrice = choice.estimate.prefillMillis() * prices.perMillisecond(call.service, choice.upstream);
@@ -345,14 +346,16 @@
      * Returns whether an engine that also generates may prefill a prompt: it must have a free slot and, if there are
      * engines in the prefill role, a short backlog. An idle engine always may.
      */
-    private boolean canPrefillBesideStreams(Choice choice, DirectCall call, EngineLatencyModel model, boolean hasPrefillEngines) {
+    private boolean canPrefillBesideStreams(
+            Choice choice, DirectCall call, EngineLatencyModel model, boolean hasPrefillEngines) {
         UpstreamInstance row = choice.upstream;
         // A stream that the caller has received in part continues whatever the load: cutting it would waste that part.
         boolean idle = row.totalAttempts() == 0 || call.responseStarted;
         double backlog = choice.queueMillis() + choice.estimate.prefillMillis();
         return idle
                 || hasFreeSlot(row, call)
-                        && (!hasPrefillEngines || backlog <= model.prefillAllowance().millis());
+                        && (!hasPrefillEngines
+                                || backlog <= model.prefillAllowance().millis());
     }
 
     /**
