--- a/src/main/java/org/cuminshelf/direct/AdmissionControl.java
+++ b/src/main/java/org/cuminshelf/direct/AdmissionControl.java
@@ -47,7 +47,7 @@
      */
     private static final long NO_SLOT_RETRY_AFTER_MILLIS = 1_000;
 
-    /** Interval over which the retries of calls are spread that were refused because of rate limits or pauses. */
+    /** Interval over which the retries of calls are spread that were refused because of rate limits or backoffs. */
     private static final int RETRY_SPREAD_MILLIS = 1_000;
 
     private static final Decision WAIT = new Decision.Wait();
@@ -107,7 +107,7 @@
     }
 
     /**
-     * Decides on a call for which every upstream has asked for a pause or has reached its rate limit. It waits if one
+     * Decides on a call for which every upstream has requested a backoff or has reached its rate limit. It waits if one
      * of them accepts it before its maximum wait ends, and is refused at once otherwise. Retry times are spread, so
      * that callers do not all retry at the first opportunity.
      */
--- a/src/main/java/org/cuminshelf/direct/AdmissionQueue.java
+++ b/src/main/java/org/cuminshelf/direct/AdmissionQueue.java
@@ -66,8 +66,9 @@
     }
 
     /**
-     * Queues a call until an upstream that asked for a pause accepts requests again, if that is within the maximum wait
-     * of the call. A call whose prompt was prefilled waits longer, as its KV cache would be lost.
+     * Queues a call until an upstream that requested a backoff or limits its rate accepts requests again, if that is
+     * within the maximum wait of the call. A call whose prompt was prefilled waits longer, as its KV cache would be
+     * lost.
      *
      * @param now        the time in nanoseconds
      * @param call       the call
--- a/src/main/java/org/cuminshelf/direct/AttemptRunner.java
+++ b/src/main/java/org/cuminshelf/direct/AttemptRunner.java
@@ -74,7 +74,7 @@
     private final LongSupplier clock;
     private final DecisionLog log;
     private final OutcomeListener outcomeListener;
-    private final EngineModels engineModels;
+    private final EngineLatencyModels engineModels;
     private final LoadGossip loadGossip;
     private final BackpressureListener backpressureListener;
     private final Map<Long, DirectAttempt> attempts = new HashMap<>();
@@ -87,7 +87,7 @@
             CallerResponses responses,
             LongSupplier clock,
             DecisionLog log,
-            EngineModels engineModels,
+            EngineLatencyModels engineModels,
             LoadGossip loadGossip,
             BackpressureListener backpressureListener,
             OutcomeListener outcomeListener) {
--- a/src/main/java/org/cuminshelf/direct/CallDispatcher.java
+++ b/src/main/java/org/cuminshelf/direct/CallDispatcher.java
@@ -61,7 +61,7 @@
             LongSupplier clock,
             Invariants invariants,
             DecisionLog log,
-            EngineModels engineModels,
+            EngineLatencyModels engineModels,
             LoadGossip loadGossip,
             Backpressure backpressure,
             BackpressureListener backpressureListener,
--- a/src/main/java/org/cuminshelf/direct/DirectCore.java
+++ b/src/main/java/org/cuminshelf/direct/DirectCore.java
@@ -70,7 +70,7 @@
         this.usageMeter = new UsageMeter(settings.usageWindowMillis(), log);
         this.control = new ControlSubscription(
                 settings, routeTableReader, upstreams, poisonGuard, usageMeter, now, invariants, log);
-        EngineModels engineModels = new EngineModels();
+        EngineLatencyModels engineModels = new EngineLatencyModels();
         BackpressureListener backpressureListener = new BackpressureListener(backpressure, upstreams, log);
         UpstreamSelector selector =
                 new UpstreamSelector(upstreams, control, engineModels, backpressure, settings.zone());
--- a/src/main/java/org/cuminshelf/direct/EngineModels.java
+++ b/src/main/java/org/cuminshelf/direct/EngineLatencyModels.java
@@ -4,8 +4,8 @@
 import java.util.Map;
 import org.cuminshelf.engines.EngineLatencyModel;
 
-/** The performance model of the engines of each service. */
-final class EngineModels {
+/** The latency model of the engines of each service. */
+final class EngineLatencyModels {
 
     private final Map<String, EngineLatencyModel> models = new HashMap<>();
 
--- a/src/main/java/org/cuminshelf/direct/EngineTimePrices.java
+++ b/src/main/java/org/cuminshelf/direct/EngineTimePrices.java
@@ -80,10 +80,11 @@
     private static double scarcity(
             long now, Collection<UpstreamInstance> engines, EngineLatencyModel model, boolean generates) {
         double minBacklogMillis = Double.MAX_VALUE;
-        for (UpstreamInstance row : engines) {
-            if (row.generatesTokens() == generates) {
+        for (UpstreamInstance engine : engines) {
+            if (engine.generatesTokens() == generates) {
                 minBacklogMillis = Math.min(
-                        minBacklogMillis, row.pendingPrompts.waitMillis(now, model.latencyMillis(row.id, generates)));
+                        minBacklogMillis,
+                        engine.pendingPrompts.waitMillis(now, model.latencyMillis(engine.id, generates)));
             }
         }
         return minBacklogMillis == Double.MAX_VALUE
--- a/src/main/java/org/cuminshelf/direct/LoadGossip.java
+++ b/src/main/java/org/cuminshelf/direct/LoadGossip.java
@@ -25,8 +25,8 @@
 
 /**
  * Exchange of load reports between entries: the requests that each has running at the engines, the prompts that it sent
- * there, how long their prefill took, and the rate limits and pauses that upstreams stated. All entries thereby select
- * upstreams by the same state, and learn from each other's requests.
+ * there, how long their prefill took, and the rate limits and backoffs that upstreams requested. All entries thereby
+ * select upstreams by the same state, and learn from each other's requests.
  *
  * <p>Guards against several entries finding the same engine idle at once and all sending to it, so that prompts wait
  * for each other while other engines are idle. The report of a sent prompt leaves within milliseconds, one for each
@@ -66,9 +66,9 @@
     private static final double NANOS_PER_MICRO = 1_000;
 
     private final UpstreamTable upstreams;
-    private final EngineModels models;
+    private final EngineLatencyModels models;
     private final Backpressure backpressure;
-    private final BackpressureListener demandWatch;
+    private final BackpressureListener backpressureListener;
     private final List<SentPrompt> sentPrompts = new ArrayList<>();
     private final List<TakenPrompt> prefilledPrompts = new ArrayList<>();
     private long nextReportAt;
@@ -78,14 +78,14 @@
 
     LoadGossip(
             UpstreamTable upstreams,
-            EngineModels models,
+            EngineLatencyModels models,
             Backpressure backpressure,
-            BackpressureListener demandWatch,
+            BackpressureListener backpressureListener,
             long now) {
         this.upstreams = upstreams;
         this.models = models;
         this.backpressure = backpressure;
-        this.demandWatch = demandWatch;
+        this.backpressureListener = backpressureListener;
         this.nextReportAt = now;
         this.lastReportAt = now;
     }
@@ -156,8 +156,8 @@
         nextReportAt = now + Math.max(REPORT_INTERVAL_NANOS, minIntervalNanos());
         EntryLoad.Builder load = EntryLoad.newBuilder().addAllSent(sentPrompts).addAllTaken(prefilledPrompts);
         upstreams.instances().stream()
-                .filter(row -> row.localAttempts > 0)
-                .forEach(row -> load.addUpstreams(upstreamLoad(now, row)));
+                .filter(upstream -> upstream.localAttempts > 0)
+                .forEach(upstream -> load.addUpstreams(upstreamLoad(now, upstream)));
         boolean hasBackpressure = addBackpressure(now, load);
         boolean isNonEmpty = load.getUpstreamsCount() > 0 || !prefilledPrompts.isEmpty() || hasBackpressure;
         sentPrompts.clear();
@@ -171,36 +171,36 @@
     }
 
     /**
-     * Adds the rate limits, pauses and shutdowns that upstreams stated to this entry, and returns whether there are
-     * any.
+     * Adds the rate limits, backoffs and shutdowns that upstreams announced to this entry, and returns whether there
+     * are any.
      */
     private boolean addBackpressure(long now, EntryLoad.Builder load) {
-        for (UpstreamRateLimits.LimitReport heard : backpressure.limits().localLimitReports(now)) {
+        for (UpstreamRateLimits.LimitReport limitReport : backpressure.limits().localLimitReports(now)) {
             HeardLimit.Builder limit = HeardLimit.newBuilder()
-                    .setUpstream(heard.instanceId())
-                    .setAgeUs((long) (heard.ageNanos() / NANOS_PER_MICRO));
-            heard.perSecond().ifPresent(limit::setPerSecond);
+                    .setUpstream(limitReport.instanceId())
+                    .setAgeUs((long) (limitReport.ageNanos() / NANOS_PER_MICRO));
+            limitReport.perSecond().ifPresent(limit::setPerSecond);
             load.addLimits(limit);
         }
-        for (UpstreamRateLimits.CallRateReport demand : backpressure.limits().localCallRateReports(now)) {
+        for (UpstreamRateLimits.CallRateReport callRate : backpressure.limits().localCallRateReports(now)) {
             load.addDemands(
-                    ServiceDemand.newBuilder().setService(demand.service()).setCallsPerSecond(demand.perSecond()));
+                    ServiceDemand.newBuilder().setService(callRate.service()).setCallsPerSecond(callRate.perSecond()));
         }
-        for (UpstreamBackoffs.RemainingBackoff rest : backpressure.backoffs().localReports(now)) {
-            load.addRests(
-                    RestingUpstream.newBuilder().setUpstream(rest.instanceId()).setLeftUs((long)
-                            (rest.remainingNanos() / NANOS_PER_MICRO)));
+        for (UpstreamBackoffs.RemainingBackoff backoff : backpressure.backoffs().localReports(now)) {
+            load.addRests(RestingUpstream.newBuilder()
+                    .setUpstream(backoff.instanceId())
+                    .setLeftUs((long) (backoff.remainingNanos() / NANOS_PER_MICRO)));
         }
         load.addAllLeaving(backpressure.leavingUpstreams().recentLocalReports(now));
         return load.getLimitsCount() + load.getDemandsCount() + load.getRestsCount() + load.getLeavingCount() > 0;
     }
 
-    private static UpstreamLoad upstreamLoad(long now, UpstreamInstance row) {
+    private static UpstreamLoad upstreamLoad(long now, UpstreamInstance upstream) {
         UpstreamLoad.Builder load = UpstreamLoad.newBuilder()
-                .setId(row.id)
-                .setRunning(row.localAttempts)
-                .setTokens((int) row.localMemoryTokens);
-        for (PromptQueue.PendingPrompt prompt : row.pendingPrompts.localPrompts()) {
+                .setId(upstream.id)
+                .setRunning(upstream.localAttempts)
+                .setTokens((int) upstream.localMemoryTokens);
+        for (PromptQueue.PendingPrompt prompt : upstream.pendingPrompts.localPrompts()) {
             load.addPrompts(WaitingPrompt.newBuilder()
                     .setAgeUs((int) ((now - prompt.sentAt()) / NANOS_PER_MICRO))
                     .setWorkUs(micros(prompt.prefillMillis())));
@@ -221,22 +221,22 @@
         load.getTakenList().forEach(prompt -> onPrefillCompletedElsewhere(now, prompt));
         load.getLimitsList().forEach(limit -> onLimitElsewhere(now, entry, limit));
         load.getLeavingList().forEach(id -> upstreams.markDraining(now, id, false, entry.value()));
-        load.getRestsList().forEach(rest -> onRestElsewhere(now, rest));
+        load.getRestsList().forEach(backoff -> onBackoffElsewhere(now, backoff));
         load.getDemandsList()
-                .forEach(demand -> backpressure
+                .forEach(callRate -> backpressure
                         .limits()
                         .onRemoteReport(
                                 now,
                                 entry,
                                 new UpstreamRateLimits.CallRateReport(
-                                        demand.getService(), demand.getCallsPerSecond())));
+                                        callRate.getService(), callRate.getCallsPerSecond())));
     }
 
-    private void onRestElsewhere(long now, RestingUpstream rest) {
-        long leftNanos = (long) (rest.getLeftUs() * NANOS_PER_MICRO);
+    private void onBackoffElsewhere(long now, RestingUpstream backoff) {
+        long remainingNanos = (long) (backoff.getLeftUs() * NANOS_PER_MICRO);
         backpressure
                 .backoffs()
-                .onRemoteReport(now, new UpstreamBackoffs.RemainingBackoff(rest.getUpstream(), leftNanos));
+                .onRemoteReport(now, new UpstreamBackoffs.RemainingBackoff(backoff.getUpstream(), remainingNanos));
     }
 
     private void onLimitElsewhere(long now, Address entry, HeardLimit limit) {
@@ -245,31 +245,31 @@
         long ageNanos = (long) (limit.getAgeUs() * NANOS_PER_MICRO);
         upstreams
                 .instance(limit.getUpstream())
-                .ifPresent(row -> demandWatch.onEntryReport(
-                        now, row, entry, new UpstreamRateLimits.LimitReport(row.id, perSecond, ageNanos)));
+                .ifPresent(upstream -> backpressureListener.onEntryReport(
+                        now, upstream, entry, new UpstreamRateLimits.LimitReport(upstream.id, perSecond, ageNanos)));
     }
 
     private void onPromptSentElsewhere(long now, SentPrompt prompt) {
-        Optional<UpstreamInstance> row = upstreams.instance(prompt.getUpstream());
-        if (row.isEmpty() || prompt.getPartsCount() != prompt.getTokensCount()) {
+        Optional<UpstreamInstance> upstream = upstreams.instance(prompt.getUpstream());
+        if (upstream.isEmpty() || prompt.getPartsCount() != prompt.getTokensCount()) {
             return;
         }
         List<PromptSegment> segments = new ArrayList<>();
         for (int index = 0; index < prompt.getPartsCount(); index++) {
             segments.add(new PromptSegment(prompt.getParts(index), prompt.getTokens(index)));
         }
-        row.get().promptCache.recordPrompt(segments, now + (long) (prompt.getReadyUs() * NANOS_PER_MICRO));
+        upstream.get().promptCache.recordPrompt(segments, now + (long) (prompt.getReadyUs() * NANOS_PER_MICRO));
     }
 
     private void onPrefillCompletedElsewhere(long now, TakenPrompt prompt) {
-        Optional<UpstreamInstance> row = upstreams.instance(prompt.getUpstream());
-        if (row.isEmpty()) {
+        Optional<UpstreamInstance> upstream = upstreams.instance(prompt.getUpstream());
+        if (upstream.isEmpty()) {
             return;
         }
-        row.get().pendingPrompts.onPrefilled(now);
-        models.of(row.get().service)
+        upstream.get().pendingPrompts.onPrefilled(now);
+        models.of(upstream.get().service)
                 .observePrompt(new PromptSample(
-                        row.get().id,
+                        upstream.get().id,
                         prompt.getBesideStreams(),
                         prompt.getStreams(),
                         prompt.getHeld(),
--- a/src/main/java/org/cuminshelf/direct/SharedPrefixLocations.java
+++ b/src/main/java/org/cuminshelf/direct/SharedPrefixLocations.java
@@ -38,13 +38,13 @@
         engines.forEach(this::rank);
     }
 
-    private void rank(UpstreamInstance row) {
-        int fetchable = tokensFetchableFrom(row);
+    private void rank(UpstreamInstance engine) {
+        int fetchable = tokensFetchableFrom(engine);
         if (mostCached.isEmpty() || fetchable > tokensFetchableFrom(mostCached.get())) {
             nextMostCached = mostCached;
-            mostCached = Optional.of(row);
+            mostCached = Optional.of(engine);
         } else if (nextMostCached.isEmpty() || fetchable > tokensFetchableFrom(nextMostCached.get())) {
-            nextMostCached = Optional.of(row);
+            nextMostCached = Optional.of(engine);
         }
     }
 
@@ -62,18 +62,18 @@
      * Returns the tokens of the shared prefix that an engine has probably cached, or will have when it prefills the
      * prompt.
      */
-    int tokensCachedBy(UpstreamInstance row) {
-        return Math.min(tokens, row.promptCache.cachedPrefixTokens(shape.segments()));
+    int tokensCachedBy(UpstreamInstance engine) {
+        return Math.min(tokens, engine.promptCache.cachedPrefixTokens(shape.segments()));
     }
 
     /** Returns the tokens of the shared prefix that other engines can fetch from an engine now. */
-    private int tokensFetchableFrom(UpstreamInstance row) {
-        return Math.min(tokens, row.promptCache.fetchablePrefixTokens(shape.segments(), now));
+    private int tokensFetchableFrom(UpstreamInstance engine) {
+        return Math.min(tokens, engine.promptCache.fetchablePrefixTokens(shape.segments(), now));
     }
 
     /** Returns whether an engine is the home engine of the prefix, among the engines that generate. */
-    boolean isHomeOfStreams(UpstreamInstance row) {
-        return row.id.equals(homeEngine);
+    boolean isHomeOfStreams(UpstreamInstance engine) {
+        return engine.id.equals(homeEngine);
     }
 
     /** Returns the most tokens of the shared prefix that can be fetched from any engine. */
@@ -86,18 +86,18 @@
      * fetch segments that it has cached, and prefills those that the other has evicted, so that a wrong estimate costs
      * very little.
      */
-    Optional<UpstreamInstance> sourceFor(UpstreamInstance row) {
-        int cachedTokens = row.promptCache.cachedPrefixTokens(shape.segments());
+    Optional<UpstreamInstance> sourceFor(UpstreamInstance engine) {
+        int cachedTokens = engine.promptCache.cachedPrefixTokens(shape.segments());
         Optional<UpstreamInstance> other =
-                mostCached.filter(engine -> engine != row).or(() -> nextMostCached);
-        return other.filter(engine -> tokensFetchableFrom(engine) >= cachedTokens + MIN_FETCH_TOKENS);
+                mostCached.filter(candidate -> candidate != engine).or(() -> nextMostCached);
+        return other.filter(candidate -> tokensFetchableFrom(candidate) >= cachedTokens + MIN_FETCH_TOKENS);
     }
 
     /** Returns the tokens of the shared prefix that an engine has probably cached or can fetch. */
-    int tokensAvailableTo(UpstreamInstance row) {
+    int tokensAvailableTo(UpstreamInstance engine) {
         return Math.max(
-                tokensCachedBy(row),
-                sourceFor(row).map(this::tokensFetchableFrom).orElse(0));
+                tokensCachedBy(engine),
+                sourceFor(engine).map(this::tokensFetchableFrom).orElse(0));
     }
 
     private static int sharedTokens(List<PromptSegment> segments) {
@@ -116,14 +116,14 @@
         String lastSharedSegment = shape.segments().get(segments - 2).id();
         String best = "";
         long highest = Long.MIN_VALUE;
-        for (UpstreamInstance row : engines) {
-            if (!row.generatesTokens()) {
+        for (UpstreamInstance engine : engines) {
+            if (!engine.generatesTokens()) {
                 continue;
             }
-            long hash = LongHashFunction.xx3().hashChars(lastSharedSegment + row.id);
+            long hash = LongHashFunction.xx3().hashChars(lastSharedSegment + engine.id);
             if (hash > highest) {
                 highest = hash;
-                best = row.id;
+                best = engine.id;
             }
         }
         return best;
--- a/src/main/java/org/cuminshelf/direct/UpstreamSelector.java
+++ b/src/main/java/org/cuminshelf/direct/UpstreamSelector.java
@@ -127,7 +127,7 @@
 
     private final UpstreamTable upstreams;
     private final ControlSubscription control;
-    private final EngineModels models;
+    private final EngineLatencyModels models;
     private final Backpressure backpressure;
     private final EngineTimePrices prices = new EngineTimePrices();
     private final AnswerValues values = new AnswerValues();
@@ -137,7 +137,7 @@
     UpstreamSelector(
             UpstreamTable upstreams,
             ControlSubscription control,
-            EngineModels models,
+            EngineLatencyModels models,
             Backpressure backpressure,
             String zone) {
         this.upstreams = upstreams;
@@ -158,7 +158,7 @@
 
     /** Returns whether any upstream is available for a call, whether or not it has a free slot. */
     boolean hasOpenUpstream(long now, DirectCall call) {
-        return upstreams.instancesOf(call.service).stream().anyMatch(row -> isOpen(now, row, call));
+        return upstreams.instancesOf(call.service).stream().anyMatch(upstream -> isOpen(now, upstream, call));
     }
 
     /**
@@ -188,24 +188,24 @@
     private Optional<Choice> chooseByOccupancy(long now, DirectCall call) {
         UpstreamInstance best = null;
         double lowestLoad = Double.MAX_VALUE;
-        for (UpstreamInstance row : openUpstreams(now, call)) {
-            double load = (double) row.totalAttempts() / row.slots
-                    + (row.zone.equals(zone) ? 0 : 1e-3)
-                    + 1e-4 * pseudoRandomFraction(row, call.number);
+        for (UpstreamInstance upstream : openUpstreams(now, call)) {
+            double load = (double) upstream.totalAttempts() / upstream.slots
+                    + (upstream.zone.equals(zone) ? 0 : 1e-3)
+                    + 1e-4 * pseudoRandomFraction(upstream, call.number);
             if (load < lowestLoad) {
-                best = row;
+                best = upstream;
                 lowestLoad = load;
             }
         }
-        return Optional.ofNullable(best).map(row -> Choice.of(row, 0));
+        return Optional.ofNullable(best).map(upstream -> Choice.of(upstream, 0));
     }
 
     /**
      * Returns a number from 0 to 1 that depends only on the upstream and the call, to spread calls over equal
      * upstreams.
      */
-    private static double pseudoRandomFraction(UpstreamInstance row, long number) {
-        return (LongHashFunction.xx3(number).hashChars(row.id) >>> 40) / (double) (1 << 24);
+    private static double pseudoRandomFraction(UpstreamInstance upstream, long number) {
+        return (LongHashFunction.xx3(number).hashChars(upstream.id) >>> 40) / (double) (1 << 24);
     }
 
     /** Selects the least loaded engine to generate the answer to a prompt that another engine has prefilled. */
@@ -216,31 +216,33 @@
         List<UpstreamInstance> open = openUpstreams(now, call);
         Optional<SharedPrefixLocations> shared =
                 call.intent.generation().map(shape -> SharedPrefixLocations.of(shape, open, now));
-        for (UpstreamInstance row : open) {
-            if (row.role == Role.ROLE_PREFILL) {
+        for (UpstreamInstance upstream : open) {
+            if (upstream.role == Role.ROLE_PREFILL) {
                 continue;
             }
-            boolean isHomeEngine =
-                    shared.filter(locations -> locations.isHomeOfStreams(row)).isPresent();
-            double load = memoryLoad(row, call)
+            boolean isHomeEngine = shared.filter(locations -> locations.isHomeOfStreams(upstream))
+                    .isPresent();
+            double load = memoryLoad(upstream, call)
                     - (isHomeEngine ? HOME_ENGINE_BONUS_REQUESTS : 0)
-                    + row.totalAttempts()
-                    + row.pendingPrompts.waitMillis(now, model.latencyMillis(row.id, true)) / QUEUE_MILLIS_PER_REQUEST
-                    + (row.zone.equals(zone) ? 0 : CROSS_ZONE_MILLIS)
-                    + pseudoRandomFraction(row, call.number);
+                    + upstream.totalAttempts()
+                    + upstream.pendingPrompts.waitMillis(now, model.latencyMillis(upstream.id, true))
+                            / QUEUE_MILLIS_PER_REQUEST
+                    + (upstream.zone.equals(zone) ? 0 : CROSS_ZONE_MILLIS)
+                    + pseudoRandomFraction(upstream, call.number);
             if (load < lowestLoad) {
-                best = row;
+                best = upstream;
                 lowestLoad = load;
             }
         }
-        return Optional.ofNullable(best).map(row -> Choice.of(row, model.handoverMillis(call.promptTokens())));
+        return Optional.ofNullable(best)
+                .map(upstream -> Choice.of(upstream, model.handoverMillis(call.promptTokens())));
     }
 
     /**
      * Returns the memory use of an engine with a call added, expressed in requests: the used share times the engine's
      * slots, plus a large penalty if the call would not fit.
      */
-    private double memoryLoad(UpstreamInstance row, DirectCall call) {
+    private double memoryLoad(UpstreamInstance upstream, DirectCall call) {
         long capacityTokens = kvCacheTokens(call);
         if (capacityTokens == 0) {
             return 0;
@@ -249,8 +251,8 @@
                 .generation()
                 .map(shape -> shape.promptTokens() + shape.outputTokens())
                 .orElse(0);
-        double share = (double) (row.totalMemoryTokens() + requestTokens) / capacityTokens;
-        return share * row.slots + (share > MAX_MEMORY_SHARE ? FULL_MEMORY_PENALTY_REQUESTS * share : 0);
+        double share = (double) (upstream.totalMemoryTokens() + requestTokens) / capacityTokens;
+        return share * upstream.slots + (share > MAX_MEMORY_SHARE ? FULL_MEMORY_PENALTY_REQUESTS * share : 0);
     }
 
     private long kvCacheTokens(DirectCall call) {
@@ -295,7 +297,7 @@
         UnreportedWork work = unreportedWork(service);
         int otherEntries = Math.max(0, control.entries().size() - 1);
         Map<Role, Integer> engines = new EnumMap<>(Role.class);
-        open.forEach(row -> engines.merge(row.role, 1, Integer::sum));
+        open.forEach(upstream -> engines.merge(upstream.role, 1, Integer::sum));
         Map<Role, Double> millis = new EnumMap<>(Role.class);
         engines.forEach((role, count) -> millis.put(
                 role, work.expectedMillis(now, role, LoadGossip.minIntervalNanos(otherEntries), otherEntries, count)));
@@ -305,20 +307,22 @@
     private Optional<Choice> chooseForPrompt(long now, DirectCall call, GenerationShape shape) {
         List<UpstreamInstance> open = openUpstreams(now, call);
         boolean maySplit = call.lastEventId.isEmpty() && !call.singleEngineOnly;
-        boolean hasPrefillEngines = maySplit && open.stream().anyMatch(row -> !row.generatesTokens());
-        boolean hasDecodeSlot = open.stream().anyMatch(row -> row.generatesTokens() && hasFreeSlot(row, call));
+        boolean hasPrefillEngines = maySplit && open.stream().anyMatch(upstream -> !upstream.generatesTokens());
+        boolean hasDecodeSlot =
+                open.stream().anyMatch(upstream -> upstream.generatesTokens() && hasFreeSlot(upstream, call));
         EngineLatencyModel model = models.of(call.service);
         long cacheCapacityTokens = prefixCacheTokens(call);
-        open.forEach(row -> row.promptCache.setCapacityTokens(cacheCapacityTokens));
+        open.forEach(upstream -> upstream.promptCache.setCapacityTokens(cacheCapacityTokens));
         Choice best = null;
         double lowestCost = Double.MAX_VALUE;
         SharedPrefixLocations shared = SharedPrefixLocations.of(shape, open, now);
         Map<Role, Double> unreportedMillis = unreportedMillisByRole(now, call.service, open);
         long callHash = LongHashFunction.xx3().hashChars(call.intent.id());
-        for (UpstreamInstance row : open) {
-            double unreportedHere = unreportedMillis.get(row.role) * UnreportedWork.randomFactor(row.id, callHash);
-            Choice choice = estimate(now, row, model, shape, shared, unreportedHere);
-            boolean fits = row.generatesTokens()
+        for (UpstreamInstance upstream : open) {
+            double unreportedHere =
+                    unreportedMillis.get(upstream.role) * UnreportedWork.randomFactor(upstream.id, callHash);
+            Choice choice = estimate(now, upstream, model, shape, shared, unreportedHere);
+            boolean fits = upstream.generatesTokens()
                     ? canPrefillBesideStreams(choice, call, model, hasPrefillEngines)
                     : maySplit && hasDecodeSlot;
             double cost = fits ? cost(now, choice, call, model, shape, shared) : Double.MAX_VALUE;
@@ -348,12 +352,12 @@
      */
     private boolean canPrefillBesideStreams(
             Choice choice, DirectCall call, EngineLatencyModel model, boolean hasPrefillEngines) {
-        UpstreamInstance row = choice.upstream;
+        UpstreamInstance upstream = choice.upstream;
         // A stream that the caller has received in part continues whatever the load: cutting it would waste that part.
-        boolean idle = row.totalAttempts() == 0 || call.responseStarted;
+        boolean idle = upstream.totalAttempts() == 0 || call.responseStarted;
         double backlog = choice.queueMillis() + choice.estimate.prefillMillis();
         return idle
-                || hasFreeSlot(row, call)
+                || hasFreeSlot(upstream, call)
                         && (!hasPrefillEngines
                                 || backlog <= model.prefillAllowance().millis());
     }
@@ -364,36 +368,37 @@
      * streams, which slows all of them, so that slots are released ever later. A fleet stayed in that state for ten
      * seconds after the burst that caused it.
      */
-    private boolean hasFreeSlot(UpstreamInstance row, DirectCall call) {
+    private boolean hasFreeSlot(UpstreamInstance upstream, DirectCall call) {
         int maxShortTokens = MAX_SHORT_STREAM_EVENTS * tokensPerEvent(call.service);
         boolean isShort = call.intent
                 .generation()
                 .filter(shape -> shape.outputTokens() <= maxShortTokens)
                 .isPresent();
         double share = isShort ? MAX_SLOT_SHARE_SHORT_STREAM : MAX_SLOT_SHARE;
-        return row.totalAttempts() < share * row.slots
-                && memoryLoad(row, call) < FULL_MEMORY_PENALTY_REQUESTS * MAX_MEMORY_SHARE;
+        return upstream.totalAttempts() < share * upstream.slots
+                && memoryLoad(upstream, call) < FULL_MEMORY_PENALTY_REQUESTS * MAX_MEMORY_SHARE;
     }
 
     private Choice estimate(
             long now,
-            UpstreamInstance row,
+            UpstreamInstance upstream,
             EngineLatencyModel model,
             GenerationShape shape,
             SharedPrefixLocations shared,
             double unreportedHere) {
-        int ownTokens = shared.tokensCachedBy(row);
-        int cachedTokens = shared.tokensAvailableTo(row);
+        int ownTokens = shared.tokensCachedBy(upstream);
+        int cachedTokens = shared.tokensAvailableTo(upstream);
         int uncachedTokens = Math.max(0, shape.promptTokens() - cachedTokens);
-        boolean generates = row.generatesTokens();
-        double latency = model.latencyMillis(row.id, generates);
-        double work = model.prefillMillis(row.id, generates, row.totalAttempts(), cachedTokens, uncachedTokens)
-                + model.transferMillis(Math.max(0, cachedTokens - ownTokens));
-        double wait = row.pendingPrompts.waitMillis(now, latency) + unreportedHere;
+        boolean generates = upstream.generatesTokens();
+        double latency = model.latencyMillis(upstream.id, generates);
+        double work =
+                model.prefillMillis(upstream.id, generates, upstream.totalAttempts(), cachedTokens, uncachedTokens)
+                        + model.transferMillis(Math.max(0, cachedTokens - ownTokens));
+        double wait = upstream.pendingPrompts.waitMillis(now, latency) + unreportedHere;
         double handover = generates ? 0 : model.handoverMillis(shape.promptTokens());
-        double first = wait + work + latency + (row.zone.equals(zone) ? 0 : CROSS_ZONE_MILLIS) + handover;
+        double first = wait + work + latency + (upstream.zone.equals(zone) ? 0 : CROSS_ZONE_MILLIS) + handover;
         PromptEstimate estimate = new PromptEstimate(cachedTokens, uncachedTokens, wait, work, first);
-        return new Choice(row, !generates, estimate, shared.sourceFor(row), 0);
+        return new Choice(upstream, !generates, estimate, shared.sourceFor(upstream), 0);
     }
 
     private double cost(
@@ -403,15 +408,15 @@
             EngineLatencyModel model,
             GenerationShape shape,
             SharedPrefixLocations shared) {
-        UpstreamInstance row = choice.upstream;
-        int ownTokens = shared.tokensCachedBy(row);
+        UpstreamInstance upstream = choice.upstream;
+        int ownTokens = shared.tokensCachedBy(upstream);
         int transferredTokens = Math.max(0, choice.estimate.cachedTokens() - ownTokens)
                 + (choice.prefillOnly ? shape.promptTokens() : 0);
         double transferCost =
                 transferredTokens * kvBytesPerToken(call) / BYTES_PER_GIGABYTE * TRANSFER_COST_PER_GIGABYTE;
         double repeatedTokensCost =
                 Math.max(0, shared.tokens() - choice.estimate.cachedTokens()) * REPEATED_PREFILL_COST_PER_TOKEN;
-        double work = choice.estimate.prefillMillis() * prices.perMillisecond(call.service, row);
+        double work = choice.estimate.prefillMillis() * prices.perMillisecond(call.service, upstream);
         return latenessCost(now, choice, call, model)
                 + work
                 + transferCost
@@ -439,71 +444,79 @@
     }
 
     /**
-     * Returns the upstreams that accept a call now. An upstream that asked another entry to pause is included only if
-     * all upstreams of its role did.
+     * Returns the upstreams that accept a call now. An upstream that requested a backoff from another entry is included
+     * only if all upstreams of its role did.
      */
     private List<UpstreamInstance> openUpstreams(long now, DirectCall call) {
         List<UpstreamInstance> open = upstreams.instancesOf(call.service).stream()
-                .filter(row -> isOpen(now, row, call))
+                .filter(upstream -> isOpen(now, upstream, call))
                 .toList();
         if (!backpressure.backoffs().hasRemoteBackoffs()) {
             return open;
         }
         Set<Role> rolesWithoutRest = EnumSet.noneOf(Role.class);
-        open.stream().filter(row -> !isAskedElsewhere(now, row)).forEach(row -> rolesWithoutRest.add(row.role));
+        open.stream()
+                .filter(upstream -> !isAskedElsewhere(now, upstream))
+                .forEach(upstream -> rolesWithoutRest.add(upstream.role));
         return open.stream()
-                .filter(row -> !isAskedElsewhere(now, row) || !rolesWithoutRest.contains(row.role))
+                .filter(upstream -> !isAskedElsewhere(now, upstream) || !rolesWithoutRest.contains(upstream.role))
                 .toList();
     }
 
-    private boolean isAskedElsewhere(long now, UpstreamInstance row) {
-        return backpressure.backoffs().isBackedOffRemotely(now, row.id);
+    private boolean isAskedElsewhere(long now, UpstreamInstance upstream) {
+        return backpressure.backoffs().isBackedOffRemotely(now, upstream.id);
     }
 
-    private boolean isOpen(long now, UpstreamInstance row, DirectCall call) {
-        boolean serving =
-                !row.draining && !row.roleChanging && !row.isAvoided(now) && !call.excludedUpstreams.contains(row.id);
-        return serving && hasPermit(now, row, call);
+    private boolean isOpen(long now, UpstreamInstance upstream, DirectCall call) {
+        boolean serving = !upstream.draining
+                && !upstream.roleChanging
+                && !upstream.isAvoided(now)
+                && !call.excludedUpstreams.contains(upstream.id);
+        return serving && hasPermit(now, upstream, call);
     }
 
-    private boolean hasPermit(long now, UpstreamInstance row, DirectCall call) {
-        boolean kept = call.reservedPermit.filter(row.id::equals).isPresent();
-        return kept ? backpressure.maySendWithReservedPermit(now, row.id) : backpressure.maySend(now, row.id);
+    private boolean hasPermit(long now, UpstreamInstance upstream, DirectCall call) {
+        boolean kept = call.reservedPermit.filter(upstream.id::equals).isPresent();
+        return kept ? backpressure.maySendWithReservedPermit(now, upstream.id) : backpressure.maySend(now, upstream.id);
     }
 
     /** Returns whether an upstream can generate the answer to a call, rather than only prefill its prompt. */
-    private static boolean canAnswer(UpstreamInstance row, DirectCall call) {
-        return !call.isStream() || row.generatesTokens();
+    private static boolean canAnswer(UpstreamInstance upstream, DirectCall call) {
+        return !call.isStream() || upstream.generatesTokens();
     }
 
     /**
-     * Returns when a call may be sent, if every upstream that could answer it has asked for a pause or has used up its
-     * stated rate limit.
+     * Returns when a call may be sent, if every upstream that could answer it has requested a backoff or has used up
+     * its rate limit.
      *
      * @return the time in nanoseconds; empty if an upstream is open, or if none of them limits requests
      */
     OptionalLong nextSendAt(long now, DirectCall call) {
-        return nextSendAt(now, call, row -> !call.excludedUpstreams.contains(row.id));
+        return nextSendAt(now, call, upstream -> !call.excludedUpstreams.contains(upstream.id));
     }
 
     /** Returns the same for a caller that retries later, whose request may go to any upstream. */
     OptionalLong nextRetryAt(long now, DirectCall call) {
-        return nextSendAt(now, call, row -> true);
+        return nextSendAt(now, call, upstream -> true);
     }
 
     private OptionalLong nextSendAt(long now, DirectCall call, Predicate<UpstreamInstance> isCandidate) {
         long next = Core.NEVER;
         boolean askedToWait = false;
-        for (UpstreamInstance row : upstreams.instancesOf(call.service)) {
-            if (row.draining || row.roleChanging || !canAnswer(row, call) || !isCandidate.test(row)) {
+        for (UpstreamInstance upstream : upstreams.instancesOf(call.service)) {
+            if (upstream.draining
+                    || upstream.roleChanging
+                    || !canAnswer(upstream, call)
+                    || !isCandidate.test(upstream)) {
                 continue;
             }
-            boolean limited = !hasPermit(now, row, call);
-            if (!limited && !row.isAvoided(now)) {
+            boolean limited = !hasPermit(now, upstream, call);
+            if (!limited && !upstream.isAvoided(now)) {
                 return OptionalLong.empty();
             }
             askedToWait |= limited;
-            long openAt = Math.max(row.avoidedUntilNanos(), limited ? backpressure.nextSendTime(now, row.id) : now);
+            long openAt =
+                    Math.max(upstream.avoidedUntilNanos(), limited ? backpressure.nextSendTime(now, upstream.id) : now);
             next = Math.min(next, openAt);
         }
         return askedToWait ? OptionalLong.of(next) : OptionalLong.empty();
@@ -518,14 +531,14 @@
             return Optional.empty();
         }
         UpstreamInstance best = null;
-        for (UpstreamInstance row : openUpstreams(now, call)) {
-            if (!row.generatesTokens() || !hasFreeSlot(row, call)) {
+        for (UpstreamInstance upstream : openUpstreams(now, call)) {
+            if (!upstream.generatesTokens() || !hasFreeSlot(upstream, call)) {
                 continue;
             }
-            if (!backpressure.limits().isLimited(row.id)) {
+            if (!backpressure.limits().isLimited(upstream.id)) {
                 return Optional.empty();
             }
-            best = best == null || row.totalAttempts() < best.totalAttempts() ? row : best;
+            best = best == null || upstream.totalAttempts() < best.totalAttempts() ? upstream : best;
         }
         return Optional.ofNullable(best);
     }
--- a/src/test/java/org/cuminshelf/direct/LoadGossipTest.java
+++ b/src/test/java/org/cuminshelf/direct/LoadGossipTest.java
@@ -158,9 +158,9 @@
         assertThat(entry.lastSent().request.headers().contains("Parts-From")).isFalse();
     }
 
-    /** Guards against each entry spending a request to learn what an upstream has stated to another entry. */
+    /** Guards against each entry spending a request to learn what an upstream has announced to another entry. */
     @Example
-    void limitsAndPausesOfUpstreamsAreReported() {
+    void limitsAndBackoffsOfUpstreamsAreReported() {
         DirectFixture entry = new DirectFixture(DirectFixture.route(RequestKind.NON_IDEMPOTENT, 1, false))
                 .becomeReady()
                 .addUpstream("u1", Role.ROLE_MIXED);
--- a/src/test/java/org/cuminshelf/direct/SharedPrefixLocationsTest.java
+++ b/src/test/java/org/cuminshelf/direct/SharedPrefixLocationsTest.java
@@ -20,22 +20,22 @@
     @Property(seed = "11")
     void aSourceIsAnotherEngineThatHasCachedMoreOfThePrefix(
             @ForAll @IntRange(min = 1, max = 12) int engines, @ForAll @IntRange(max = 0xFFF) int cachingEngines) {
-        List<UpstreamInstance> rows = rows(engines, engines / 3);
+        List<UpstreamInstance> instances = instances(engines, engines / 3);
         for (int index = 0; index < engines; index++) {
             if ((cachingEngines >> index & 1) == 1) {
-                rows.get(index).promptCache.recordPrompt(SHAPE.segments().subList(0, 1), 0);
+                instances.get(index).promptCache.recordPrompt(SHAPE.segments().subList(0, 1), 0);
             }
         }
-        SharedPrefixLocations shared = SharedPrefixLocations.of(SHAPE, rows, 0);
-        for (UpstreamInstance row : rows) {
-            Optional<UpstreamInstance> source = shared.sourceFor(row);
-            int cachedTokens = row.promptCache.cachedPrefixTokens(SHAPE.segments());
-            assertThat(source).isNotEqualTo(Optional.of(row));
+        SharedPrefixLocations shared = SharedPrefixLocations.of(SHAPE, instances, 0);
+        for (UpstreamInstance instance : instances) {
+            Optional<UpstreamInstance> source = shared.sourceFor(instance);
+            int cachedTokens = instance.promptCache.cachedPrefixTokens(SHAPE.segments());
+            assertThat(source).isNotEqualTo(Optional.of(instance));
             source.ifPresent(other -> assertThat(shared.tokensCachedBy(other)).isGreaterThan(cachedTokens));
-            boolean hasSource =
-                    rows.stream().anyMatch(other -> other != row && shared.tokensCachedBy(other) >= cachedTokens + 256);
+            boolean hasSource = instances.stream()
+                    .anyMatch(other -> other != instance && shared.tokensCachedBy(other) >= cachedTokens + 256);
             assertThat(source.isPresent()).isEqualTo(hasSource);
-            assertThat(shared.tokensAvailableTo(row)).isBetween(shared.tokensCachedBy(row), 5_000);
+            assertThat(shared.tokensAvailableTo(instance)).isBetween(shared.tokensCachedBy(instance), 5_000);
         }
     }
 
@@ -45,7 +45,7 @@
      */
     @Example
     void onlyPrefixesOfTheRemovedEngineGetAnotherHomeEngine() {
-        List<UpstreamInstance> before = rows(9, 3);
+        List<UpstreamInstance> before = instances(9, 3);
         List<UpstreamInstance> after = before.subList(0, 8);
         int movedPrefixes = 0;
         for (int prefix = 0; prefix < 200; prefix++) {
@@ -58,21 +58,21 @@
         assertThat(movedPrefixes).isBetween(15, 55);
     }
 
-    private static String homeEngine(int prefix, List<UpstreamInstance> rows) {
+    private static String homeEngine(int prefix, List<UpstreamInstance> instances) {
         GenerationShape shape = new GenerationShape(
                 "m", 100, 1, List.of(new PromptSegment("subject" + prefix, 50), new PromptSegment("own", 50)));
-        SharedPrefixLocations shared = SharedPrefixLocations.of(shape, rows, 0);
-        return rows.stream().filter(shared::isHomeOfStreams).findFirst().orElseThrow().id;
+        SharedPrefixLocations shared = SharedPrefixLocations.of(shape, instances, 0);
+        return instances.stream().filter(shared::isHomeOfStreams).findFirst().orElseThrow().id;
     }
 
-    private static List<UpstreamInstance> rows(int engines, int prefill) {
-        List<UpstreamInstance> rows = new ArrayList<>();
+    private static List<UpstreamInstance> instances(int engines, int prefill) {
+        List<UpstreamInstance> instances = new ArrayList<>();
         for (int index = 0; index < engines; index++) {
             Role role = index < prefill ? Role.ROLE_PREFILL : Role.ROLE_DECODE;
-            UpstreamInstance row = new UpstreamInstance(0, DirectFixture.heartbeat("u" + index, role));
-            row.applyHeartbeat(DirectFixture.heartbeat("u" + index, role));
-            rows.add(row);
+            UpstreamInstance instance = new UpstreamInstance(0, DirectFixture.heartbeat("u" + index, role));
+            instance.applyHeartbeat(DirectFixture.heartbeat("u" + index, role));
+            instances.add(instance);
         }
-        return rows;
+        return instances;
     }
 }
