--- a/src/main/java/org/cuminshelf/direct/LoadGossip.java
+++ b/src/main/java/org/cuminshelf/direct/LoadGossip.java
@@ -43,9 +43,8 @@
      * Maximum rate of messages of all entries together, as long as the interval is below {@link #MAX_INTERVAL_NANOS}.
      * Each message costs some four system calls at its two ends. Without a bound the messages grew with the square of
      * the entries, to 640 a second at each of 33. On a heavy day there each entry used 0.144 of a core without the
-     * bound, and 0.098 with it and with the sums kept in {@link UpstreamInstance}, on machines of different load. With 18
-     * entries, reports within 110 ms gave the same results as
-     * reports within 20; the effect with 33 entries is not
+     * bound, and 0.098 with it and with the sums kept in {@link UpstreamInstance}, on machines of different load. With
+     * 18 entries, reports within 110 ms gave the same results as reports within 20; the effect with 33 entries is not
      * known.
      */
     private static final double MAX_MESSAGES_PER_SECOND = 6_000;
--- a/src/main/java/org/cuminshelf/direct/UpstreamSelector.java
+++ b/src/main/java/org/cuminshelf/direct/UpstreamSelector.java
@@ -21,7 +21,8 @@
 /**
  * Selects the upstream of a request.
  *
- * <p>Requests other than streamed generations go to the upstream with the fewest requests per slot, counted over all entries.
+ * <p>Requests other than streamed generations go to the upstream with the fewest requests per slot, counted over all
+ * entries.
  *
  * <p>Generations go where the expected cost is least: the cost of a late answer, of the engine's time, of prefilling
  * shared segments of the prompt again and of transferring KV cache. Prefill takes most of the time. An engine in the
