--- a/src/main/java/org/cuminshelf/control/ControlCore.java
+++ b/src/main/java/org/cuminshelf/control/ControlCore.java
@@ -333,7 +333,7 @@
 
     /** The other control processes, from the membership of the global group. */
     private List<Address> otherControlProcesses() {
-        return replicas.get(ControlSettings.GLOBAL_GROUP).members().stream()
+        return replicas.get(ControlSettings.GLOBAL_GROUP).memberAddresses().stream()
                 .filter(member -> !member.equals(self))
                 .toList();
     }
@@ -392,7 +392,7 @@
     }
 
     private void answerClaims(String group, RegionGroup region, Outbox out) {
-        long applied = region.replica().applied();
+        long applied = region.replica().appliedIndex();
         pendingClaims.get(group).entrySet().removeIf(entry -> {
             if (entry.getKey() > applied) {
                 return false;
@@ -551,7 +551,7 @@
     private void answerProposals(Outbox out) {
         Replica replica = replicas.get(ControlSettings.GLOBAL_GROUP);
         pendingProposals.entrySet().removeIf(entry -> {
-            if (entry.getKey() > replica.applied()) {
+            if (entry.getKey() > replica.appliedIndex()) {
                 return false;
             }
             PendingRequest request = entry.getValue();
@@ -574,7 +574,7 @@
 
     private void answerOrders(String group, RegionGroup region, Outbox out) {
         pendingOrders.get(group).entrySet().removeIf(entry -> {
-            if (entry.getKey() > region.replica().applied()) {
+            if (entry.getKey() > region.replica().appliedIndex()) {
                 return false;
             }
             PendingRequest request = entry.getValue();
--- a/src/main/java/org/cuminshelf/control/GlobalStateMachine.java
+++ b/src/main/java/org/cuminshelf/control/GlobalStateMachine.java
@@ -16,7 +16,7 @@
 import org.cuminshelf.message.LogEntry;
 import org.cuminshelf.poison.ChangeSequence;
 import org.cuminshelf.poison.Quarantine;
-import org.cuminshelf.replica.GroupMachine;
+import org.cuminshelf.replica.ReplicatedStateMachine;
 import org.cuminshelf.usage.CommittedUsage;
 
 /**
@@ -31,7 +31,7 @@
  * declare versions, an older change that arrives late or again is acknowledged and ignored, so that an accepted
  * configuration is never reverted.
  */
-final class GlobalStateMachine implements GroupMachine {
+final class GlobalStateMachine implements ReplicatedStateMachine {
 
     /** Number of log entries for which answers are kept, and of accepted configurations for which resends are known. */
     private static final int MAX_RETAINED_ANSWERS = 1_000;
--- a/src/main/java/org/cuminshelf/control/RegionStateMachine.java
+++ b/src/main/java/org/cuminshelf/control/RegionStateMachine.java
@@ -25,7 +25,7 @@
 import org.cuminshelf.message.OrderPlaced;
 import org.cuminshelf.message.RegionMachineState;
 import org.cuminshelf.message.UpstreamSeen;
-import org.cuminshelf.replica.GroupMachine;
+import org.cuminshelf.replica.ReplicatedStateMachine;
 
 /**
  * State machine of a region group: the claims of idempotency keys and the orders to the engines of the region.
@@ -33,7 +33,7 @@
  * <p>Guarantees: a key is held by one attempt at a time and its answer, once recorded, never changes. An engine has at
  * most one pending order, and an order names the sidecar incarnation that it is addressed to.
  */
-final class RegionStateMachine implements GroupMachine {
+final class RegionStateMachine implements ReplicatedStateMachine {
 
     /** Time for which a key is kept, by the group's clock: 24 hours. */
     static final long CLAIM_RETENTION_MILLIS = 24L * 60 * 60 * 1000;
--- a/src/main/java/org/cuminshelf/control/UpdatePublisher.java
+++ b/src/main/java/org/cuminshelf/control/UpdatePublisher.java
@@ -96,7 +96,9 @@
             addDirectory(subscriber, entries, update);
         }
         if (voter) {
-            replicas.get(ControlSettings.GLOBAL_GROUP).members().forEach(member -> update.addControl(member.value()));
+            replicas.get(ControlSettings.GLOBAL_GROUP)
+                    .memberAddresses()
+                    .forEach(member -> update.addControl(member.value()));
         }
         update.setAskedAtNs(subscriber.requestClockNanos)
                 .setTakenAtUs(subscriber.receivedAtUnixMicros)
@@ -124,7 +126,7 @@
     }
 
     private boolean isSettledVoter() {
-        return replicas.get(ControlSettings.GLOBAL_GROUP).isSettledVoter();
+        return replicas.get(ControlSettings.GLOBAL_GROUP).isVoterWithDurableCommit();
     }
 
     /** Broadcasts changes: configuration changes to all subscribers, directory changes to those that want them. */
--- a/src/main/java/org/cuminshelf/process/ControlProcess.java
+++ b/src/main/java/org/cuminshelf/process/ControlProcess.java
@@ -154,7 +154,8 @@
             Replica replica = core.replica(group).orElseThrow();
             String name = "cuminshelf_replica_" + group.replaceAll("[^a-zA-Z0-9]", "_");
             EntryProcess.gauge(registry, name + "_term", "Term of the replica of " + group + ".", replica::term);
-            EntryProcess.gauge(registry, name + "_applied", "Last index applied of " + group + ".", replica::applied);
+            EntryProcess.gauge(
+                    registry, name + "_applied", "Last index applied of " + group + ".", replica::appliedIndex);
         }
     }
 
--- a/src/main/java/org/cuminshelf/replica/Formation.java
+++ b/src/main/java/org/cuminshelf/replica/ClusterFormation.java
@@ -22,12 +22,12 @@
  * Only the first of the peers forms a cluster, and only when every other said that it belongs to none; otherwise it
  * asks to join the one that is there.
  */
-final class Formation {
+final class ClusterFormation {
 
     private final ReplicaSettings settings;
     private final Map<Address, FormationAnswer> answers = new HashMap<>();
 
-    Formation(ReplicaSettings settings) {
+    ClusterFormation(ReplicaSettings settings) {
         this.settings = settings;
     }
 
@@ -60,9 +60,9 @@
     }
 
     Membership firstMembership(long identity) {
-        Membership.Builder membership = Membership.newBuilder().addVoters(Members.voter(settings.self(), identity));
+        Membership.Builder membership = Membership.newBuilder().addVoters(Memberships.voter(settings.self(), identity));
         others().forEach(peer ->
-                membership.addVoters(Members.voter(peer, answers.get(peer).getIdentity())));
+                membership.addVoters(Memberships.voter(peer, answers.get(peer).getIdentity())));
         return membership.build();
     }
 
--- a/src/main/java/org/cuminshelf/replica/Durability.java
+++ b/src/main/java/org/cuminshelf/replica/DurabilityTracker.java
@@ -15,7 +15,7 @@
  * before its disk holds it, and comes back not knowing the promise; a message that carries a promise leaves only after
  * the records before it are synced.
  */
-final class Durability {
+final class DurabilityTracker {
 
     private record Held(long sequence, Address to, Envelope.Builder message) {}
 
@@ -40,7 +40,7 @@
     private long durableIndex;
     private long durableCommit;
 
-    Durability(String group, long durableIndex, long durableCommit) {
+    DurabilityTracker(String group, long durableIndex, long durableCommit) {
         this.group = group;
         this.durableIndex = durableIndex;
         this.durableCommit = durableCommit;
--- a/src/main/java/org/cuminshelf/replica/MembershipCare.java
+++ b/src/main/java/org/cuminshelf/replica/MembershipMaintenance.java
@@ -14,7 +14,7 @@
  * So where membership is open, a voter that is silent leaves before a learner votes, and leaves a group of even size by
  * itself: that costs no tolerance, as a group of four bears one loss like a group of three.
  */
-final class MembershipCare {
+final class MembershipMaintenance {
 
     /** Silence after which a voter gives way to a learner that caught up; longer than an election takes. */
     private static final long SILENT_REPLACED = Durations.nanos(1_300);
@@ -25,7 +25,7 @@
     /** A learner that was heard within this time is there to vote; as long as a follower waits for its leader. */
     private static final long HEARD_WITHIN = Durations.nanos(600);
 
-    private MembershipCare() {}
+    private MembershipMaintenance() {}
 
     /** The next step, if one is due. */
     static Optional<Membership> next(
@@ -46,7 +46,7 @@
             boolean replaceable = learnerReady && silent > SILENT_REPLACED || even && silent > SILENT_REMOVED;
             boolean leaves = peer.learner ? silent > SILENT_LEARNER : replaceable;
             if (leaves) {
-                return Optional.of(Members.without(membership, peer.identity));
+                return Optional.of(Memberships.without(membership, peer.identity));
             }
         }
         return Optional.empty();
@@ -59,7 +59,7 @@
                     .filter(known -> isCaughtUp(now, known, commit))
                     .isPresent();
             if (learner.getLearner() && ready) {
-                return Optional.of(Members.promoted(membership, learner));
+                return Optional.of(Memberships.promoted(membership, learner));
             }
         }
         return Optional.empty();
--- a/src/main/java/org/cuminshelf/replica/Members.java
+++ b/src/main/java/org/cuminshelf/replica/Memberships.java
@@ -7,9 +7,9 @@
 import org.cuminshelf.message.Voter;
 
 /** Questions about a membership, and the steps that change it one at a time. */
-final class Members {
+final class Memberships {
 
-    private Members() {}
+    private Memberships() {}
 
     static Voter voter(Address address, long identity) {
         return Voter.newBuilder()
--- a/src/main/java/org/cuminshelf/replica/PeerTable.java
+++ b/src/main/java/org/cuminshelf/replica/PeerTable.java
@@ -112,9 +112,9 @@
     }
 
     private long reached(long own, ToLongFunction<Peer> value, long none) {
-        int quorum = Members.quorum(membership);
+        int quorum = Memberships.quorum(membership);
         List<Long> values = new ArrayList<>();
-        if (Members.isVoter(membership, self)) {
+        if (Memberships.isVoter(membership, self)) {
             values.add(own);
         }
         peers.values().stream().filter(peer -> !peer.learner).forEach(peer -> values.add(value.applyAsLong(peer)));
--- a/src/main/java/org/cuminshelf/replica/Replica.java
+++ b/src/main/java/org/cuminshelf/replica/Replica.java
@@ -67,15 +67,15 @@
     private static final int ENTRIES_KEPT = 500;
 
     private final ReplicaSettings settings;
-    private final GroupMachine machine;
+    private final ReplicatedStateMachine machine;
     private final UniformRandomProvider random;
     private final Invariants invariants;
     private final long identity;
-    private final EntryLog log = new EntryLog();
-    private final Durability durability;
+    private final ReplicatedLog log = new ReplicatedLog();
+    private final DurabilityTracker durability;
     private final PeerTable peers;
     private final Set<Long> votes = new HashSet<>();
-    private final Formation formation;
+    private final ClusterFormation formation;
     private final PendingReads reads = new PendingReads();
 
     private long cluster;
@@ -99,12 +99,12 @@
     private Replica(
             ReplicaSettings settings,
             DurableState durable,
-            GroupMachine machine,
+            ReplicatedStateMachine machine,
             long now,
             UniformRandomProvider random,
             Invariants invariants) {
         this.settings = settings;
-        this.formation = new Formation(settings);
+        this.formation = new ClusterFormation(settings);
         this.machine = machine;
         this.random = random;
         this.invariants = invariants;
@@ -117,7 +117,7 @@
         durable.entries().forEach(log::append);
         this.commit = Math.max(commit, Math.min(durable.hardState().getCommit(), log.lastIndex()));
         this.savedCommit = commit;
-        this.durability = new Durability(settings.group(), log.lastIndex(), commit);
+        this.durability = new DurabilityTracker(settings.group(), log.lastIndex(), commit);
         this.role = cluster == 0 ? Role.UNFORMED : Role.FOLLOWER;
         // A vote right after its former life ended could break the lease of a leader this replica has forgotten.
         this.leaderHeardAt = now;
@@ -138,7 +138,7 @@
     public static Replica start(
             ReplicaSettings settings,
             DurableState durable,
-            GroupMachine machine,
+            ReplicatedStateMachine machine,
             long now,
             UniformRandomProvider random,
             Invariants invariants) {
@@ -306,7 +306,7 @@
      *
      * @return true if so
      */
-    public boolean isSettledVoter() {
+    public boolean isVoterWithDurableCommit() {
         return isVoter(identity) && (!settings.recordsCommit() || applied <= durability.durableCommit());
     }
 
@@ -324,8 +324,8 @@
      *
      * @return the addresses
      */
-    public List<Address> members() {
-        return Members.addresses(log.membership());
+    public List<Address> memberAddresses() {
+        return Memberships.addresses(log.membership());
     }
 
     /**
@@ -342,7 +342,7 @@
      *
      * @return the index
      */
-    public long applied() {
+    public long appliedIndex() {
         return applied;
     }
 
@@ -394,10 +394,10 @@
         }
         Address joining = open && !request.getAddress().isEmpty() ? Address.of(request.getAddress()) : from;
         boolean allowed = open || settings.peers().contains(joining);
-        if (!isSettledLeader() || !allowed || Members.isMember(log.membership(), header.getIdentity())) {
+        if (!isSettledLeader() || !allowed || Memberships.isMember(log.membership(), header.getIdentity())) {
             return;
         }
-        changeMembership(now, Members.withLearner(log.membership(), joining, header.getIdentity()));
+        changeMembership(now, Memberships.withLearner(log.membership(), joining, header.getIdentity()));
     }
 
     /** A replica that joins may know only followers: its question goes on to the leader, once. */
@@ -415,7 +415,7 @@
 
     private void mendMembership(long now) {
         if (isSettledLeader()) {
-            MembershipCare.next(now, log.membership(), peers, commit, settings.membership())
+            MembershipMaintenance.next(now, log.membership(), peers, commit, settings.membership())
                     .ifPresent(next -> changeMembership(now, next));
         }
     }
@@ -426,7 +426,7 @@
     }
 
     private boolean isVoter(long candidate) {
-        return Members.isVoter(log.membership(), candidate);
+        return Memberships.isVoter(log.membership(), candidate);
     }
 
     // ---- elections
@@ -438,7 +438,7 @@
             if (alone && settings.membership().mayForm()) {
                 form(now);
             } else {
-                formation.ask(header(), role != Role.UNFORMED, Members.addresses(log.membership()), out);
+                formation.ask(header(), role != Role.UNFORMED, Memberships.addresses(log.membership()), out);
                 electionDue = now + FORMATION_AGAIN;
             }
             return;
@@ -448,7 +448,7 @@
             stand(now, true);
         } else {
             leader = Optional.empty();
-            formation.ask(header(), role != Role.UNFORMED, Members.addresses(log.membership()), out);
+            formation.ask(header(), role != Role.UNFORMED, Memberships.addresses(log.membership()), out);
         }
     }
 
@@ -535,7 +535,7 @@
 
     private void countVotes(long now) {
         long counted = votes.stream().filter(this::isVoter).count();
-        if (counted < Members.quorum(log.membership())) {
+        if (counted < Memberships.quorum(log.membership())) {
             return;
         }
         if (role == Role.TRIAL) {
--- a/src/main/java/org/cuminshelf/replica/EntryLog.java
+++ b/src/main/java/org/cuminshelf/replica/ReplicatedLog.java
@@ -8,7 +8,7 @@
 import org.cuminshelf.message.Snapshot;
 
 /** The log of a replica in memory: a snapshot and the entries after it. */
-final class EntryLog {
+final class ReplicatedLog {
 
     private final List<LogEntry> entries = new ArrayList<>();
     /** Index and term of the entry before the first one held. */
--- a/src/main/java/org/cuminshelf/replica/GroupMachine.java
+++ b/src/main/java/org/cuminshelf/replica/ReplicatedStateMachine.java
@@ -3,7 +3,7 @@
 import org.cuminshelf.message.LogEntry;
 
 /** What a group's log is applied to. All replicas apply the same entries in the same order. */
-public interface GroupMachine {
+public interface ReplicatedStateMachine {
 
     /**
      * Applies a committed entry.
--- a/src/main/java/org/cuminshelf/sidecar/Journal.java
+++ b/src/main/java/org/cuminshelf/sidecar/AttemptJournal.java
@@ -13,27 +13,27 @@
  * The table of sessions and attempts. It lives in memory only: after a restart no session of the earlier incarnation
  * is known, and nothing is sworn about its attempts.
  */
-final class Journal {
+final class AttemptJournal {
 
     private static final long SESSION_IDLE = Durations.nanos(600_000);
 
     private record EntryKey(Address entry, long incarnation) {}
 
     private final UniformRandomProvider random;
-    private final Map<Long, SessionRow> sessions = new TreeMap<>();
-    private final Map<EntryKey, SessionRow> byEntry = new HashMap<>();
-    private final Map<Long, AttemptRow> running = new TreeMap<>();
+    private final Map<Long, EntrySession> sessions = new TreeMap<>();
+    private final Map<EntryKey, EntrySession> byEntry = new HashMap<>();
+    private final Map<Long, AttemptRecord> running = new TreeMap<>();
     private long nextAttempt = 1;
     private long promptWaiting;
 
-    Journal(UniformRandomProvider random) {
+    AttemptJournal(UniformRandomProvider random) {
         this.random = random;
     }
 
     /** Finds or opens the session of an entry's incarnation. */
-    SessionRow open(long now, Address entry, long incarnation) {
-        SessionRow row = byEntry.computeIfAbsent(new EntryKey(entry, incarnation), key -> {
-            SessionRow made = new SessionRow(newSessionId(), entry, incarnation);
+    EntrySession open(long now, Address entry, long incarnation) {
+        EntrySession row = byEntry.computeIfAbsent(new EntryKey(entry, incarnation), key -> {
+            EntrySession made = new EntrySession(newSessionId(), entry, incarnation);
             sessions.put(made.id, made);
             return made;
         });
@@ -41,23 +41,23 @@
         return row;
     }
 
-    Optional<SessionRow> session(long id) {
+    Optional<EntrySession> session(long id) {
         return Optional.ofNullable(sessions.get(id));
     }
 
-    Iterable<SessionRow> sessions() {
+    Iterable<EntrySession> sessions() {
         return sessions.values();
     }
 
-    Optional<AttemptRow> attempt(long session, long number) {
+    Optional<AttemptRecord> attempt(long session, long number) {
         return session(session).map(row -> row.attempts.get(number));
     }
 
-    Optional<AttemptRow> runningAttempt(long id) {
+    Optional<AttemptRecord> runningAttempt(long id) {
         return Optional.ofNullable(running.get(id));
     }
 
-    Iterable<AttemptRow> running() {
+    Iterable<AttemptRecord> running() {
         return running.values();
     }
 
@@ -69,19 +69,19 @@
         return nextAttempt++;
     }
 
-    void started(AttemptRow row) {
+    void started(AttemptRecord row) {
         row.session.remember(row);
         running.put(row.id, row);
         promptWaiting += row.promptWaiting;
     }
 
     /** The upstream has taken the prompt in. */
-    void promptTaken(AttemptRow row) {
+    void promptTaken(AttemptRecord row) {
         promptWaiting -= row.promptWaiting;
         row.promptWaiting = 0;
     }
 
-    void ended(AttemptRow row) {
+    void ended(AttemptRecord row) {
         promptTaken(row);
         running.remove(row.id);
     }
@@ -96,9 +96,9 @@
 
     /** Drops sessions that were silent for long and run nothing; their dispatches are refused from then on. */
     void dropIdle(long now) {
-        Iterator<SessionRow> rows = sessions.values().iterator();
+        Iterator<EntrySession> rows = sessions.values().iterator();
         while (rows.hasNext()) {
-            SessionRow row = rows.next();
+            EntrySession row = rows.next();
             if (now - row.lastHeard > SESSION_IDLE && !row.hasRunning()) {
                 rows.remove();
                 byEntry.remove(new EntryKey(row.entry, row.entryIncarnation));
--- a/src/main/java/org/cuminshelf/sidecar/AttemptRow.java
+++ b/src/main/java/org/cuminshelf/sidecar/AttemptRecord.java
@@ -8,7 +8,7 @@
 import org.cuminshelf.message.ExchangeHead;
 
 /** One attempt in the journal of a sidecar. */
-final class AttemptRow {
+final class AttemptRecord {
 
     /** What the journal can swear of an attempt. */
     enum State {
@@ -19,7 +19,7 @@
     }
 
     final long id;
-    final SessionRow session;
+    final EntrySession session;
     final long number;
     State state;
     /** Tokens the caller held before this attempt. */
@@ -37,7 +37,7 @@
     /** When the last tokens came. */
     long lastTokensAt;
 
-    private AttemptRow(long id, SessionRow session, long number, State state) {
+    private AttemptRecord(long id, EntrySession session, long number, State state) {
         this.id = id;
         this.session = session;
         this.number = number;
@@ -45,8 +45,8 @@
     }
 
     /** An attempt handed to the upstream. */
-    static AttemptRow running(long id, SessionRow session, Dispatch dispatch) {
-        AttemptRow row = new AttemptRow(id, session, dispatch.getNumber(), State.RUNNING);
+    static AttemptRecord running(long id, EntrySession session, Dispatch dispatch) {
+        AttemptRecord row = new AttemptRecord(id, session, dispatch.getNumber(), State.RUNNING);
         row.firstOffset = dispatch.getGeneration().getHeldCount();
         row.promptTokens = dispatch.getGeneration().getPromptTokens();
         row.promptWaiting = dispatch.getPromptCost();
@@ -54,8 +54,8 @@
     }
 
     /** An attempt that must not start any more. */
-    static AttemptRow forbidden(SessionRow session, long number) {
-        return new AttemptRow(0, session, number, State.FORBIDDEN);
+    static AttemptRecord forbidden(EntrySession session, long number) {
+        return new AttemptRecord(0, session, number, State.FORBIDDEN);
     }
 
     /** Length of the answer so far, counted from the start of the call. */
--- a/src/main/java/org/cuminshelf/sidecar/GapMeter.java
+++ b/src/main/java/org/cuminshelf/sidecar/InterTokenLatencyMeter.java
@@ -4,7 +4,7 @@
  * The time between two tokens of a stream, as an exponentially weighted mean over all streams of the upstream. It is
  * what callers feel of a full batch, and it is measured, not reckoned from the upstream's own reports.
  */
-final class GapMeter {
+final class InterTokenLatencyMeter {
 
     private static final double WEIGHT_OF_NEW = 0.05;
     private static final double NANOS_PER_MICRO = 1e3;
--- a/src/main/java/org/cuminshelf/sidecar/OrderGuard.java
+++ b/src/main/java/org/cuminshelf/sidecar/OrderExecutor.java
@@ -33,7 +33,7 @@
  *   <li>The upstream crashes in the middle of a change. The outcome is read back from it, never assumed.</li>
  * </ul>
  */
-final class OrderGuard {
+final class OrderExecutor {
 
     /** An order is written within this time of its arrival or not at all. */
     static final long LONGEST_START = Durations.nanos(40_000);
@@ -49,7 +49,7 @@
     private final long incarnation;
     private final long startedAt;
     private final Invariants invariants;
-    private OrderRow current;
+    private OrderInProgress current;
     private OrderReport lastReport;
     private long fence;
     private long nextToken = 1;
@@ -60,7 +60,7 @@
     private boolean draining;
     private long lastTick;
 
-    OrderGuard(SidecarSettings settings, long incarnation, long startedAt, Invariants invariants) {
+    OrderExecutor(SidecarSettings settings, long incarnation, long startedAt, Invariants invariants) {
         this.settings = settings;
         this.incarnation = incarnation;
         this.startedAt = startedAt;
@@ -104,14 +104,14 @@
             repeatReport(out, control);
             return;
         }
-        if (current != null && current.phase != OrderRow.Phase.DRAINING) {
+        if (current != null && current.phase != OrderInProgress.Phase.DRAINING) {
             return;
         }
         fence = order.getNumber();
         long startBefore = now + Math.min(LONGEST_START, Durations.nanos(sent.getStartWithinMs()));
         askAnew(now);
         long patience = Math.min(DRAIN_PATIENCE, (startBefore - now) / 2);
-        current = new OrderRow(order, control, sent.getGroup(), startBefore, now + patience);
+        current = new OrderInProgress(order, control, sent.getGroup(), startBefore, now + patience);
     }
 
     /** From here on only answers to new questions count. */
@@ -144,7 +144,7 @@
         }
         rested = true;
         settled = true;
-        if (current != null && current.phase == OrderRow.Phase.READING_BACK) {
+        if (current != null && current.phase == OrderInProgress.Phase.READING_BACK) {
             boolean applied = isInForce(current.order.getBody(), load);
             finish(out, applied, applied ? Cause.CAUSE_NONE : Cause.UPSTREAM_ERROR);
         }
@@ -159,7 +159,7 @@
             finish(out, false, applied.getCause());
             return;
         }
-        current.phase = OrderRow.Phase.READING_BACK;
+        current.phase = OrderInProgress.Phase.READING_BACK;
         askAnew(now);
     }
 
@@ -175,7 +175,7 @@
             out.send(Address.UPSTREAM, Envelope.newBuilder().setReadUpstream(read));
             nextRead = now + READ_AGAIN;
         }
-        if (current == null || current.phase != OrderRow.Phase.DRAINING) {
+        if (current == null || current.phase != OrderInProgress.Phase.DRAINING) {
             return false;
         }
         if (now >= current.startBefore) {
@@ -200,7 +200,7 @@
 
     long nextDue() {
         long due = needsRead() ? nextRead : Core.NEVER;
-        if (current != null && current.phase == OrderRow.Phase.DRAINING) {
+        if (current != null && current.phase == OrderInProgress.Phase.DRAINING) {
             due = Math.min(due, current.startBefore);
             due = Math.min(due, ifAhead(current.drainUntil));
             due = Math.min(due, ifAhead(startedAt + WAIT_OUT));
@@ -218,7 +218,7 @@
                 !isChanging() || running == 0,
                 "no-request-cut-by-a-role-change",
                 () -> "order " + current.order.getNumber() + " starts over " + running + " attempts");
-        current.phase = OrderRow.Phase.APPLYING;
+        current.phase = OrderInProgress.Phase.APPLYING;
         out.send(
                 Address.UPSTREAM,
                 Envelope.newBuilder()
@@ -227,11 +227,11 @@
     }
 
     private boolean needsRead() {
-        return !rested || current != null && current.phase == OrderRow.Phase.READING_BACK;
+        return !rested || current != null && current.phase == OrderInProgress.Phase.READING_BACK;
     }
 
     private void finish(Outbox out, boolean applied, Cause cause) {
-        OrderRow done = current;
+        OrderInProgress done = current;
         current = null;
         report(out, done.control, done.group, done.order.getNumber(), applied, cause);
     }
--- a/src/main/java/org/cuminshelf/sidecar/OrderRow.java
+++ b/src/main/java/org/cuminshelf/sidecar/OrderInProgress.java
@@ -4,7 +4,7 @@
 import org.cuminshelf.message.Order;
 
 /** The one order a sidecar is carrying out. */
-final class OrderRow {
+final class OrderInProgress {
 
     /** How far the order is. */
     enum Phase {
@@ -23,7 +23,7 @@
     final long drainUntil;
     Phase phase = Phase.DRAINING;
 
-    OrderRow(Order order, Address control, String group, long startBefore, long drainUntil) {
+    OrderInProgress(Order order, Address control, String group, long startBefore, long drainUntil) {
         this.order = order;
         this.control = control;
         this.group = group;
--- a/src/main/java/org/cuminshelf/sidecar/PrefillMeter.java
+++ b/src/main/java/org/cuminshelf/sidecar/PrefillRateMeter.java
@@ -4,7 +4,7 @@
  * Prompt tokens that the upstream takes in a second while any wait, as an exponentially weighted mean. Beside running
  * streams an engine takes prompts far slower than alone; first tokens reckoned with the speed it has alone come late.
  */
-final class PrefillMeter {
+final class PrefillRateMeter {
 
     private static final double WEIGHT_OF_NEW = 0.1;
     private static final double NANOS_PER_SECOND = 1e9;
--- a/src/main/java/org/cuminshelf/sidecar/SidecarCore.java
+++ b/src/main/java/org/cuminshelf/sidecar/SidecarCore.java
@@ -42,10 +42,10 @@
 
     private final SidecarSettings settings;
     private final Invariants invariants;
-    private final Journal journal;
-    private final OrderGuard orders;
-    private final GapMeter gaps = new GapMeter();
-    private final PrefillMeter prefill = new PrefillMeter();
+    private final AttemptJournal journal;
+    private final OrderExecutor orders;
+    private final InterTokenLatencyMeter gaps = new InterTokenLatencyMeter();
+    private final PrefillRateMeter prefill = new PrefillRateMeter();
     private LoadReport upstreamLoad = LoadReport.getDefaultInstance();
     private boolean upstreamReachable;
     private boolean leaving;
@@ -61,8 +61,8 @@
             SidecarSettings settings, long incarnation, long now, UniformRandomProvider random, Invariants invariants) {
         this.settings = settings;
         this.invariants = invariants;
-        this.journal = new Journal(random);
-        this.orders = new OrderGuard(settings, incarnation, now, invariants);
+        this.journal = new AttemptJournal(random);
+        this.orders = new OrderExecutor(settings, incarnation, now, invariants);
         this.nextAnnounce = now;
         this.nextIdleCheck = now + IDLE_CHECK_EVERY;
     }
@@ -143,12 +143,12 @@
      *
      * @return true while a role change is on its way
      */
-    public boolean isChanging() {
+    public boolean isRoleChangePending() {
         return orders.isChanging();
     }
 
     private void onOpenSession(long now, Address entry, long entryIncarnation, Outbox out) {
-        SessionRow row = journal.open(now, entry, entryIncarnation);
+        EntrySession row = journal.open(now, entry, entryIncarnation);
         out.send(
                 entry,
                 Envelope.newBuilder()
@@ -159,15 +159,15 @@
     }
 
     private void onDispatch(long now, Address entry, Dispatch dispatch, Outbox out) {
-        Optional<SessionRow> known = journal.session(dispatch.getSession());
+        Optional<EntrySession> known = journal.session(dispatch.getSession());
         if (known.isEmpty()) {
             refuse(entry, dispatch, Cause.UNKNOWN_SESSION, 0, null, out);
             return;
         }
-        SessionRow session = known.get();
+        EntrySession session = known.get();
         session.lastHeard = now;
-        AttemptRow earlier = session.attempts.get(dispatch.getNumber());
-        if (earlier != null && earlier.state != AttemptRow.State.FORBIDDEN) {
+        AttemptRecord earlier = session.attempts.get(dispatch.getNumber());
+        if (earlier != null && earlier.state != AttemptRecord.State.FORBIDDEN) {
             return;
         }
         if (earlier != null || dispatch.getNumber() <= session.floor) {
@@ -176,7 +176,7 @@
         }
         Optional<Cause> refusal = refusal(dispatch);
         if (refusal.isPresent()) {
-            session.remember(AttemptRow.forbidden(session, dispatch.getNumber()));
+            session.remember(AttemptRecord.forbidden(session, dispatch.getNumber()));
             refuse(entry, dispatch, refusal.get(), RETRY_AFTER_BUSY_MILLIS, session, out);
             return;
         }
@@ -205,8 +205,8 @@
         return settings.kind() == UpstreamKind.UPSTREAM_ENGINE && !orders.isSettled();
     }
 
-    private void start(long now, SessionRow session, Dispatch dispatch, Outbox out) {
-        AttemptRow row = AttemptRow.running(journal.newAttemptId(), session, dispatch);
+    private void start(long now, EntrySession session, Dispatch dispatch, Outbox out) {
+        AttemptRecord row = AttemptRecord.running(journal.newAttemptId(), session, dispatch);
         prefill.waiting(now, journal.promptWaiting());
         journal.started(row);
         StartUpstream.Builder start = StartUpstream.newBuilder()
@@ -224,7 +224,7 @@
     }
 
     private void refuse(
-            Address entry, Dispatch dispatch, Cause cause, int retryAfterMillis, SessionRow session, Outbox out) {
+            Address entry, Dispatch dispatch, Cause cause, int retryAfterMillis, EntrySession session, Outbox out) {
         Refused.Builder refused = Refused.newBuilder()
                 .setSession(dispatch.getSession())
                 .setNumber(dispatch.getNumber())
@@ -237,19 +237,19 @@
     }
 
     private void onCancel(Cancel cancel, Outbox out) {
-        Optional<SessionRow> session = journal.session(cancel.getSession());
+        Optional<EntrySession> session = journal.session(cancel.getSession());
         if (session.isEmpty()) {
             return;
         }
-        AttemptRow row = session.get().attempts.get(cancel.getNumber());
+        AttemptRecord row = session.get().attempts.get(cancel.getNumber());
         if (row == null) {
             if (cancel.getNumber() > session.get().floor) {
-                session.get().remember(AttemptRow.forbidden(session.get(), cancel.getNumber()));
+                session.get().remember(AttemptRecord.forbidden(session.get(), cancel.getNumber()));
             }
             return;
         }
         boolean isGeneration = settings.kind() == UpstreamKind.UPSTREAM_ENGINE;
-        if (row.state == AttemptRow.State.RUNNING && isGeneration) {
+        if (row.state == AttemptRecord.State.RUNNING && isGeneration) {
             cancelUpstream(row, out);
             end(row, Ran.RAN, Cause.CANCELLED, "cancelled", out);
         }
@@ -260,30 +260,30 @@
                 .setSession(revoke.getSession())
                 .setNumber(revoke.getNumber())
                 .setQuestion(revoke.getQuestion());
-        Optional<SessionRow> known = journal.session(revoke.getSession());
+        Optional<EntrySession> known = journal.session(revoke.getSession());
         if (known.isEmpty()) {
             answer.setState(AttemptState.ATTEMPT_UNKNOWN);
             out.sendFresh(entry, Envelope.newBuilder().setRevokeAnswer(answer));
             return;
         }
-        SessionRow session = known.get();
+        EntrySession session = known.get();
         session.lastHeard = now;
-        AttemptRow row = session.attempts.get(revoke.getNumber());
+        AttemptRecord row = session.attempts.get(revoke.getNumber());
         if (row == null && revoke.getNumber() <= session.floor) {
             answer.setState(AttemptState.ATTEMPT_UNKNOWN);
         } else if (row == null) {
-            session.remember(AttemptRow.forbidden(session, revoke.getNumber()));
+            session.remember(AttemptRecord.forbidden(session, revoke.getNumber()));
             answer.setState(AttemptState.ATTEMPT_NOT_RUN);
         } else {
             answer.setState(stateOf(row));
-            if (row.state != AttemptRow.State.FORBIDDEN) {
+            if (row.state != AttemptRecord.State.FORBIDDEN) {
                 describe(row, entry, revoke, answer, out);
             }
         }
         out.sendFresh(entry, Envelope.newBuilder().setRevokeAnswer(answer));
     }
 
-    private static AttemptState stateOf(AttemptRow row) {
+    private static AttemptState stateOf(AttemptRecord row) {
         return switch (row.state) {
             case FORBIDDEN -> AttemptState.ATTEMPT_NOT_RUN;
             case RUNNING -> AttemptState.ATTEMPT_RUNNING;
@@ -292,12 +292,12 @@
     }
 
     /** Tells the asker what it lacks: the owner gets the missing chunks again, another entry the whole answer. */
-    private void describe(AttemptRow row, Address asker, Revoke revoke, RevokeAnswer.Builder answer, Outbox out) {
+    private void describe(AttemptRecord row, Address asker, Revoke revoke, RevokeAnswer.Builder answer, Outbox out) {
         if (asker.equals(row.session.entry)) {
             resend(row, revoke.getHeld(), out);
             return;
         }
-        if (row.state == AttemptRow.State.ENDED) {
+        if (row.state == AttemptRecord.State.ENDED) {
             answer.setEnded(row.ended).setBody(row.body);
             if (row.head != null) {
                 answer.setHead(row.head);
@@ -305,7 +305,7 @@
         }
     }
 
-    private void resend(AttemptRow row, long held, Outbox out) {
+    private void resend(AttemptRecord row, long held, Outbox out) {
         Chunk.Builder chunk = Chunk.newBuilder()
                 .setSession(row.session.id)
                 .setNumber(row.number)
@@ -323,14 +323,14 @@
         if (chunk.hasHead() || chunk.getTokensCount() > 0 || !chunk.getBody().isEmpty()) {
             out.send(row.session.entry, Envelope.newBuilder().setChunk(chunk));
         }
-        if (row.state == AttemptRow.State.ENDED) {
+        if (row.state == AttemptRecord.State.ENDED) {
             out.send(row.session.entry, Envelope.newBuilder().setEnded(row.ended));
         }
     }
 
     private void onReceived(Received received) {
         journal.attempt(received.getSession(), received.getNumber())
-                .filter(row -> row.state == AttemptRow.State.ENDED)
+                .filter(row -> row.state == AttemptRecord.State.ENDED)
                 .ifPresent(row -> {
                     row.tokens.clear();
                     row.body = com.google.protobuf.ByteString.EMPTY;
@@ -352,11 +352,11 @@
     }
 
     private void onPart(long now, UpstreamPart part, Outbox out) {
-        Optional<AttemptRow> found = journal.runningAttempt(part.getAttempt());
+        Optional<AttemptRecord> found = journal.runningAttempt(part.getAttempt());
         if (found.isEmpty()) {
             return;
         }
-        AttemptRow row = found.get();
+        AttemptRecord row = found.get();
         Chunk.Builder chunk = Chunk.newBuilder()
                 .setSession(row.session.id)
                 .setNumber(row.number)
@@ -387,13 +387,13 @@
                 .ifPresent(row -> end(row, end.getRan(), end.getCause(), end.getFinishReason(), out));
     }
 
-    private void end(AttemptRow row, Ran ran, Cause cause, String finishReason, Outbox out) {
+    private void end(AttemptRecord row, Ran ran, Cause cause, String finishReason, Outbox out) {
         invariants.check(
-                row.state == AttemptRow.State.RUNNING,
+                row.state == AttemptRecord.State.RUNNING,
                 "an-attempt-ends-once",
                 () -> "attempt " + row.number + " of session " + row.session.id + " ended twice");
         journal.ended(row);
-        row.state = AttemptRow.State.ENDED;
+        row.state = AttemptRecord.State.ENDED;
         Ended.Builder ended = Ended.newBuilder()
                 .setSession(row.session.id)
                 .setNumber(row.number)
@@ -426,7 +426,7 @@
 
     /** Ends the generations that outlast a change's patience; their entries go on with them on another engine. */
     private void moveGenerations(Outbox out) {
-        for (AttemptRow row : java.util.List.copyOf(asCollection(journal.running()))) {
+        for (AttemptRecord row : java.util.List.copyOf(asCollection(journal.running()))) {
             if (!row.moved) {
                 row.moved = true;
                 cancelUpstream(row, out);
@@ -435,8 +435,8 @@
         }
     }
 
-    private static java.util.Collection<AttemptRow> asCollection(Iterable<AttemptRow> rows) {
-        java.util.List<AttemptRow> copy = new java.util.ArrayList<>();
+    private static java.util.Collection<AttemptRecord> asCollection(Iterable<AttemptRecord> rows) {
+        java.util.List<AttemptRecord> copy = new java.util.ArrayList<>();
         rows.forEach(copy::add);
         return copy;
     }
@@ -445,7 +445,7 @@
         if (settings.kind() != UpstreamKind.UPSTREAM_ENGINE) {
             return;
         }
-        for (AttemptRow row : asCollection(journal.running())) {
+        for (AttemptRecord row : asCollection(journal.running())) {
             if (now - row.session.lastHeard > ENTRY_SILENCE) {
                 cancelUpstream(row, out);
                 end(row, Ran.RAN, Cause.CANCELLED, "cancelled", out);
@@ -453,7 +453,7 @@
         }
     }
 
-    private static void cancelUpstream(AttemptRow row, Outbox out) {
+    private static void cancelUpstream(AttemptRecord row, Outbox out) {
         out.send(
                 Address.UPSTREAM,
                 Envelope.newBuilder()
@@ -469,7 +469,7 @@
         }
         wasOpen = isOpen;
         nextAnnounce = now;
-        for (SessionRow session : journal.sessions()) {
+        for (EntrySession session : journal.sessions()) {
             out.send(session.entry, Envelope.newBuilder().setLoadReport(load(session)));
         }
     }
@@ -512,7 +512,7 @@
                 .build();
     }
 
-    private LoadReport load(SessionRow session) {
+    private LoadReport load(EntrySession session) {
         LoadReport.Builder load = upstreamLoad.toBuilder()
                 .setRunning(journal.runningCount())
                 .setQueuedPromptTokens(journal.promptWaiting())
--- a/src/main/java/org/cuminshelf/storage/DamagedLogException.java
+++ b/src/main/java/org/cuminshelf/storage/CorruptLogException.java
@@ -3,7 +3,7 @@
 import java.io.IOException;
 
 /** A log has a bad record before one that was synced: what it promised can't be known, so it must not be used. */
-public final class DamagedLogException extends IOException {
+public final class CorruptLogException extends IOException {
 
     private static final long serialVersionUID = 1L;
 
@@ -12,7 +12,7 @@
      *
      * @param message what was found, and what to do
      */
-    public DamagedLogException(String message) {
+    public CorruptLogException(String message) {
         super(message);
     }
 }
--- a/src/main/java/org/cuminshelf/storage/FileLogDevice.java
+++ b/src/main/java/org/cuminshelf/storage/FileLogDevice.java
@@ -86,7 +86,7 @@
     }
 
     @Override
-    public void cut(long length) throws IOException {
+    public void truncate(long length) throws IOException {
         channel.truncate(length);
         channel.position(length);
         channel.force(true);
--- a/src/main/java/org/cuminshelf/storage/GroupLog.java
+++ b/src/main/java/org/cuminshelf/storage/GroupLog.java
@@ -143,7 +143,7 @@
         }
         if (position < content.length) {
             refuseIfDamaged(content, position);
-            device.cut(position);
+            device.truncate(position);
         }
         length = position;
         synced = position;
@@ -174,13 +174,13 @@
         }
     }
 
-    private void refuseIfDamaged(byte[] content, int bad) throws DamagedLogException {
+    private void refuseIfDamaged(byte[] content, int bad) throws CorruptLogException {
         ByteBuffer buffer = ByteBuffer.wrap(content);
         for (int position = bad + 1; position <= content.length - HEADER; position++) {
             boolean readable =
                     buffer.getInt(position) == MARK && decode(content, position).isPresent();
             if (readable && buffer.getLong(position + CHECKED_FROM) > bad) {
-                throw new DamagedLogException(name + ": damaged at byte " + bad
+                throw new CorruptLogException(name + ": damaged at byte " + bad
                         + ", before records that were synced; move the folder away and start this replica anew,"
                         + " so that it joins as a learner");
             }
@@ -193,7 +193,7 @@
         int position = 0;
         while (position < length) {
             replay.add(decode(content, position)
-                    .orElseThrow(() -> new DamagedLogException(name + ": can't be read back")));
+                    .orElseThrow(() -> new CorruptLogException(name + ": can't be read back")));
             position += HEADER + payloadLength(content, position);
         }
         DurableState state = replay.state();
--- a/src/main/java/org/cuminshelf/storage/LogDevice.java
+++ b/src/main/java/org/cuminshelf/storage/LogDevice.java
@@ -35,7 +35,7 @@
      * @param length the length to keep
      * @throws IOException if it can't be cut
      */
-    void cut(long length) throws IOException;
+    void truncate(long length) throws IOException;
 
     /**
      * Replaces the whole content at once, durably: after a crash either the old or the new content is there.
--- a/src/main/java/org/cuminshelf/trial/Experiment.java
+++ b/src/main/java/org/cuminshelf/trial/Experiment.java
@@ -367,7 +367,10 @@
         for (int i = 0; i < engines.size(); i++) {
             SidecarCore core = sidecars.get(i).core(SidecarCore.class).orElseThrow();
             views.add(new EngineSnapshot(
-                    Integer.toString(i), engines.get(i).model().role(), core.isChanging(), core.runningAttempts()));
+                    Integer.toString(i),
+                    engines.get(i).model().role(),
+                    core.isRoleChangePending(),
+                    core.runningAttempts()));
         }
         for (RoleChange change : planner.plan(time.now(), views, new CumulativeDemand(prompt, output))) {
             order(Integer.parseInt(change.engine()), change.role());
--- a/src/main/java/org/cuminshelf/trial/VirtualDisk.java
+++ b/src/main/java/org/cuminshelf/trial/VirtualDisk.java
@@ -131,7 +131,7 @@
         }
 
         @Override
-        public void cut(long length) {
+        public void truncate(long length) {
             content = Arrays.copyOf(content, (int) length);
             synced = content.length;
         }
--- a/src/test/java/org/cuminshelf/replica/OpenMembershipTest.java
+++ b/src/test/java/org/cuminshelf/replica/OpenMembershipTest.java
@@ -80,7 +80,7 @@
     }
 
     /** Keeps nothing but how much it applied. */
-    private static final class CountingMachine implements GroupMachine {
+    private static final class CountingMachine implements ReplicatedStateMachine {
         @Override
         public void apply(LogEntry entry) {
             // The log itself is what is looked at.
@@ -247,7 +247,7 @@
         long index =
                 leads.replica.propose(now, LogEntry.newBuilder().setNone(true)).orElseThrow();
         pass(1_000);
-        return leads.replica.applied() >= index;
+        return leads.replica.appliedIndex() >= index;
     }
 
     private Optional<Node> leader() {
--- a/src/test/java/org/cuminshelf/replica/ReplicaTest.java
+++ b/src/test/java/org/cuminshelf/replica/ReplicaTest.java
@@ -135,7 +135,7 @@
                 LogEntry.newBuilder().setIndex(2).setTerm(1).setNone(true).build();
         Replica replica = start(new DurableState(hard, Optional.of(snapshot()), List.of(entry)));
         replica.tick(now, out);
-        assertThat(replica.applied()).isEqualTo(2);
+        assertThat(replica.appliedIndex()).isEqualTo(2);
     }
 
     private Replica member(long identity) {
@@ -204,7 +204,7 @@
     }
 
     /** A machine without state. */
-    private static final class NoMachine implements GroupMachine {
+    private static final class NoMachine implements ReplicatedStateMachine {
         @Override
         public void apply(LogEntry entry) {
             // Nothing to change.
--- a/src/test/java/org/cuminshelf/sidecar/SidecarCoreTest.java
+++ b/src/test/java/org/cuminshelf/sidecar/SidecarCoreTest.java
@@ -64,7 +64,7 @@
     @Example
     void theSameHoldsAfterTheJournalForgotTheRevoke() {
         open();
-        for (long number = 1; number <= 3L * SessionRow.REMEMBERED_ATTEMPTS; number++) {
+        for (long number = 1; number <= 3L * EntrySession.REMEMBERED_ATTEMPTS; number++) {
             give(ENTRY, revoke(number));
         }
         out.take(message -> true);
--- a/src/test/java/org/cuminshelf/storage/GroupLogTest.java
+++ b/src/test/java/org/cuminshelf/storage/GroupLogTest.java
@@ -85,7 +85,7 @@
         content[(int) (at % early)] ^= 0x11;
         Files.write(file, content);
         assertThatThrownBy(() -> open(file, 8))
-                .isInstanceOf(DamagedLogException.class)
+                .isInstanceOf(CorruptLogException.class)
                 .hasMessageContaining(file.toString())
                 .hasMessageContaining("start this replica anew");
     }
