--- a/src/main/java/org/cuminshelf/bench/NullOutbox.java
+++ b/src/main/java/org/cuminshelf/bench/NullOutbox.java
@@ -28,7 +28,7 @@
     }
 
     @Override
-    public void sendFresh(Address to, Envelope.Builder message) {
+    public void sendOnNewConnection(Address to, Envelope.Builder message) {
         send(to, message);
     }
 
--- a/src/main/java/org/cuminshelf/config/ConfigFolder.java
+++ b/src/main/java/org/cuminshelf/config/ConfigFolder.java
@@ -59,8 +59,8 @@
      *
      * @return the merged tree, known to be right, or everything wrong with it
      */
-    public Either<List<ConfigProblem>, MergedConfig> check() {
-        return merge().flatMap(merged -> merged.typed().map(config -> merged));
+    public Either<List<ConfigProblem>, MergedConfig> mergeAndValidate() {
+        return merge().flatMap(merged -> merged.bind().map(config -> merged));
     }
 
     private List<Path> files(List<ConfigProblem> problems) {
--- a/src/main/java/org/cuminshelf/config/FleetConfig.java
+++ b/src/main/java/org/cuminshelf/config/FleetConfig.java
@@ -84,7 +84,7 @@
         }
         try {
             FleetConfig config = ConfigMapper.json().readValue(canonical, FleetConfig.class);
-            List<ConfigProblem> problems = config.problems(Map.of());
+            List<ConfigProblem> problems = config.validate(Map.of());
             return problems.isEmpty()
                     ? Either.right(config)
                     : Either.left(problems.getFirst().toString());
@@ -112,7 +112,7 @@
      * @param origins file by key, to name the file at fault; may be empty
      * @return the problems
      */
-    public List<ConfigProblem> problems(Map<String, String> origins) {
+    public List<ConfigProblem> validate(Map<String, String> origins) {
         ProblemList list = new ProblemList(origins);
         events.forEach((name, event) -> checkEvent(list, "events." + name, event));
         organisations.forEach((name, limits) -> checkOrganisation(list, "organisations." + name, limits));
@@ -154,10 +154,21 @@
     }
 
     private static void checkModel(ProblemList list, String key, ModelConfig model) {
-        list.require(model.contextLimit() > 0, key + ".context-tokens", model.contextLimit(), "give a number above 0");
         list.require(
-                model.prefillSpeed() > 0, key + ".prefill-per-second", model.prefillSpeed(), "give a number above 0");
-        list.require(model.decodeSpeed() > 0, key + ".decode-per-second", model.decodeSpeed(), "give a number above 0");
+                model.maxContextTokens() > 0,
+                key + ".context-tokens",
+                model.maxContextTokens(),
+                "give a number above 0");
+        list.require(
+                model.initialPrefillTokensPerSecond() > 0,
+                key + ".prefill-per-second",
+                model.initialPrefillTokensPerSecond(),
+                "give a number above 0");
+        list.require(
+                model.initialDecodeTokensPerSecond() > 0,
+                key + ".decode-per-second",
+                model.initialDecodeTokensPerSecond(),
+                "give a number above 0");
     }
 
     private static void checkPriority(ProblemList list, String key, Optional<Integer> priority) {
--- a/src/main/java/org/cuminshelf/config/MergedConfig.java
+++ b/src/main/java/org/cuminshelf/config/MergedConfig.java
@@ -36,7 +36,7 @@
      *
      * @return UTF-8 bytes
      */
-    public byte[] canonical() {
+    public byte[] canonicalJson() {
         try {
             Object ordered = ConfigMapper.json().treeToValue(tree, Object.class);
             return ConfigMapper.json().writeValueAsBytes(new java.util.TreeMap<>(asMap(ordered)));
@@ -82,10 +82,10 @@
      *
      * @return the configuration, or everything wrong with it
      */
-    public Either<List<ConfigProblem>, FleetConfig> typed() {
+    public Either<List<ConfigProblem>, FleetConfig> bind() {
         try {
             FleetConfig config = ConfigMapper.json().treeToValue(tree, FleetConfig.class);
-            List<ConfigProblem> problems = config.problems(origins);
+            List<ConfigProblem> problems = config.validate(origins);
             return problems.isEmpty() ? Either.right(config) : Either.left(problems);
         } catch (JsonMappingException e) {
             return Either.left(List.of(problem(e)));
@@ -165,6 +165,6 @@
 
     @Override
     public String toString() {
-        return new String(canonical(), StandardCharsets.UTF_8);
+        return new String(canonicalJson(), StandardCharsets.UTF_8);
     }
 }
--- a/src/main/java/org/cuminshelf/config/ModelConfig.java
+++ b/src/main/java/org/cuminshelf/config/ModelConfig.java
@@ -39,7 +39,7 @@
      *
      * @return tokens
      */
-    public int contextLimit() {
+    public int maxContextTokens() {
         return contextTokens.orElse(DEFAULT_CONTEXT);
     }
 
@@ -75,7 +75,7 @@
      *
      * @return tokens a second
      */
-    public int prefillSpeed() {
+    public int initialPrefillTokensPerSecond() {
         return prefillPerSecond.orElse(DEFAULT_PREFILL);
     }
 
@@ -84,7 +84,7 @@
      *
      * @return tokens a second
      */
-    public int decodeSpeed() {
+    public int initialDecodeTokensPerSecond() {
         return decodePerSecond.orElse(DEFAULT_DECODE);
     }
 }
--- a/src/main/java/org/cuminshelf/control/GlobalStateMachine.java
+++ b/src/main/java/org/cuminshelf/control/GlobalStateMachine.java
@@ -7,7 +7,7 @@
 import java.util.HashMap;
 import java.util.Map;
 import java.util.Optional;
-import org.cuminshelf.core.Deflated;
+import org.cuminshelf.core.DocumentCompression;
 import org.cuminshelf.message.AcceptedConfig;
 import org.cuminshelf.message.AdminAnswer;
 import org.cuminshelf.message.AdminResult;
@@ -62,7 +62,7 @@
     /** The accepted configuration in compressed form; compressed once per version. */
     ByteString deflated() {
         if (deflatedVersion != version) {
-            deflated = Deflated.deflate(config);
+            deflated = DocumentCompression.deflate(config);
             deflatedVersion = version;
         }
         return deflated;
--- a/src/main/java/org/cuminshelf/core/Deadlines.java
+++ b/src/main/java/org/cuminshelf/core/DeadlineQueue.java
@@ -10,7 +10,7 @@
  *
  * @param <K> the key of a row
  */
-public final class Deadlines<K> {
+public final class DeadlineQueue<K> {
 
     private record Entry<K>(long due, long order, K key) implements Comparable<Entry<K>> {
         @Override
@@ -24,7 +24,7 @@
     private final Map<K, Entry<K>> current = new HashMap<>();
     private long nextOrder;
 
-    private Deadlines() {}
+    private DeadlineQueue() {}
 
     /**
      * Makes a table without due times.
@@ -32,8 +32,8 @@
      * @param <K> the key of a row
      * @return the table
      */
-    public static <K> Deadlines<K> create() {
-        return new Deadlines<>();
+    public static <K> DeadlineQueue<K> create() {
+        return new DeadlineQueue<>();
     }
 
     /**
--- a/src/main/java/org/cuminshelf/core/HeldDirectories.java
+++ b/src/main/java/org/cuminshelf/core/DirectoryVersions.java
@@ -12,7 +12,7 @@
  * never ask for the rest and refuse every request for want of upstreams until it is restarted once more. So an update
  * that builds on a version not held here moves nothing forward, and the next subscription brings the whole directory.
  */
-public final class HeldDirectories {
+public final class DirectoryVersions {
 
     private record Held(long incarnation, long version) {}
 
@@ -20,15 +20,15 @@
 
     private final Map<Address, Held> held = new HashMap<>();
 
-    private HeldDirectories() {}
+    private DirectoryVersions() {}
 
     /**
      * Begins with nothing held.
      *
      * @return the versions held
      */
-    public static HeldDirectories none() {
-        return new HeldDirectories();
+    public static DirectoryVersions none() {
+        return new DirectoryVersions();
     }
 
     /**
@@ -69,7 +69,7 @@
      * @param control the sender
      * @param update  what it told
      */
-    public void note(Address control, Update update) {
+    public void recordUpdate(Address control, Update update) {
         boolean sameLife = incarnation(control) == update.getDirectoryIncarnation();
         boolean continues = sameLife && update.getDirectorySince() <= version(control);
         if (update.getWholeDirectory() || continues) {
--- a/src/main/java/org/cuminshelf/core/Deflated.java
+++ b/src/main/java/org/cuminshelf/core/DocumentCompression.java
@@ -8,12 +8,12 @@
 import java.util.zip.InflaterInputStream;
 
 /** Documents made smaller for the way between processes. */
-public final class Deflated {
+public final class DocumentCompression {
 
     /** Largest document in bytes, as messages are bounded too; callers' configurations are a few megabytes at most. */
     private static final int LARGEST = 64 << 20;
 
-    private Deflated() {}
+    private DocumentCompression() {}
 
     /**
      * Makes a document smaller.
--- a/src/main/java/org/cuminshelf/core/InvariantBreach.java
+++ b/src/main/java/org/cuminshelf/core/InvariantViolation.java
@@ -1,7 +1,7 @@
 package org.cuminshelf.core;
 
 /** Thrown in randomised runs when a promise does not hold. */
-public final class InvariantBreach extends RuntimeException {
+public final class InvariantViolation extends RuntimeException {
 
     private static final long serialVersionUID = 1L;
 
@@ -13,7 +13,7 @@
      * @param invariant the name of the invariant
      * @param detail    what was seen
      */
-    public InvariantBreach(String invariant, String detail) {
+    public InvariantViolation(String invariant, String detail) {
         super(invariant + ": " + detail);
         this.invariant = invariant;
     }
--- a/src/main/java/org/cuminshelf/core/Invariants.java
+++ b/src/main/java/org/cuminshelf/core/Invariants.java
@@ -25,7 +25,7 @@
     static Invariants throwing() {
         return (holds, name, detail) -> {
             if (!holds) {
-                throw new InvariantBreach(name, detail.get());
+                throw new InvariantViolation(name, detail.get());
             }
         };
     }
--- a/src/main/java/org/cuminshelf/core/Outbox.java
+++ b/src/main/java/org/cuminshelf/core/Outbox.java
@@ -22,5 +22,5 @@
      * @param to      the receiver
      * @param message the message, without its sender
      */
-    void sendFresh(Address to, Envelope.Builder message);
+    void sendOnNewConnection(Address to, Envelope.Builder message);
 }
--- a/src/main/java/org/cuminshelf/direct/AttemptRunner.java
+++ b/src/main/java/org/cuminshelf/direct/AttemptRunner.java
@@ -7,7 +7,7 @@
 import java.util.Optional;
 import java.util.function.LongSupplier;
 import org.cuminshelf.core.Core;
-import org.cuminshelf.core.Deadlines;
+import org.cuminshelf.core.DeadlineQueue;
 import org.cuminshelf.core.Durations;
 import org.cuminshelf.engines.EngineLatencyModel;
 import org.cuminshelf.engines.PromptQueue;
@@ -78,7 +78,7 @@
     private final LoadGossip loadGossip;
     private final BackpressureListener backpressureListener;
     private final Map<Long, DirectAttempt> attempts = new HashMap<>();
-    private final Deadlines<Long> progressChecks = Deadlines.create();
+    private final DeadlineQueue<Long> progressChecks = DeadlineQueue.create();
     private long nextAttemptNumber = 1;
 
     AttemptRunner(
--- a/src/main/java/org/cuminshelf/direct/CallDispatcher.java
+++ b/src/main/java/org/cuminshelf/direct/CallDispatcher.java
@@ -9,7 +9,7 @@
 import java.util.function.LongSupplier;
 import org.cuminshelf.backpressure.Backpressure;
 import org.cuminshelf.core.Core;
-import org.cuminshelf.core.Deadlines;
+import org.cuminshelf.core.DeadlineQueue;
 import org.cuminshelf.core.Durations;
 import org.cuminshelf.core.Invariants;
 import org.cuminshelf.exchange.UpstreamHandler;
@@ -46,7 +46,7 @@
     private final CallerResponses responses;
     private final AttemptRunner attemptRunner;
     private final Map<Long, DirectCall> openCalls = new HashMap<>();
-    private final Deadlines<Long> callDeadlines = Deadlines.create();
+    private final DeadlineQueue<Long> callDeadlines = DeadlineQueue.create();
     private final AdmissionQueue waitingCalls = new AdmissionQueue();
     private final AdmissionControl admission;
     private final SizeFairness sizeFairness = new SizeFairness();
@@ -371,7 +371,7 @@
                 && retryBudget.tryAcquire(now, call.service, control.entries().size())) {
             place(now, call);
         } else {
-            failCall(now, call, verdict.word() + "/" + verdict.cause());
+            failCall(now, call, verdict.label() + "/" + verdict.cause());
         }
     }
 
--- a/src/main/java/org/cuminshelf/direct/RouteTableReader.java
+++ b/src/main/java/org/cuminshelf/direct/RouteTableReader.java
@@ -4,7 +4,7 @@
 import java.util.Optional;
 import java.util.function.Consumer;
 import java.util.function.Function;
-import org.cuminshelf.core.Deflated;
+import org.cuminshelf.core.DocumentCompression;
 import org.cuminshelf.routes.RouteTable;
 import org.tinylog.Logger;
 
@@ -42,7 +42,7 @@
      */
     static Optional<RouteTable> parse(byte[] deflated, Function<byte[], Optional<RouteTable>> parser) {
         try {
-            return parser.apply(Deflated.inflate(deflated));
+            return parser.apply(DocumentCompression.inflate(deflated));
         } catch (IOException e) {
             Logger.warn("entry: event=config state=unreadable reason=\"{}\"", e.getMessage());
             return Optional.empty();
--- a/src/main/java/org/cuminshelf/direct/UpstreamTable.java
+++ b/src/main/java/org/cuminshelf/direct/UpstreamTable.java
@@ -13,8 +13,8 @@
 import org.cuminshelf.backpressure.LeavingUpstreams;
 import org.cuminshelf.core.Address;
 import org.cuminshelf.core.Core;
+import org.cuminshelf.core.DirectoryVersions;
 import org.cuminshelf.core.Durations;
-import org.cuminshelf.core.HeldDirectories;
 import org.cuminshelf.message.EntryLoad;
 import org.cuminshelf.message.Update;
 import org.cuminshelf.message.UpstreamBeat;
@@ -65,7 +65,7 @@
     private final Map<String, UpstreamInstance> newestByName = new HashMap<>();
 
     private final LinkedHashMap<String, EndedInstances> endedByName = new LinkedHashMap<>();
-    private final HeldDirectories directoryVersions = HeldDirectories.none();
+    private final DirectoryVersions directoryVersions = DirectoryVersions.none();
     private final Map<Address, ReportedLoad> loadByEntry = new HashMap<>();
     private final LeavingUpstreams leavers;
     private final DecisionLog log;
@@ -99,7 +99,7 @@
         if (directoryVersions.isStale(control, update)) {
             return;
         }
-        directoryVersions.note(control, update);
+        directoryVersions.recordUpdate(control, update);
         if (update.getWholeDirectory()) {
             instances.values().forEach(instance -> unlist(now, instance, control));
         }
--- a/src/main/java/org/cuminshelf/entry/AttemptSystem.java
+++ b/src/main/java/org/cuminshelf/entry/AttemptSystem.java
@@ -332,7 +332,7 @@
                 .setNumber(attempt.key.number())
                 .setHeld(received)
                 .build();
-        out.sendFresh(attempt.key.upstream(), Envelope.newBuilder().setRevoke(revoke));
+        out.sendOnNewConnection(attempt.key.upstream(), Envelope.newBuilder().setRevoke(revoke));
     }
 
     private void abandon(long now, AttemptRow attempt, Cause cause, Outbox out) {
@@ -350,7 +350,7 @@
                 .setSession(attempt.key.session())
                 .setNumber(attempt.key.number())
                 .build();
-        out.sendFresh(attempt.key.upstream(), Envelope.newBuilder().setCancel(cancel));
+        out.sendOnNewConnection(attempt.key.upstream(), Envelope.newBuilder().setCancel(cancel));
     }
 
     /**
--- a/src/main/java/org/cuminshelf/entry/ClaimSystem.java
+++ b/src/main/java/org/cuminshelf/entry/ClaimSystem.java
@@ -312,7 +312,7 @@
                 .setNumber(query.holder.getNumber())
                 .setQuestion(query.question())
                 .build();
-        out.sendFresh(
+        out.sendOnNewConnection(
                 Address.of(query.holder.getSidecar()), Envelope.newBuilder().setRevoke(revoke));
     }
 
--- a/src/main/java/org/cuminshelf/entry/EntryState.java
+++ b/src/main/java/org/cuminshelf/entry/EntryState.java
@@ -4,7 +4,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 import org.cuminshelf.core.Address;
-import org.cuminshelf.core.Deadlines;
+import org.cuminshelf.core.DeadlineQueue;
 import org.cuminshelf.core.Invariants;
 
 /** The state of an entry, shared by its systems. */
@@ -16,11 +16,11 @@
     final ConfigSubscription config;
     final Map<Long, CallRow> calls = new LinkedHashMap<>();
     final Map<AttemptRow.Key, AttemptRow> attempts = new HashMap<>();
-    final Deadlines<Long> callDeadlines = Deadlines.create();
+    final DeadlineQueue<Long> callDeadlines = DeadlineQueue.create();
     /** When each dispatched attempt is probed next. */
-    final Deadlines<AttemptRow.Key> probeTimers = Deadlines.create();
+    final DeadlineQueue<AttemptRow.Key> probeTimers = DeadlineQueue.create();
     /** When each claim request, by question number, is sent again. */
-    final Deadlines<Long> claimTimers = Deadlines.create();
+    final DeadlineQueue<Long> claimTimers = DeadlineQueue.create();
 
     final WaitingCalls waitingCalls = new WaitingCalls();
     final OrganisationRateLimiter rateLimiter = new OrganisationRateLimiter();
--- a/src/main/java/org/cuminshelf/entry/Router.java
+++ b/src/main/java/org/cuminshelf/entry/Router.java
@@ -191,13 +191,15 @@
         ModelConfig model = state.config.config().models().get(call.target());
         boolean prefillOnly = disaggregated && row.load.getRole() == Role.ROLE_PREFILL;
         long uncached = call.kvCacheSource.isEmpty() ? uncachedTokens(call, row) : 0;
-        double first = (row.queuedPromptTokens() + uncached) / row.prefillTokensPerSecond(model.prefillSpeed());
+        double first = (row.queuedPromptTokens() + uncached)
+                / row.prefillTokensPerSecond(model.initialPrefillTokensPerSecond());
         double output = prefillOnly
                 ? 1
                 : state.outputLengths.expectedTokens(call.request.getOrganisation(), generation)
                         - Math.min(generation.getMaxTokens(), call.deliveredTokens.size());
         double gap = Math.max(
-                model.tokenGapMillis() / 1000.0 / 4, (row.estimatedAttempts() + 1) / (double) model.decodeSpeed());
+                model.tokenGapMillis() / 1000.0 / 4,
+                (row.estimatedAttempts() + 1) / (double) model.initialDecodeTokensPerSecond());
         double total = first + Math.max(1, output) * gap + zonePenalty(row);
         if (!generation.getAdapter().isEmpty() && !row.load.getAdaptersList().contains(generation.getAdapter())) {
             total += ADAPTER_LOAD_PENALTY_SECONDS;
--- a/src/main/java/org/cuminshelf/entry/UpstreamDirectory.java
+++ b/src/main/java/org/cuminshelf/entry/UpstreamDirectory.java
@@ -14,8 +14,8 @@
 import net.openhft.hashing.LongHashFunction;
 import org.cuminshelf.core.Address;
 import org.cuminshelf.core.Core;
+import org.cuminshelf.core.DirectoryVersions;
 import org.cuminshelf.core.Durations;
-import org.cuminshelf.core.HeldDirectories;
 import org.cuminshelf.core.Outbox;
 import org.cuminshelf.message.Envelope;
 import org.cuminshelf.message.LoadReport;
@@ -53,7 +53,7 @@
     /** The number of listed upstreams of each service or model. */
     private final Map<String, Integer> totalByTarget = new HashMap<>();
 
-    private final HeldDirectories directories = HeldDirectories.none();
+    private final DirectoryVersions directories = DirectoryVersions.none();
     private boolean subsetsOutdated;
     private long nextHeartbeatNanos;
 
@@ -100,7 +100,7 @@
         if (directories.isStale(control, update)) {
             return;
         }
-        directories.note(control, update);
+        directories.recordUpdate(control, update);
         if (update.getWholeDirectory()) {
             rows.values().forEach(row -> row.listedBy.remove(control));
             subsetsOutdated = true;
@@ -198,7 +198,7 @@
         row.unansweredSinceNanos = row.unansweredSinceNanos == 0 ? now : row.unansweredSinceNanos;
         Envelope.Builder message = Envelope.newBuilder().setOpenSession(OpenSession.getDefaultInstance());
         if (row.session != 0 && isSilent(now, row)) {
-            out.sendFresh(row.address, message);
+            out.sendOnNewConnection(row.address, message);
         } else {
             out.send(row.address, message);
         }
--- a/src/main/java/org/cuminshelf/http/CallersHandler.java
+++ b/src/main/java/org/cuminshelf/http/CallersHandler.java
@@ -130,7 +130,7 @@
         OpenCall call = open.remove(end.getCall());
         if (call != null) {
             call.end(end);
-            String verdict = OpenCall.verdict(end).word();
+            String verdict = OpenCall.verdict(end).label();
             metrics.ended(verdict, end);
             Spans.end(call.span(), verdict, !end.getWhole());
         }
--- a/src/main/java/org/cuminshelf/http/Problem.java
+++ b/src/main/java/org/cuminshelf/http/Problem.java
@@ -58,7 +58,7 @@
     public void write(Response response, Callback callback) {
         response.setStatus(status);
         response.getHeaders().put(HttpHeader.CONTENT_TYPE, "application/problem+json");
-        response.getHeaders().put(VERDICT_HEADER, verdict.word());
+        response.getHeaders().put(VERDICT_HEADER, verdict.label());
         if (verdict instanceof Verdict.NotRun notRun && notRun.retryAfterMillis() > 0) {
             long seconds = (notRun.retryAfterMillis() + MILLIS_PER_SECOND - 1) / MILLIS_PER_SECOND;
             response.getHeaders().put(HttpHeader.RETRY_AFTER, seconds);
@@ -77,7 +77,7 @@
                 .put("title", verdict.cause().name().toLowerCase(Locale.ROOT).replace('_', ' '))
                 .put("status", status)
                 .put("detail", detail)
-                .put("verdict", verdict.word());
+                .put("verdict", verdict.label());
         if (verdict instanceof Verdict.NotRun notRun && notRun.retryAfterMillis() > 0) {
             body.put("retry_after_ms", notRun.retryAfterMillis());
         }
--- a/src/main/java/org/cuminshelf/planning/PlannerSettings.java
+++ b/src/main/java/org/cuminshelf/planning/PlannerSettings.java
@@ -39,8 +39,8 @@
      */
     public static PlannerSettings of(PlanningConfig planning, ModelConfig model) {
         return new PlannerSettings(
-                model.prefillSpeed(),
-                model.decodeSpeed(),
+                model.initialPrefillTokensPerSecond(),
+                model.initialDecodeTokensPerSecond(),
                 planning.changeTime().map(duration -> duration.toMillis() / 1e3).orElse(DEFAULT_ROLE_CHANGE_SECONDS),
                 planning.horizon().map(duration -> duration.toMillis() / 1e3).orElse(DEFAULT_HORIZON_SECONDS),
                 DEFAULT_SMOOTHING_SECONDS,
--- a/src/main/java/org/cuminshelf/platform/BootSettings.java
+++ b/src/main/java/org/cuminshelf/platform/BootSettings.java
@@ -43,7 +43,7 @@
         Optional<Path> dataFolder,
         long graceMillis,
         RetryLimits repeats,
-        DutyTerms duties) {
+        PlatformDutySettings duties) {
 
     /** Variable that holds the path of the settings file. */
     static final String VARIABLE = "CUMINSHELF_BOOT";
@@ -96,7 +96,7 @@
                 Optional.ofNullable(root.path("dataDir").textValue()).map(Path::of),
                 (long) (bounds.path("graceS").asDouble(DEFAULT_GRACE_SECONDS) * MILLIS_PER_SECOND),
                 repeats(bounds),
-                DutyTerms.of(root));
+                PlatformDutySettings.of(root));
     }
 
     /** These settings with a control process of the own VM as the only seed. */
--- a/src/main/java/org/cuminshelf/platform/BeatDocument.java
+++ b/src/main/java/org/cuminshelf/platform/HeartbeatParser.java
@@ -18,7 +18,7 @@
  * can be read, it would name an upstream that isn't there, or give one that is another role or another start; requests
  * sent on that word are lost. So a heartbeat is taken whole or not at all, and what was known before holds.
  */
-final class BeatDocument {
+final class HeartbeatParser {
 
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final String READY = "ready";
@@ -27,7 +27,7 @@
     private static final String DECODE = "decode";
     private static final int HIGHEST_PORT = 65_535;
 
-    private BeatDocument() {}
+    private HeartbeatParser() {}
 
     /**
      * Reads a heartbeat.
--- a/src/main/java/org/cuminshelf/platform/PlatformCommand.java
+++ b/src/main/java/org/cuminshelf/platform/PlatformCommand.java
@@ -119,7 +119,7 @@
                 boot.readiness(),
                 Optional.of(boot.metrics()),
                 new PlatformProtocol(),
-                document -> ConfigDocument.read(document).toJavaOptional());
+                document -> RouteConfigParser.read(document).toJavaOptional());
         return DirectEntryProcess.start(common(boot), options);
     }
 
@@ -136,14 +136,14 @@
         ControlSettings settings = new ControlSettings(
                 boot.region(),
                 List.of(group),
-                document -> ConfigDocument.read(document).fold(Optional::of, fine -> Optional.empty()),
+                document -> RouteConfigParser.read(document).fold(Optional::of, fine -> Optional.empty()),
                 boot.duties().forControl());
         ControlProcess.Options options =
                 new ControlProcess.Options(settings, folder, address, Optional.empty(), new HashSet<>(), false, true);
         return ControlProcess.start(
                 common(boot),
                 options,
-                ControlCalls.at(address, boot),
+                PlatformControlInterface.at(address, boot),
                 () -> Runtime.getRuntime().halt(DISK_FAILED));
     }
 }
--- a/src/main/java/org/cuminshelf/platform/ControlCalls.java
+++ b/src/main/java/org/cuminshelf/platform/PlatformControlInterface.java
@@ -33,7 +33,7 @@
 import org.tinylog.Logger;
 
 /** The calls of upstreams and operators to a control process. */
-final class ControlCalls implements ControlInterface, CallerHandler {
+final class PlatformControlInterface implements ControlInterface, CallerHandler {
 
     private static final String CONFIG = "/cuminshelf/config";
     private static final String INSTANCES = "/cuminshelf/instances/";
@@ -51,34 +51,35 @@
     private final UpstreamConnections upstreams;
     private final String vm;
     private final MetricsPage metrics;
-    private final RefusedBeats refused;
-    private final Optional<DutyCalls> duties;
+    private final RejectedHeartbeats refused;
+    private final Optional<UsageReportClient> duties;
     private long nextQuestion = 1;
 
-    private ControlCalls(
+    private PlatformControlInterface(
             Consumer<Envelope.Builder> core,
             BootSettings boot,
             Address address,
             MetricsPage metrics,
-            RefusedBeats refused)
+            RejectedHeartbeats refused)
             throws IOException {
         this.core = core;
         this.vm = boot.vm();
         this.metrics = metrics;
         this.refused = refused;
         this.upstreams = UpstreamConnections.start(lock);
-        this.duties = boot.duties().platform().map(platform -> new DutyCalls(upstreams, platform, boot.vm(), core));
+        this.duties =
+                boot.duties().platform().map(platform -> new UsageReportClient(upstreams, platform, boot.vm(), core));
         this.listener = CallerListener.start(address, lock, this, () -> CallerLimits.DEFAULT);
     }
 
     /** Opens the interface of a VM at an address, as a control process asks for it. */
     static ControlInterface.Opener at(Address address, BootSettings boot) {
-        return (core, config, ready, registry) -> new ControlCalls(
+        return (core, config, ready, registry) -> new PlatformControlInterface(
                 core,
                 boot,
                 address,
                 MetricsPage.open(boot.metrics(), registry),
-                RefusedBeats.register(registry, System::nanoTime));
+                RejectedHeartbeats.register(registry, System::nanoTime));
     }
 
     @Override
@@ -111,7 +112,7 @@
     }
 
     private void onConfig(ReceivedRequest request, CallerExchange exchange) {
-        ConfigDocument.read(request.body())
+        RouteConfigParser.read(request.body())
                 .peek(table -> ask(exchange, apply(request, table)))
                 .peekLeft(wrong -> {
                     Logger.info("control: event=config-refused bytes={} reason=\"{}\"", request.body().length, wrong);
@@ -129,7 +130,7 @@
     }
 
     private void onBeat(String id, ReceivedRequest request, CallerExchange exchange) {
-        BeatDocument.read(id, request.body())
+        HeartbeatParser.read(id, request.body())
                 .peek(beat -> {
                     tell(beat);
                     answer(exchange, 200, "{}");
@@ -163,7 +164,7 @@
                 return;
             }
             if (message.hasGiveUpUsageReport()) {
-                duties.ifPresent(DutyCalls::giveUp);
+                duties.ifPresent(UsageReportClient::giveUp);
                 return;
             }
             AdminAnswer answer = message.getAdminAnswer();
@@ -180,8 +181,8 @@
         upstreams.send(
                 Address.of(order.getAddress()),
                 order.getUpstream(),
-                OrderDocument.write(order, vm),
-                new OrderDocument.Answer(order.getNumber(), core));
+                RoleChangeRequest.write(order, vm),
+                new RoleChangeRequest.Answer(order.getNumber(), core));
     }
 
     private static void answer(CallerExchange exchange, AdminAnswer answer) {
--- a/src/main/java/org/cuminshelf/platform/DutyTerms.java
+++ b/src/main/java/org/cuminshelf/platform/PlatformDutySettings.java
@@ -17,7 +17,7 @@
  * @param usageLateMillis   time after the end of a window by which its usage is to be reported
  * @param callsPerSecond    such calls that the platform takes a second from all nodes together ({@code dutyPerS} there)
  */
-record DutyTerms(
+record PlatformDutySettings(
         Optional<Address> platform,
         long leaseMillis,
         OptionalLong usageWindowMillis,
@@ -30,7 +30,7 @@
     private static final double DEFAULT_LATE_SECONDS = 10;
 
     /** Reads them; what isn't stated, or isn't of its type, is no duty. */
-    static DutyTerms of(JsonNode settings) {
+    static PlatformDutySettings of(JsonNode settings) {
         JsonNode cloud = settings.path("cloud");
         JsonNode bounds = settings.path("bounds");
         Optional<Address> platform =
@@ -39,7 +39,7 @@
                 .anyMatch(duty -> USAGE.equals(duty.textValue()));
         double windowSeconds = bounds.path("usageWindowS").asDouble(0);
         boolean counted = platform.isPresent() && reportsUsage && windowSeconds > 0;
-        return new DutyTerms(
+        return new PlatformDutySettings(
                 platform,
                 bounds.path("leaseMs").asLong(DEFAULT_LEASE_MILLIS),
                 counted ? OptionalLong.of((long) (windowSeconds * MILLIS_PER_SECOND)) : OptionalLong.empty(),
--- a/src/main/java/org/cuminshelf/platform/Headers.java
+++ b/src/main/java/org/cuminshelf/platform/PlatformHeaders.java
@@ -3,7 +3,7 @@
 import java.util.Set;
 
 /** The platform's headers. */
-final class Headers {
+final class PlatformHeaders {
 
     /** Names a request of a caller; each try of a caller has its own. Upstreams echo it. */
     static final String REQUEST_ID = "X-Cuminshelf-Request-Id";
@@ -67,5 +67,5 @@
             "x-cuminshelf-kv-fetch",
             "last-event-id");
 
-    private Headers() {}
+    private PlatformHeaders() {}
 }
--- a/src/main/java/org/cuminshelf/platform/PlatformProtocol.java
+++ b/src/main/java/org/cuminshelf/platform/PlatformProtocol.java
@@ -56,22 +56,22 @@
     public CallIntent readIntent(ReceivedRequest request) {
         HttpFields headers = request.headers();
         return new CallIntent(
-                Optional.ofNullable(headers.get(Headers.REQUEST_ID)).orElse(""),
-                number(headers, Headers.DEADLINE),
+                Optional.ofNullable(headers.get(PlatformHeaders.REQUEST_ID)).orElse(""),
+                number(headers, PlatformHeaders.DEADLINE),
                 generation(headers),
-                number(headers, Headers.LAST_EVENT),
+                number(headers, PlatformHeaders.LAST_EVENT),
                 keys(headers));
     }
 
     private static RequestApiKeys keys(HttpFields headers) {
-        List<String> sent = headers.getValuesList(Headers.CALLER_KEY);
+        List<String> sent = headers.getValuesList(PlatformHeaders.CALLER_KEY);
         return sent.isEmpty()
                 ? RequestApiKeys.none()
                 : new RequestApiKeys(sent.stream().map(ApiKeyDigest::of).toList());
     }
 
     private static Optional<GenerationShape> generation(HttpFields headers) {
-        String tokens = headers.get(Headers.TOKENS);
+        String tokens = headers.get(PlatformHeaders.TOKENS);
         if (tokens == null) {
             return Optional.empty();
         }
@@ -79,11 +79,13 @@
         try {
             int prompt = Integer.parseInt(counts[0].trim());
             int most = counts.length > 1 ? Integer.parseInt(counts[1].trim()) : 0;
-            int expected = (int) number(headers, Headers.LENGTH_HINT).orElse(most);
-            String model = Optional.ofNullable(headers.get(Headers.MODEL)).orElse("");
-            return Optional.of(new GenerationShape(model, prompt, expected, parts(headers.get(Headers.PROMPT_PARTS))));
+            int expected = (int) number(headers, PlatformHeaders.LENGTH_HINT).orElse(most);
+            String model =
+                    Optional.ofNullable(headers.get(PlatformHeaders.MODEL)).orElse("");
+            return Optional.of(
+                    new GenerationShape(model, prompt, expected, parts(headers.get(PlatformHeaders.PROMPT_PARTS))));
         } catch (NumberFormatException e) {
-            Logger.info("platform: event=unreadable-header header={} value=\"{}\"", Headers.TOKENS, tokens);
+            Logger.info("platform: event=unreadable-header header={} value=\"{}\"", PlatformHeaders.TOKENS, tokens);
             return Optional.empty();
         }
     }
@@ -123,23 +125,24 @@
         HttpFields.Mutable headers = HttpFields.build();
         for (HttpField field : request.headers()) {
             String name = field.getName().toLowerCase(Locale.ROOT);
-            boolean kept = !HopByHopHeaders.contains(field) && !Headers.NOT_PASSED_ON.contains(name);
+            boolean kept = !HopByHopHeaders.contains(field) && !PlatformHeaders.NOT_PASSED_ON.contains(name);
             if (kept && !named.contains(name)) {
                 headers.add(field);
             }
         }
-        headers.put(Headers.DEADLINE, String.valueOf(plan.remainingMillis()));
-        headers.put(Headers.EXPECTED_START, plan.upstream());
-        plan.organisation().ifPresent(name -> headers.put(Headers.ORGANISATION, name));
-        if (request.headers().contains(Headers.TOKENS)) {
-            headers.put(Headers.PRIORITY, String.valueOf(plan.priority()));
+        headers.put(PlatformHeaders.DEADLINE, String.valueOf(plan.remainingMillis()));
+        headers.put(PlatformHeaders.EXPECTED_START, plan.upstream());
+        plan.organisation().ifPresent(name -> headers.put(PlatformHeaders.ORGANISATION, name));
+        if (request.headers().contains(PlatformHeaders.TOKENS)) {
+            headers.put(PlatformHeaders.PRIORITY, String.valueOf(plan.priority()));
         }
         if (plan.prefillOnly()) {
-            headers.put(Headers.STAGE, Headers.PREFILL);
+            headers.put(PlatformHeaders.STAGE, PlatformHeaders.PREFILL);
         }
-        plan.cache().ifPresent(cache -> headers.put(Headers.CACHE_SOURCE, cache.engine() + "/" + cache.handle()));
-        plan.prefixSource().ifPresent(engine -> headers.put(Headers.PART_SOURCE, engine.value()));
-        plan.resumeAfter().ifPresent(event -> headers.put(Headers.LAST_EVENT, String.valueOf(event)));
+        plan.cache()
+                .ifPresent(cache -> headers.put(PlatformHeaders.CACHE_SOURCE, cache.engine() + "/" + cache.handle()));
+        plan.prefixSource().ifPresent(engine -> headers.put(PlatformHeaders.PART_SOURCE, engine.value()));
+        plan.resumeAfter().ifPresent(event -> headers.put(PlatformHeaders.LAST_EVENT, String.valueOf(event)));
         return new UpstreamRequest(request.method(), request.target(), headers, request.body());
     }
 
@@ -160,12 +163,12 @@
     @Override
     public ResponseMetadata readMetadata(int status, HttpFields headers) {
         return new ResponseMetadata(
-                Optional.ofNullable(headers.get(Headers.REQUEST_ID)),
-                status == MISDIRECTED || headers.contains(Headers.NOT_EXECUTED),
-                Optional.ofNullable(headers.get(Headers.ANSWERING_START)),
-                headers.contains(Headers.SEAL),
+                Optional.ofNullable(headers.get(PlatformHeaders.REQUEST_ID)),
+                status == MISDIRECTED || headers.contains(PlatformHeaders.NOT_EXECUTED),
+                Optional.ofNullable(headers.get(PlatformHeaders.ANSWERING_START)),
+                headers.contains(PlatformHeaders.SEAL),
                 new BackpressureSignals(
-                        limit(headers), rest(status, headers), "1".equals(headers.get(Headers.LEAVING))));
+                        limit(headers), rest(status, headers), "1".equals(headers.get(PlatformHeaders.LEAVING))));
     }
 
     /** Only a refusal asks for rest; elsewhere the header means something else, or nothing. */
@@ -183,7 +186,7 @@
     }
 
     private static AdvertisedLimit limit(HttpFields headers) {
-        List<String> stated = headers.getValuesList(Headers.RATE_LIMIT);
+        List<String> stated = headers.getValuesList(PlatformHeaders.RATE_LIMIT);
         if (stated.isEmpty()) {
             return new AdvertisedLimit.Unlimited();
         }
--- a/src/main/java/org/cuminshelf/platform/RefusedBeats.java
+++ b/src/main/java/org/cuminshelf/platform/RejectedHeartbeats.java
@@ -10,7 +10,7 @@
  * Counts and logs heartbeats that can't be read. Whoever sends them sends them again and again, so that the lines are
  * bounded; the counter tells of all of them.
  */
-final class RefusedBeats {
+final class RejectedHeartbeats {
 
     /** Lines a second: enough to see who sends them. */
     private static final int MOST_LINES = 2;
@@ -22,7 +22,7 @@
     private long second = Long.MIN_VALUE;
     private int lines;
 
-    private RefusedBeats(Counter count, LongSupplier clock) {
+    private RejectedHeartbeats(Counter count, LongSupplier clock) {
         this.count = count;
         this.clock = clock;
     }
@@ -34,12 +34,12 @@
      * @param clock    monotonic nanoseconds
      * @return the notes
      */
-    static RefusedBeats register(PrometheusRegistry registry, LongSupplier clock) {
+    static RejectedHeartbeats register(PrometheusRegistry registry, LongSupplier clock) {
         Counter count = Counter.builder()
                 .name("cuminshelf_heartbeats_refused")
                 .help("Heartbeats of upstreams that could not be read.")
                 .register(registry);
-        return new RefusedBeats(count, clock);
+        return new RejectedHeartbeats(count, clock);
     }
 
     /**
--- a/src/main/java/org/cuminshelf/platform/OrderDocument.java
+++ b/src/main/java/org/cuminshelf/platform/RoleChangeRequest.java
@@ -16,26 +16,26 @@
 import org.eclipse.jetty.http.HttpHeader;
 
 /** An order to an engine. */
-final class OrderDocument {
+final class RoleChangeRequest {
 
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final String PATH = "/cuminshelf/order";
     private static final int HOLDS_ALREADY = 200;
     private static final int CARRIED_OUT = 202;
 
-    private OrderDocument() {}
+    private RoleChangeRequest() {}
 
     /** Writes an order of a VM; the platform calls the one who gives orders their holder. */
     static UpstreamRequest write(DirectOrder order, String vm) {
         ObjectNode body = JSON.createObjectNode()
                 .put("op", "stage")
-                .put("stage", order.getRole() == Role.ROLE_PREFILL ? Headers.PREFILL : "decode")
+                .put("stage", order.getRole() == Role.ROLE_PREFILL ? PlatformHeaders.PREFILL : "decode")
                 .put("holder", vm)
                 .put("fence", order.getNumber());
         HttpFields headers = HttpFields.build()
                 .put(HttpHeader.HOST, order.getAddress())
                 .put(HttpHeader.CONTENT_TYPE, "application/json")
-                .put(Headers.EXPECTED_START, order.getUpstream());
+                .put(PlatformHeaders.EXPECTED_START, order.getUpstream());
         return new UpstreamRequest("POST", PATH, headers, body.toString().getBytes(StandardCharsets.UTF_8));
     }
 
--- a/src/main/java/org/cuminshelf/platform/ConfigDocument.java
+++ b/src/main/java/org/cuminshelf/platform/RouteConfigParser.java
@@ -27,7 +27,7 @@
 import org.cuminshelf.routes.WeightedService;
 
 /** The configuration as the platform's operators write it. */
-final class ConfigDocument {
+final class RouteConfigParser {
 
     private static final ObjectMapper JSON = JsonMapper.builder()
             .enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS)
@@ -36,7 +36,7 @@
     /** Timeout of a route that states none. */
     private static final long DEFAULT_TIMEOUT_MILLIS = 60_000;
 
-    private ConfigDocument() {}
+    private RouteConfigParser() {}
 
     /** Reads and checks a configuration; the text says what is wrong with it. */
     static Either<String, RouteTable> read(byte[] document) {
--- a/src/main/java/org/cuminshelf/platform/DutyCalls.java
+++ b/src/main/java/org/cuminshelf/platform/UsageReportClient.java
@@ -23,7 +23,7 @@
  * only while it is allowed by the monotonic clock, and if that clock kept pace with the time of day since, as it does
  * not while a VM is suspended. What is given up is thrown away, also where it waits in the socket.
  */
-final class DutyCalls {
+final class UsageReportClient {
 
     /** Difference between the clocks' paces that shows that the VM stood still. */
     private static final long STOOD_STILL_MILLIS = 100;
@@ -38,7 +38,7 @@
     private Optional<Call> current = Optional.empty();
     private long calls;
 
-    DutyCalls(UpstreamConnections connections, Address platform, String vm, Consumer<Envelope.Builder> core) {
+    UsageReportClient(UpstreamConnections connections, Address platform, String vm, Consumer<Envelope.Builder> core) {
         this.connections = connections;
         this.platform = platform;
         this.vm = vm;
@@ -81,7 +81,7 @@
         private void connected(Reachability seen) {
             if (seen == Reachability.LISTENING && !givenUp && mayWrite()) {
                 exchange = Optional.of(
-                        connections.send(platform, connection, UsageDocument.write(report, platform, vm), this));
+                        connections.send(platform, connection, UsageReportRequest.write(report, platform, vm), this));
                 return;
             }
             connections.forgetIdle(platform, connection);
--- a/src/main/java/org/cuminshelf/platform/UsageDocument.java
+++ b/src/main/java/org/cuminshelf/platform/UsageReportRequest.java
@@ -10,7 +10,7 @@
 import org.eclipse.jetty.http.HttpHeader;
 
 /** A report of usage to the platform. */
-final class UsageDocument {
+final class UsageReportRequest {
 
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final String PATH = "/usage";
@@ -19,7 +19,7 @@
     /** Rises with the holder; the platform calls it a token, but it is a number. */
     private static final String NUMBER = "X-Cuminshelf-Fence-Token";
 
-    private UsageDocument() {}
+    private UsageReportRequest() {}
 
     /** Writes a report of a VM. The same report has the same body each time, as the platform compares them. */
     static UpstreamRequest write(UsageReport report, Address platform, String vm) {
--- a/src/main/java/org/cuminshelf/platform/WarmUp.java
+++ b/src/main/java/org/cuminshelf/platform/WarmUp.java
@@ -68,8 +68,9 @@
 
     /** Sends a request again until its answer holds a text. */
     private static void until(int port, String call, String body, String wanted) throws Exception {
-        String request = call + " HTTP/1.1\r\nHost: h\r\nConnection: close\r\n" + Headers.REQUEST_ID + ": w\r\n"
-                + Headers.TOKENS + ": 10,10\r\n" + Headers.PROMPT_PARTS + ": a:5,b:5\r\nContent-Length: "
+        String request = call + " HTTP/1.1\r\nHost: h\r\nConnection: close\r\n" + PlatformHeaders.REQUEST_ID + ": w\r\n"
+                + PlatformHeaders.TOKENS + ": 10,10\r\n" + PlatformHeaders.PROMPT_PARTS
+                + ": a:5,b:5\r\nContent-Length: "
                 + body.length() + "\r\n\r\n" + body;
         for (int attempt = 0; attempt < TRIES; attempt++) {
             try (Socket socket = new Socket(HOST, port)) {
@@ -94,7 +95,7 @@
                     readHead(socket.getInputStream());
                     String event = "id: 1\ndata: a\n\n";
                     socket.getOutputStream()
-                            .write(("HTTP/1.1 200 OK\r\n" + Headers.SEAL + ": s\r\nKeep-Alive: timeout=1\r\n"
+                            .write(("HTTP/1.1 200 OK\r\n" + PlatformHeaders.SEAL + ": s\r\nKeep-Alive: timeout=1\r\n"
                                             + "Transfer-Encoding: chunked\r\n\r\n"
                                             + Integer.toHexString(event.length()) + "\r\n" + event + "\r\n0\r\n\r\n")
                                     .getBytes(StandardCharsets.UTF_8));
--- a/src/main/java/org/cuminshelf/process/CoreRunner.java
+++ b/src/main/java/org/cuminshelf/process/CoreRunner.java
@@ -55,7 +55,7 @@
         }
 
         @Override
-        public void sendFresh(Address to, Envelope.Builder message) {
+        public void sendOnNewConnection(Address to, Envelope.Builder message) {
             deliver(to, message, true);
         }
     };
--- a/src/main/java/org/cuminshelf/process/DirectEntryProcess.java
+++ b/src/main/java/org/cuminshelf/process/DirectEntryProcess.java
@@ -101,7 +101,7 @@
         }
 
         @Override
-        public void sendFresh(Address to, Envelope.Builder message) {
+        public void sendOnNewConnection(Address to, Envelope.Builder message) {
             deliver(to, message, true);
         }
     };
--- a/src/main/java/org/cuminshelf/process/SidecarProcess.java
+++ b/src/main/java/org/cuminshelf/process/SidecarProcess.java
@@ -119,7 +119,7 @@
                 UpstreamEnd end = message.getUpstreamEnd();
                 Span span = open.remove(end.getAttempt());
                 if (span != null) {
-                    String verdict = Verdict.of(end.getRan(), end.getCause(), 0).word();
+                    String verdict = Verdict.of(end.getRan(), end.getCause(), 0).label();
                     Spans.end(span, verdict, end.getCause() != Cause.CAUSE_NONE);
                 }
             }
--- a/src/main/java/org/cuminshelf/sidecar/SidecarCore.java
+++ b/src/main/java/org/cuminshelf/sidecar/SidecarCore.java
@@ -263,7 +263,7 @@
         Optional<SessionRow> known = journal.session(revoke.getSession());
         if (known.isEmpty()) {
             answer.setState(AttemptState.ATTEMPT_UNKNOWN);
-            out.sendFresh(entry, Envelope.newBuilder().setRevokeAnswer(answer));
+            out.sendOnNewConnection(entry, Envelope.newBuilder().setRevokeAnswer(answer));
             return;
         }
         SessionRow session = known.get();
@@ -280,7 +280,7 @@
                 describe(row, entry, revoke, answer, out);
             }
         }
-        out.sendFresh(entry, Envelope.newBuilder().setRevokeAnswer(answer));
+        out.sendOnNewConnection(entry, Envelope.newBuilder().setRevokeAnswer(answer));
     }
 
     private static AttemptState stateOf(AttemptRow row) {
--- a/src/main/java/org/cuminshelf/tools/CheckCommand.java
+++ b/src/main/java/org/cuminshelf/tools/CheckCommand.java
@@ -3,7 +3,7 @@
 import java.util.Optional;
 import net.sourceforge.argparse4j.inf.Namespace;
 import net.sourceforge.argparse4j.inf.Subparser;
-import org.cuminshelf.core.InvariantBreach;
+import org.cuminshelf.core.InvariantViolation;
 import org.cuminshelf.trial.CheckReport;
 import org.cuminshelf.trial.CheckRun;
 import org.tinylog.Logger;
@@ -55,7 +55,7 @@
     }
 
     private static String describe(RuntimeException failure) {
-        if (failure instanceof InvariantBreach breach) {
+        if (failure instanceof InvariantViolation breach) {
             return breach.getMessage();
         }
         Logger.error(failure, "check: A core failed.");
--- a/src/main/java/org/cuminshelf/tools/ConfigCommand.java
+++ b/src/main/java/org/cuminshelf/tools/ConfigCommand.java
@@ -56,7 +56,7 @@
             throw new UsageException("config " + action + ": name the folder");
         }
         Either<List<ConfigProblem>, MergedConfig> checked =
-                ConfigFolder.at(Path.of(folder)).check();
+                ConfigFolder.at(Path.of(folder)).mergeAndValidate();
         if (checked.isLeft()) {
             checked.getLeft().forEach(problem -> System.err.println(problem));
             return ExitCode.NO;
@@ -102,7 +102,7 @@
             }
             System.out.println(
                     "Against version " + answer.body().path("version").asLong() + ":");
-            return printDiff(flatten(answer.body().path("config")), flatten(JSON.readTree(merged.canonical())))
+            return printDiff(flatten(answer.body().path("config")), flatten(JSON.readTree(merged.canonicalJson())))
                     ? ExitCode.DONE
                     : ExitCode.NO;
         }
@@ -134,11 +134,11 @@
             if (base.isEmpty()) {
                 base = admin.get("config").body().path("version").asText("0");
             }
-            AdminClient.Answer answer = admin.post("config?base=" + base, merged.canonical());
+            AdminClient.Answer answer = admin.post("config?base=" + base, merged.canonicalJson());
             if (answer.status() == 409) {
                 System.err.println("Version " + answer.body().path("version").asLong()
                         + " was accepted meanwhile; it differs from the folder as follows:");
-                printDiff(flatten(answer.body().path("config")), flatten(JSON.readTree(merged.canonical())));
+                printDiff(flatten(answer.body().path("config")), flatten(JSON.readTree(merged.canonicalJson())));
                 return ExitCode.NO;
             }
             if (answer.status() != 200) {
--- a/src/main/java/org/cuminshelf/trial/CheckRun.java
+++ b/src/main/java/org/cuminshelf/trial/CheckRun.java
@@ -44,7 +44,7 @@
      * @param seed    the seed
      * @param seconds virtual seconds with faults; calm ones follow
      * @return what happened
-     * @throws org.cuminshelf.core.InvariantBreach at the first promise that does not hold
+     * @throws org.cuminshelf.core.InvariantViolation at the first promise that does not hold
      */
     public static CheckReport run(long seed, long seconds) {
         CheckRun run = new CheckRun(seed);
--- a/src/main/java/org/cuminshelf/trial/VirtualNode.java
+++ b/src/main/java/org/cuminshelf/trial/VirtualNode.java
@@ -10,7 +10,7 @@
 import java.util.function.Consumer;
 import org.cuminshelf.core.Address;
 import org.cuminshelf.core.Core;
-import org.cuminshelf.core.InvariantBreach;
+import org.cuminshelf.core.InvariantViolation;
 import org.cuminshelf.core.Outbox;
 import org.cuminshelf.message.Envelope;
 
@@ -163,7 +163,7 @@
         }
         idleSteps = due <= now ? idleSteps + 1 : 0;
         if (idleSteps > MOST_IDLE_STEPS) {
-            throw new InvariantBreach("no-busy-loop", address + " is due at once, time and again");
+            throw new InvariantViolation("no-busy-loop", address + " is due at once, time and again");
         }
         long delay = Math.max(SHORTEST_STEP, (long) Math.ceil((due - now) / clockRate));
         time.after(delay, () -> {
@@ -188,7 +188,7 @@
     }
 
     @Override
-    public void sendFresh(Address to, Envelope.Builder message) {
+    public void sendOnNewConnection(Address to, Envelope.Builder message) {
         deliver(to, message, true);
     }
 
--- a/src/main/java/org/cuminshelf/verdict/Verdict.java
+++ b/src/main/java/org/cuminshelf/verdict/Verdict.java
@@ -52,7 +52,7 @@
      *
      * @return {@code not-run}, {@code may-have-run} or {@code ran}
      */
-    default String word() {
+    default String label() {
         return switch (this) {
             case NotRun notRun -> "not-run";
             case MayHaveRun mayHaveRun -> "may-have-run";
--- a/src/test/java/org/cuminshelf/config/ConfigFolderTest.java
+++ b/src/test/java/org/cuminshelf/config/ConfigFolderTest.java
@@ -21,7 +21,7 @@
     void aLaterFileOverridesAnEarlierOneWithoutEditingIt() throws IOException {
         write("10-base.yaml", "models:\n  m: {context-tokens: 100, adapters: [a, b]}\n");
         write("20-fair.yaml", "models:\n  m: {adapters: [c]}\n");
-        MergedConfig merged = ConfigFolder.at(folder).check().get();
+        MergedConfig merged = ConfigFolder.at(folder).mergeAndValidate().get();
         assertThat(merged.lines()).contains("models.m.context-tokens = 100", "models.m.adapters = [\"c\"]");
         assertThat(merged.origins())
                 .containsEntry("models.m.context-tokens", "10-base.yaml")
@@ -32,7 +32,8 @@
     void anExplicitNullRemovesAKey() throws IOException {
         write("10-base.yaml", "services: {a: {}, b: {}}\n");
         write("20-less.yaml", "services: {a: null}\n");
-        FleetConfig config = ConfigFolder.at(folder).check().get().typed().get();
+        FleetConfig config =
+                ConfigFolder.at(folder).mergeAndValidate().get().bind().get();
         assertThat(config.services()).containsOnlyKeys("b");
     }
 
@@ -82,14 +83,15 @@
     @Example
     void theCanonicalFormDoesNotDependOnTheOrderOfKeys() throws IOException {
         write("10-base.yaml", "services: {b: {}, a: {}}\nmodels: {m: {}}\n");
-        byte[] first = ConfigFolder.at(folder).check().get().canonical();
+        byte[] first = ConfigFolder.at(folder).mergeAndValidate().get().canonicalJson();
         write("10-base.yaml", "models: {m: {}}\nservices: {a: {}, b: {}}\n");
-        byte[] second = ConfigFolder.at(folder).check().get().canonical();
+        byte[] second = ConfigFolder.at(folder).mergeAndValidate().get().canonicalJson();
         assertThat(MergedConfig.hash(first)).isEqualTo(MergedConfig.hash(second));
     }
 
     private ConfigProblem onlyProblem() {
-        List<ConfigProblem> problems = ConfigFolder.at(folder).check().getLeft();
+        List<ConfigProblem> problems =
+                ConfigFolder.at(folder).mergeAndValidate().getLeft();
         assertThat(problems).hasSize(1);
         return problems.getFirst();
     }
--- a/src/test/java/org/cuminshelf/control/DirectControlTest.java
+++ b/src/test/java/org/cuminshelf/control/DirectControlTest.java
@@ -12,7 +12,7 @@
 import net.jqwik.api.Example;
 import org.apache.commons.rng.simple.RandomSource;
 import org.cuminshelf.core.Address;
-import org.cuminshelf.core.Deflated;
+import org.cuminshelf.core.DocumentCompression;
 import org.cuminshelf.core.Durations;
 import org.cuminshelf.core.Invariants;
 import org.cuminshelf.core.RecordingOutbox;
@@ -116,7 +116,7 @@
         receive(ENTRY, Envelope.newBuilder().setConfigFetch(ConfigFetch.getDefaultInstance()));
         ConfigBody fetched = lastBody();
         assertThat(fetched.getVersion()).isEqualTo(7);
-        assertThat(new String(Deflated.inflate(fetched.getDeflated().toByteArray()), StandardCharsets.UTF_8))
+        assertThat(new String(DocumentCompression.inflate(fetched.getDeflated().toByteArray()), StandardCharsets.UTF_8))
                 .isEqualTo("a large document");
         receive(
                 ENTRY,
--- a/src/test/java/org/cuminshelf/core/RecordingOutbox.java
+++ b/src/test/java/org/cuminshelf/core/RecordingOutbox.java
@@ -19,7 +19,7 @@
     }
 
     @Override
-    public void sendFresh(Address to, Envelope.Builder message) {
+    public void sendOnNewConnection(Address to, Envelope.Builder message) {
         send(to, message);
     }
 
--- a/src/test/java/org/cuminshelf/direct/DirectFixture.java
+++ b/src/test/java/org/cuminshelf/direct/DirectFixture.java
@@ -11,7 +11,7 @@
 import java.util.function.Consumer;
 import org.cuminshelf.backpressure.TestBackpressureHeaders;
 import org.cuminshelf.core.Address;
-import org.cuminshelf.core.Deflated;
+import org.cuminshelf.core.DocumentCompression;
 import org.cuminshelf.core.Durations;
 import org.cuminshelf.core.Invariants;
 import org.cuminshelf.core.RecordingOutbox;
@@ -113,7 +113,7 @@
                         .setFrom(CONTROL.value())
                         .setConfigBody(ConfigBody.newBuilder()
                                 .setVersion(routes.version())
-                                .setDeflated(Deflated.deflate(ByteString.copyFromUtf8("x"))))
+                                .setDeflated(DocumentCompression.deflate(ByteString.copyFromUtf8("x"))))
                         .build(),
                 out);
         return this;
--- a/src/test/java/org/cuminshelf/platform/DemandsOnLoopbackTest.java
+++ b/src/test/java/org/cuminshelf/platform/BackpressureOnLoopbackTest.java
@@ -14,16 +14,16 @@
 import net.jqwik.api.lifecycle.BeforeProperty;
 
 /** What an upstream in need asks for, against both roles of the users' platform as they run, over real sockets. */
-class DemandsOnLoopbackTest {
+class BackpressureOnLoopbackTest {
 
     private static final String CONFIG =
             "{\"version\":3,\"routes\":[{\"name\":\"r\",\"host\":\"h\",\"pathPrefix\":\"/\","
                     + "\"routeKind\":\"non_idempotent\",\"timeoutMs\":2000,\"service\":\"s\"}],"
                     + "\"services\":[{\"name\":\"s\"}],\"limits\":{}}";
     private static final String ASK = "POST /a";
-    private static final String DONE = "HTTP/1.1 200 OK\r\nConnection: close\r\n" + Headers.SEAL + ": s\r\n";
+    private static final String DONE = "HTTP/1.1 200 OK\r\nConnection: close\r\n" + PlatformHeaders.SEAL + ": s\r\n";
     private static final String REFUSED =
-            "HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\n" + Headers.NOT_EXECUTED + ": 1\r\n";
+            "HTTP/1.1 503 Service Unavailable\r\nConnection: close\r\n" + PlatformHeaders.NOT_EXECUTED + ": 1\r\n";
     private static final String END = "Content-Length: 4\r\n\r\ndone";
     private static final long MILLI = 1_000_000;
     private static final long SECOND = 1_000 * MILLI;
@@ -72,7 +72,7 @@
     @Example
     void aLimitIsKeptAndItsEndIsHeard() throws Exception {
         double perSecond = 5;
-        head = DONE + Headers.RATE_LIMIT + ": " + perSecond + "\r\n";
+        head = DONE + PlatformHeaders.RATE_LIMIT + ": " + perSecond + "\r\n";
         assertThat(ask()).contains("done");
         long told = System.nanoTime();
         int before = arrivals.size();
@@ -100,7 +100,7 @@
 
     @Example
     void anUpstreamThatSaysThatItLeavesGetsNothingMore() throws Exception {
-        head = DONE + Headers.LEAVING + ": 1\r\n";
+        head = DONE + PlatformHeaders.LEAVING + ": 1\r\n";
         assertThat(ask()).contains("done");
         int before = arrivals.size();
         for (int call = 0; call < 5; call++) {
--- a/src/test/java/org/cuminshelf/platform/BootSettingsTest.java
+++ b/src/test/java/org/cuminshelf/platform/BootSettingsTest.java
@@ -51,7 +51,7 @@
                         "\"unknown\":{}",
                         "\"cloud\":{\"address\":\"10.9.0.1:80\",\"dutyPerS\":2.5,"
                                 + "\"duties\":[\"autoscale\",\"usage_report\"]}");
-        DutyTerms terms = read(duties).duties();
+        PlatformDutySettings terms = read(duties).duties();
         assertThat(terms.platform()).hasValue(Address.of("10.9.0.1:80"));
         assertThat(terms.usageWindowMillis()).hasValue(5_000);
         assertThat(terms.forControl())
--- a/src/test/java/org/cuminshelf/platform/GracefulStopTest.java
+++ b/src/test/java/org/cuminshelf/platform/GracefulStopTest.java
@@ -124,8 +124,8 @@
                 head.append((char) in.read());
             }
             Thread.sleep(head.indexOf("/long") > 0 ? UPSTREAM_TAKES_LONG : UPSTREAM_TAKES);
-            String answer =
-                    "HTTP/1.1 200 OK\r\nConnection: close\r\n" + Headers.SEAL + ": s\r\nContent-Length: 4\r\n\r\ndone";
+            String answer = "HTTP/1.1 200 OK\r\nConnection: close\r\n" + PlatformHeaders.SEAL
+                    + ": s\r\nContent-Length: 4\r\n\r\ndone";
             socket.getOutputStream().write(answer.getBytes(StandardCharsets.UTF_8));
         } catch (IOException | InterruptedException e) {
             Thread.currentThread().interrupt();
--- a/src/test/java/org/cuminshelf/platform/BeatDocumentTest.java
+++ b/src/test/java/org/cuminshelf/platform/HeartbeatParserTest.java
@@ -24,14 +24,14 @@
 import org.cuminshelf.message.UpstreamBeat;
 
 /** Heartbeats of upstreams, good and bad. */
-class BeatDocumentTest {
+class HeartbeatParserTest {
 
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final String PLAIN = "{\"service\":\"s\",\"address\":\"10.0.0.1:80\",\"zone\":\"z\","
             + "\"slots\":6,\"state\":\"ready\",\"sequence\":4,\"born\":1786708249123}";
 
     private static Either<String, UpstreamBeat> read(String document) {
-        return BeatDocument.read("i-1", document.getBytes(StandardCharsets.UTF_8));
+        return HeartbeatParser.read("i-1", document.getBytes(StandardCharsets.UTF_8));
     }
 
     @Example
@@ -114,7 +114,7 @@
 
     @Property(tries = 300, seed = "52")
     void bytesThatCannotBeReadAreRefused(@ForAll byte[] bytes) {
-        assertThat(BeatDocument.read("i-1", bytes).isLeft()).isTrue();
+        assertThat(HeartbeatParser.read("i-1", bytes).isLeft()).isTrue();
     }
 
     @Property(tries = 200, seed = "53")
@@ -125,7 +125,7 @@
     @Example
     void linesOnRefusedHeartbeatsAreBounded() {
         long[] now = {0};
-        RefusedBeats refused = RefusedBeats.register(new PrometheusRegistry(), () -> now[0]);
+        RejectedHeartbeats refused = RejectedHeartbeats.register(new PrometheusRegistry(), () -> now[0]);
         int lines = 0;
         for (int index = 0; index < 100; index++) {
             lines += refused.note("x".repeat(10_000), "it is no JSON") ? 1 : 0;
--- a/src/test/java/org/cuminshelf/platform/LoopbackPlatform.java
+++ b/src/test/java/org/cuminshelf/platform/LoopbackPlatform.java
@@ -76,7 +76,7 @@
 
     /** Sends a call with header lines of its own. */
     String call(int place, String call, String body, String headers) throws IOException {
-        String request = call + " HTTP/1.1\r\nHost: h\r\nConnection: close\r\n" + headers + Headers.REQUEST_ID
+        String request = call + " HTTP/1.1\r\nHost: h\r\nConnection: close\r\n" + headers + PlatformHeaders.REQUEST_ID
                 + ": w\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
         try (Socket socket = new Socket(HOST, ports.get(place))) {
             socket.getOutputStream().write(request.getBytes(StandardCharsets.UTF_8));
--- a/src/test/java/org/cuminshelf/platform/OrganisationsOnLoopbackTest.java
+++ b/src/test/java/org/cuminshelf/platform/OrganisationsOnLoopbackTest.java
@@ -21,7 +21,7 @@
     private static final String KEY = "key-of-acme-31415";
     private static final String OTHER_KEY = "key-of-nobody-27182";
     private static final String DONE =
-            "HTTP/1.1 200 OK\r\nConnection: close\r\n" + Headers.SEAL + ": s\r\nContent-Length: 4\r\n\r\ndone";
+            "HTTP/1.1 200 OK\r\nConnection: close\r\n" + PlatformHeaders.SEAL + ": s\r\nContent-Length: 4\r\n\r\ndone";
     private static final long LOG_PATIENCE_MILLIS = 5_000;
 
     private final PrintStream console = System.out;
@@ -68,7 +68,7 @@
     }
 
     private String ask(String key) throws IOException {
-        return platform.call(LoopbackPlatform.CALLERS, "GET /a", "", Headers.CALLER_KEY + ": " + key + "\r\n");
+        return platform.call(LoopbackPlatform.CALLERS, "GET /a", "", PlatformHeaders.CALLER_KEY + ": " + key + "\r\n");
     }
 
     private void untilAnswered(String key, String wanted) throws Exception {
@@ -104,7 +104,7 @@
         platform.until(LoopbackPlatform.CONTROL, "PUT /cuminshelf/config", config(5, OTHER_KEY), "200");
         untilAnswered(KEY, "HTTP/1.1 401");
         untilAnswered(OTHER_KEY, "done");
-        assertThat(received).allSatisfy(head -> assertThat(head).contains(Headers.ORGANISATION + ": acme\r\n"));
+        assertThat(received).allSatisfy(head -> assertThat(head).contains(PlatformHeaders.ORGANISATION + ": acme\r\n"));
         String seen = log() + String.join("", received) + platform.call(LoopbackPlatform.METRICS, "GET /metrics", "");
         assertThat(seen).contains("unknown-key").contains("organisation=\"acme\"");
         assertThat(seen).doesNotContain(KEY).doesNotContain(OTHER_KEY);
--- a/src/test/java/org/cuminshelf/platform/WireNamesTest.java
+++ b/src/test/java/org/cuminshelf/platform/PlatformNamesTest.java
@@ -12,7 +12,7 @@
 import net.jqwik.api.Example;
 
 /** The platform's names stay in its package, so that another platform is another package and nothing else. */
-class WireNamesTest {
+class PlatformNamesTest {
 
     private static final Path SOURCES = Path.of("src/main/java/org/cuminshelf");
     private static final Pattern NAMES = Pattern.compile(
--- a/src/test/java/org/cuminshelf/platform/PlatformProtocolTest.java
+++ b/src/test/java/org/cuminshelf/platform/PlatformProtocolTest.java
@@ -47,13 +47,13 @@
     @Example
     void whatACallerAsksForIsRead() {
         CallIntent intent = protocol.readIntent(request(
-                Headers.REQUEST_ID,
+                PlatformHeaders.REQUEST_ID,
                 "x",
-                Headers.DEADLINE,
+                PlatformHeaders.DEADLINE,
                 "8000",
-                Headers.TOKENS,
+                PlatformHeaders.TOKENS,
                 "1460,80",
-                Headers.PROMPT_PARTS,
+                PlatformHeaders.PROMPT_PARTS,
                 "5c:800,91:410,e4:250"));
         assertThat(intent.id()).isEqualTo("x");
         assertThat(intent.deadlineMillis()).hasValue(8000);
@@ -63,8 +63,8 @@
 
     @Example
     void headersThatCanNotBeReadAreTakenForAbsent() {
-        CallIntent intent =
-                protocol.readIntent(request(Headers.DEADLINE, "soon", Headers.TOKENS, "many", Headers.LAST_EVENT, ""));
+        CallIntent intent = protocol.readIntent(request(
+                PlatformHeaders.DEADLINE, "soon", PlatformHeaders.TOKENS, "many", PlatformHeaders.LAST_EVENT, ""));
         assertThat(intent.deadlineMillis()).isEmpty();
         assertThat(intent.generation()).isEmpty();
         assertThat(intent.resumeAfter()).isEmpty();
@@ -98,7 +98,7 @@
                         "chunked",
                         "X-Kept",
                         "2",
-                        Headers.DEADLINE,
+                        PlatformHeaders.DEADLINE,
                         "9999"),
                 plan(false, Optional.empty()));
         assertThat(sent.headers().asString())
@@ -109,11 +109,11 @@
         assertThat(sent.headers().get("X-Cuminshelf-Kv-Hold")).isNull();
         assertThat(sent.headers().get("X-Cuminshelf-Kv-Backup")).isNull();
         assertThat(sent.headers().getValuesList("Kv-Fetch")).containsExactly("10.1.0.9:80");
-        assertThat(sent.headers().get(Headers.STAGE)).isNull();
+        assertThat(sent.headers().get(PlatformHeaders.STAGE)).isNull();
         assertThat(sent.headers().get("X-Kept")).isEqualTo("2");
-        assertThat(sent.headers().get(Headers.DEADLINE)).isEqualTo("750");
-        assertThat(sent.headers().get(Headers.EXPECTED_START)).isEqualTo("i-1");
-        assertThat(sent.headers().get(Headers.LAST_EVENT)).isEqualTo("12");
+        assertThat(sent.headers().get(PlatformHeaders.DEADLINE)).isEqualTo("750");
+        assertThat(sent.headers().get(PlatformHeaders.EXPECTED_START)).isEqualTo("i-1");
+        assertThat(sent.headers().get(PlatformHeaders.LAST_EVENT)).isEqualTo("12");
         assertThat(sent.target()).isEqualTo("/a/b?c=%20d");
     }
 
@@ -126,17 +126,17 @@
     void anUpstreamGetsTheNameOfTheOrganisationAndNeverAKey() {
         UpstreamRequest sent = protocol.attemptRequest(
                 request(
-                        Headers.CALLER_KEY,
+                        PlatformHeaders.CALLER_KEY,
                         "secret-1",
-                        Headers.CALLER_KEY.toUpperCase(Locale.ROOT),
+                        PlatformHeaders.CALLER_KEY.toUpperCase(Locale.ROOT),
                         "secret-2",
-                        Headers.ORGANISATION,
+                        PlatformHeaders.ORGANISATION,
                         "forged-1",
-                        Headers.ORGANISATION.toLowerCase(Locale.ROOT),
+                        PlatformHeaders.ORGANISATION.toLowerCase(Locale.ROOT),
                         "forged-2"),
                 plan(true, Optional.empty()));
         assertThat(sent.headers().asString()).doesNotContain("secret").doesNotContain("forged");
-        assertThat(sent.headers().getValuesList(Headers.ORGANISATION)).containsExactly("acme");
+        assertThat(sent.headers().getValuesList(PlatformHeaders.ORGANISATION)).containsExactly("acme");
     }
 
     /* On a public route a request runs in nobody's name. Its caller must not be able to choose one. */
@@ -144,16 +144,17 @@
     void inNobodysNameMeansThatNoNameIsSent() {
         AttemptPlan nobodys = new AttemptPlan(
                 "i-1", Optional.empty(), 750, 3, false, Optional.empty(), Optional.empty(), OptionalLong.empty());
-        UpstreamRequest sent = protocol.attemptRequest(request(Headers.ORGANISATION, "forged"), nobodys);
-        assertThat(sent.headers().contains(Headers.ORGANISATION)).isFalse();
+        UpstreamRequest sent = protocol.attemptRequest(request(PlatformHeaders.ORGANISATION, "forged"), nobodys);
+        assertThat(sent.headers().contains(PlatformHeaders.ORGANISATION)).isFalse();
     }
 
     @Example
     void whatIsReadOfARequestShowsNoKey() {
-        CallIntent intent = protocol.readIntent(request(Headers.CALLER_KEY, "secret"));
+        CallIntent intent = protocol.readIntent(request(PlatformHeaders.CALLER_KEY, "secret"));
         assertThat(intent.keys().single()).hasValue(ApiKeyDigest.of("secret"));
         assertThat(intent.toString()).doesNotContain("secret");
-        CallIntent twice = protocol.readIntent(request(Headers.CALLER_KEY, "a", Headers.CALLER_KEY, "b"));
+        CallIntent twice =
+                protocol.readIntent(request(PlatformHeaders.CALLER_KEY, "a", PlatformHeaders.CALLER_KEY, "b"));
         assertThat(twice.keys().single()).isEmpty();
     }
 
@@ -162,7 +163,7 @@
         KvCacheHandle cache = new KvCacheHandle(Address.of("10.0.0.1:80"), "k");
         assertThat(protocol.attemptRequest(request(), plan(false, Optional.of(cache)))
                         .headers()
-                        .get(Headers.CACHE_SOURCE))
+                        .get(PlatformHeaders.CACHE_SOURCE))
                 .isEqualTo("10.0.0.1:80/k");
         assertThat(protocol.releaseRequest(cache).target()).isEqualTo("/cuminshelf/kv-handle/k");
         assertThat(protocol.readCacheHandle("{\"kvHandle\":\"k\"}".getBytes())).hasValue("k");
@@ -171,9 +172,10 @@
 
     @Example
     void aRefusalThatStatesItDidNotRunIsToldFromOneThatDoesNot() {
-        ResponseMetadata stated = protocol.readMetadata(503, HttpFields.build().put(Headers.NOT_EXECUTED, "1"));
+        ResponseMetadata stated = protocol.readMetadata(503, HttpFields.build().put(PlatformHeaders.NOT_EXECUTED, "1"));
         ResponseMetadata silent = protocol.readMetadata(503, HttpFields.EMPTY);
-        ResponseMetadata other = protocol.readMetadata(421, HttpFields.build().put(Headers.ANSWERING_START, "i-2"));
+        ResponseMetadata other =
+                protocol.readMetadata(421, HttpFields.build().put(PlatformHeaders.ANSWERING_START, "i-2"));
         assertThat(stated.notExecuted()).isTrue();
         assertThat(silent.notExecuted()).isFalse();
         assertThat(other.instanceId()).hasValue("i-2");
@@ -182,7 +184,7 @@
     private AdvertisedLimit limit(String... stated) {
         HttpFields.Mutable headers = HttpFields.build();
         for (String value : stated) {
-            headers.add(Headers.RATE_LIMIT, value);
+            headers.add(PlatformHeaders.RATE_LIMIT, value);
         }
         return protocol.readMetadata(200, headers).backpressure().limit();
     }
@@ -224,7 +226,7 @@
 
     @Example
     void thatAnUpstreamLeavesIsRead() {
-        HttpFields leaving = HttpFields.build().put(Headers.LEAVING, "1");
+        HttpFields leaving = HttpFields.build().put(PlatformHeaders.LEAVING, "1");
         assertThat(protocol.readMetadata(200, leaving).backpressure().leaving()).isTrue();
         assertThat(protocol.readMetadata(200, HttpFields.EMPTY).backpressure().leaving())
                 .isFalse();
--- a/src/test/java/org/cuminshelf/platform/PoisonOnLoopbackTest.java
+++ b/src/test/java/org/cuminshelf/platform/PoisonOnLoopbackTest.java
@@ -27,9 +27,9 @@
     private static final String OTHER = "POST /b";
     private static final int CRASHES = 3;
     private static final String DONE =
-            "HTTP/1.1 200 OK\r\nConnection: close\r\n" + Headers.SEAL + ": s\r\nContent-Length: 4\r\n\r\ndone";
+            "HTTP/1.1 200 OK\r\nConnection: close\r\n" + PlatformHeaders.SEAL + ": s\r\nContent-Length: 4\r\n\r\ndone";
     private static final String OTHER_START = "HTTP/1.1 421 Misdirected Request\r\nConnection: close\r\n"
-            + Headers.NOT_EXECUTED + ": 1\r\n" + Headers.ANSWERING_START + ": ";
+            + PlatformHeaders.NOT_EXECUTED + ": 1\r\n" + PlatformHeaders.ANSWERING_START + ": ";
 
     private LoopbackPlatform platform;
     private ServerSocket upstream;
@@ -69,7 +69,7 @@
             while (true) {
                 try (Socket socket = listening.accept()) {
                     String head = LoopbackPlatform.readHead(socket.getInputStream());
-                    boolean meant = head.contains(Headers.EXPECTED_START + ": " + identity + "\r\n");
+                    boolean meant = head.contains(PlatformHeaders.EXPECTED_START + ": " + identity + "\r\n");
                     if (meant && head.startsWith(POISON) && !mended) {
                         listening.close();
                         return;
--- a/src/test/java/org/cuminshelf/platform/ConfigDocumentTest.java
+++ b/src/test/java/org/cuminshelf/platform/RouteConfigParserTest.java
@@ -14,7 +14,7 @@
 import org.cuminshelf.routes.RoutedService;
 
 /** The configurations of the platform's operators, good and bad. */
-class ConfigDocumentTest {
+class RouteConfigParserTest {
 
     private static final String ROUTE = "{\"name\":\"r\",\"host\":\"H.example\",\"pathPrefix\":\"/a/\","
             + "\"routeKind\":\"stream\",\"timeoutMs\":6000,\"targetLatencyMs\":200,\"priority\":1,"
@@ -27,7 +27,7 @@
     }
 
     private static Either<String, RouteTable> read(String document) {
-        return ConfigDocument.read(document.getBytes(StandardCharsets.UTF_8));
+        return RouteConfigParser.read(document.getBytes(StandardCharsets.UTF_8));
     }
 
     private static String wrong(String document) {
--- a/src/test/java/org/cuminshelf/platform/DutyCallsTest.java
+++ b/src/test/java/org/cuminshelf/platform/UsageReportClientTest.java
@@ -25,7 +25,7 @@
 import org.cuminshelf.message.UsageWindow;
 
 /** Reports of usage on their way to the platform, over loopback. */
-class DutyCallsTest {
+class UsageReportClientTest {
 
     private static final long PATIENCE_SECONDS = 10;
 
@@ -33,14 +33,14 @@
     private final BlockingQueue<UsageReported> outcomes = new LinkedBlockingQueue<>();
     private ServerSocket platform;
     private UpstreamConnections connections;
-    private DutyCalls calls;
+    private UsageReportClient calls;
 
     @BeforeTry
     void open() throws IOException {
         platform = new ServerSocket(0, 5, InetAddress.getLoopbackAddress());
         platform.setSoTimeout((int) TimeUnit.SECONDS.toMillis(PATIENCE_SECONDS));
         connections = UpstreamConnections.start(lock);
-        calls = new DutyCalls(
+        calls = new UsageReportClient(
                 connections,
                 Address.of("127.0.0.1:" + platform.getLocalPort()),
                 "vm-1",
--- a/src/test/java/org/cuminshelf/replica/OpenMembershipTest.java
+++ b/src/test/java/org/cuminshelf/replica/OpenMembershipTest.java
@@ -311,7 +311,7 @@
             }
 
             @Override
-            public void sendFresh(Address to, Envelope.Builder message) {
+            public void sendOnNewConnection(Address to, Envelope.Builder message) {
                 send(to, message);
             }
         };
