--- a/src/main/java/org/cuminshelf/direct/AttemptRunner.java
+++ b/src/main/java/org/cuminshelf/direct/AttemptRunner.java
@@ -253,7 +253,7 @@
                     && event.get().id().getAsLong() <= call.lastEventId.getAsLong();
             if (!alreadyDelivered) {
                 responses.startResponse(now, attempt);
-                call.exchange.part(ByteBuffer.wrap(event.get().bytes()));
+                call.exchange.writePart(ByteBuffer.wrap(event.get().bytes()));
                 if (call.deliveredEvents > 0) {
                     call.longestGapNanos = Math.max(call.longestGapNanos, now - call.lastEventAtNanos);
                 }
--- a/src/main/java/org/cuminshelf/direct/CallerResponses.java
+++ b/src/main/java/org/cuminshelf/direct/CallerResponses.java
@@ -35,7 +35,7 @@
         if (!call.responseStarted) {
             call.responseStarted = true;
             call.responseStartedAtNanos = now;
-            call.exchange.begin(attempt.status, endToEndHeaders(attempt.headers));
+            call.exchange.beginResponse(attempt.status, endToEndHeaders(attempt.headers));
         }
     }
 
@@ -44,11 +44,11 @@
         DirectCall call = attempt.call;
         if (call.isStream() && attempt.isSuccess()) {
             startResponse(now, attempt);
-            call.exchange.part(ByteBuffer.wrap(attempt.eventSplitter.remainder()));
-            call.exchange.end();
+            call.exchange.writePart(ByteBuffer.wrap(attempt.eventSplitter.remainder()));
+            call.exchange.endResponse();
         } else {
             call.responseStartedAtNanos = now;
-            call.exchange.answer(
+            call.exchange.respond(
                     attempt.status,
                     endToEndHeaders(attempt.headers),
                     ByteBuffer.wrap(attempt.responseBody.toByteArray()));
@@ -198,13 +198,13 @@
         HttpFields headers = HttpFields.build()
                 .put(HttpHeader.RETRY_AFTER, String.valueOf(retryAfterMillis / 1_000.0))
                 .put(HttpHeader.CONTENT_TYPE, "text/plain");
-        exchange.answer(UNAVAILABLE, headers, ByteBuffer.wrap(text.getBytes(StandardCharsets.UTF_8)));
+        exchange.respond(UNAVAILABLE, headers, ByteBuffer.wrap(text.getBytes(StandardCharsets.UTF_8)));
     }
 
     /** Sends a complete response with a plain text body. */
     void respond(CallerExchange exchange, int status, String text) {
         HttpFields headers = HttpFields.build().put(HttpHeader.CONTENT_TYPE, "text/plain");
-        exchange.answer(status, headers, ByteBuffer.wrap(text.getBytes(StandardCharsets.UTF_8)));
+        exchange.respond(status, headers, ByteBuffer.wrap(text.getBytes(StandardCharsets.UTF_8)));
     }
 
     private static HttpFields endToEndHeaders(HttpFields headers) {
--- a/src/main/java/org/cuminshelf/direct/DirectCore.java
+++ b/src/main/java/org/cuminshelf/direct/DirectCore.java
@@ -222,7 +222,7 @@
     }
 
     @Override
-    public void onGone(CallerExchange exchange) {
+    public void onDisconnect(CallerExchange exchange) {
         earlyRequests.remove(exchange);
         DirectCall call = callsByExchange.remove(exchange);
         if (call != null) {
--- a/src/main/java/org/cuminshelf/exchange/CallerConnection.java
+++ b/src/main/java/org/cuminshelf/exchange/CallerConnection.java
@@ -72,7 +72,7 @@
         super(endPoint, executor);
         this.listener = listener;
         this.lock = listener.lock();
-        this.parser = new HttpParser(this, listener.limits().headerBytes(), HttpCompliance.RFC9110);
+        this.parser = new HttpParser(this, listener.limits().maxHeaderBytes(), HttpCompliance.RFC9110);
         this.writes = new WriteQueue(endPoint, lock, failure -> onEnd());
     }
 
@@ -158,7 +158,7 @@
         listener.closed(this);
         getEndPoint().close();
         if (waited) {
-            listener.handler().onGone(this);
+            listener.handler().onDisconnect(this);
         }
     }
 
@@ -168,14 +168,14 @@
         long millis = (now - since) / NANOS_PER_MILLI;
         switch (phase) {
             case IDLE -> {
-                if (millis > limits.idleMillis()) {
+                if (millis > limits.idleTimeoutMillis()) {
                     onEnd();
                 }
             }
             case READING -> {
-                if (!headersRead && millis > limits.headerMillis()) {
+                if (!headersRead && millis > limits.headerTimeoutMillis()) {
                     refuse(HttpStatus.REQUEST_TIMEOUT_408, "The headers did not come in time.");
-                } else if (millis > limits.headerMillis() + limits.idleMillis()) {
+                } else if (millis > limits.headerTimeoutMillis() + limits.idleTimeoutMillis()) {
                     refuse(HttpStatus.REQUEST_TIMEOUT_408, "The body did not come in time.");
                 }
             }
@@ -224,7 +224,7 @@
     @Override
     public boolean headerComplete() {
         headersRead = true;
-        if (parser.getContentLength() > listener.limits().bodyBytes()) {
+        if (parser.getContentLength() > listener.limits().maxBodyBytes()) {
             refuse(HttpStatus.PAYLOAD_TOO_LARGE_413, "The body is too large.");
             return true;
         }
@@ -239,7 +239,7 @@
         byte[] copy = new byte[bytes.remaining()];
         bytes.get(copy);
         body.write(copy, 0, copy.length);
-        if (body.size() > listener.limits().bodyBytes()) {
+        if (body.size() > listener.limits().maxBodyBytes()) {
             refuse(HttpStatus.PAYLOAD_TOO_LARGE_413, "The body is too large.");
             return true;
         }
@@ -280,13 +280,13 @@
         phase = Phase.ANSWERING;
         closeAfter = true;
         listener.refused(status, reason);
-        answer(status, HttpFields.EMPTY, ByteBuffer.wrap((reason + "\n").getBytes(StandardCharsets.UTF_8)));
+        respond(status, HttpFields.EMPTY, ByteBuffer.wrap((reason + "\n").getBytes(StandardCharsets.UTF_8)));
     }
 
     // ---- the answer
 
     @Override
-    public void answer(int status, HttpFields fields, ByteBuffer answerBody) {
+    public void respond(int status, HttpFields fields, ByteBuffer answerBody) {
         if (phase != Phase.ANSWERING) {
             return;
         }
@@ -300,7 +300,7 @@
     }
 
     @Override
-    public void begin(int status, HttpFields fields) {
+    public void beginResponse(int status, HttpFields fields) {
         if (phase != Phase.ANSWERING) {
             return;
         }
@@ -309,7 +309,7 @@
     }
 
     @Override
-    public void part(ByteBuffer bytes) {
+    public void writePart(ByteBuffer bytes) {
         if (phase != Phase.ANSWERING || !begun || !bytes.hasRemaining()) {
             return;
         }
@@ -320,7 +320,7 @@
     }
 
     @Override
-    public void end() {
+    public void endResponse() {
         if (phase == Phase.ANSWERING && begun) {
             writes.write(ByteBuffer.wrap(LAST_CHUNK));
             answered();
@@ -343,7 +343,7 @@
         for (HttpField field : fields) {
             head.append(field.getName()).append(": ").append(field.getValue()).append("\r\n");
         }
-        closeAfter |= listener.isLeaving();
+        closeAfter |= listener.isDraining();
         if (closeAfter) {
             head.append("Connection: close\r\n");
         }
--- a/src/main/java/org/cuminshelf/exchange/CallerExchange.java
+++ b/src/main/java/org/cuminshelf/exchange/CallerExchange.java
@@ -13,7 +13,7 @@
      * @param headers headers without those of framing
      * @param body    the whole body
      */
-    void answer(int status, HttpFields headers, ByteBuffer body);
+    void respond(int status, HttpFields headers, ByteBuffer body);
 
     /**
      * Begins an answer whose length isn't known.
@@ -21,17 +21,17 @@
      * @param status  the status
      * @param headers headers without those of framing
      */
-    void begin(int status, HttpFields headers);
+    void beginResponse(int status, HttpFields headers);
 
     /**
      * Sends a part of an answer that was begun.
      *
      * @param bytes the part
      */
-    void part(ByteBuffer bytes);
+    void writePart(ByteBuffer bytes);
 
     /** Ends an answer that was begun, as complete. */
-    void end();
+    void endResponse();
 
     /** Ends the connection, so that what was sent of an answer can't look complete. */
     void abort();
--- a/src/main/java/org/cuminshelf/exchange/CallerHandler.java
+++ b/src/main/java/org/cuminshelf/exchange/CallerHandler.java
@@ -16,5 +16,5 @@
      *
      * @param exchange the exchange that nobody waits for any more
      */
-    void onGone(CallerExchange exchange);
+    void onDisconnect(CallerExchange exchange);
 }
--- a/src/main/java/org/cuminshelf/exchange/CallerListener.java
+++ b/src/main/java/org/cuminshelf/exchange/CallerListener.java
@@ -35,7 +35,7 @@
     private final Set<CallerConnection> connections = new HashSet<>();
     private final Server server;
     private final ServerConnector connector;
-    private volatile boolean leaving;
+    private volatile boolean draining;
     private volatile boolean accepting = true;
 
     private CallerListener(ReentrantLock lock, CallerHandler handler, Supplier<CallerLimits> limits) {
@@ -88,8 +88,8 @@
     }
 
     /** From now on each answer asks its caller to open another connection for its next request. */
-    public void leave() {
-        leaving = true;
+    public void startDraining() {
+        draining = true;
     }
 
     /**
@@ -102,7 +102,7 @@
     }
 
     /** Ends the connections that wait for a next request. */
-    public void closeIdle() {
+    public void closeIdleConnections() {
         lock.lock();
         try {
             List.copyOf(connections).forEach(CallerConnection::closeIfIdle);
@@ -132,8 +132,8 @@
         return limits.get();
     }
 
-    boolean isLeaving() {
-        return leaving;
+    boolean isDraining() {
+        return draining;
     }
 
     boolean isAccepting() {
--- a/src/main/java/org/cuminshelf/exchange/UpstreamConnections.java
+++ b/src/main/java/org/cuminshelf/exchange/UpstreamConnections.java
@@ -62,7 +62,7 @@
     private final ClientConnector connector = new ClientConnector();
     private final Map<Key, Deque<UpstreamConnection>> idle = new HashMap<>();
     private final Map<Key, Set<UpstreamConnection>> open = new HashMap<>();
-    private long opened;
+    private long totalOpened;
 
     private UpstreamConnections(ReentrantLock lock) {
         this.lock = lock;
@@ -144,7 +144,7 @@
      * @param address  where
      * @param upstream identity of the upstream's start
      */
-    public void forgetIdle(Address address, String upstream) {
+    public void closeIdle(Address address, String upstream) {
         Deque<UpstreamConnection> kept = idle.remove(new Key(address, upstream));
         if (kept != null) {
             List.copyOf(kept).forEach(UpstreamConnection::drop);
@@ -158,7 +158,7 @@
      * @param upstream identity of the upstream's start
      * @return their number
      */
-    public int openCount(Address address, String upstream) {
+    public int openConnectionCount(Address address, String upstream) {
         return open.getOrDefault(new Key(address, upstream), Set.of()).size();
     }
 
@@ -167,8 +167,8 @@
      *
      * @return their number
      */
-    public long opened() {
-        return opened;
+    public long totalOpened() {
+        return totalOpened;
     }
 
     /** Ends connections that may no longer be used. Under the lock, about once a second. */
@@ -198,7 +198,7 @@
     }
 
     void connected(UpstreamConnection connection) {
-        opened++;
+        totalOpened++;
         open.computeIfAbsent(connection.key(), key -> new HashSet<>()).add(connection);
     }
 
@@ -349,7 +349,7 @@
         }
 
         @Override
-        public void discard() {
+        public void cancelAndReset() {
             if (!cancelled && connection != null) {
                 connection.resetOnClose();
             }
--- a/src/main/java/org/cuminshelf/exchange/UpstreamExchange.java
+++ b/src/main/java/org/cuminshelf/exchange/UpstreamExchange.java
@@ -10,7 +10,7 @@
      * Ends its connection and throws away what was not delivered yet. Guards against a request that waits in the
      * sender's socket while the way is cut, and arrives when it may not be carried out any more.
      */
-    default void discard() {
+    default void cancelAndReset() {
         cancel();
     }
 }
--- a/src/main/java/org/cuminshelf/http/AdminHandler.java
+++ b/src/main/java/org/cuminshelf/http/AdminHandler.java
@@ -116,13 +116,13 @@
                 ask(response, callback, AdminRequest.newBuilder().setConfigRead(ConfigRead.getDefaultInstance()));
             case "POST config" -> withBody(request, response, callback, body -> apply(request, body, operator));
             case "POST orders" -> withBody(request, response, callback, body -> order(body, operator));
-            case "GET " + QuarantineJson.LIST -> ask(response, callback, QuarantineJson.list());
-            case "POST " + QuarantineJson.RELEASE ->
+            case "GET " + QuarantineJson.LIST_PATH -> ask(response, callback, QuarantineJson.listRequest());
+            case "POST " + QuarantineJson.RELEASE_PATH ->
                 withBody(
                         request,
                         response,
                         callback,
-                        body -> QuarantineJson.release(body, Optional.of(operator.team())));
+                        body -> QuarantineJson.releaseRequest(body, Optional.of(operator.team())));
             default ->
                 Problem.badRequest(
                                 404,
@@ -137,7 +137,7 @@
             Response response,
             Callback callback,
             java.util.function.Function<byte[], Either<String, AdminRequest.Builder>> parse) {
-        Bodies.read(
+        RequestBodyReader.read(
                 request,
                 response,
                 LARGEST_BODY,
--- a/src/main/java/org/cuminshelf/http/CallersHandler.java
+++ b/src/main/java/org/cuminshelf/http/CallerApiHandler.java
@@ -34,19 +34,19 @@
  * The callers' interface: {@code /v1/chat/completions}, {@code /v1/completions}, {@code /v1/models}, and plain services
  * under {@code /services/NAME/}.
  */
-public final class CallersHandler extends Handler.Abstract.NonBlocking {
+public final class CallerApiHandler extends Handler.Abstract.NonBlocking {
 
     /** Header that names the caller's organisation. */
-    public static final String ORGANISATION = "Cuminshelf-Organisation";
+    public static final String ORGANISATION_HEADER = "Cuminshelf-Organisation";
 
     /** Header with the priority, 0 to 9. */
-    public static final String PRIORITY = "Cuminshelf-Priority";
+    public static final String PRIORITY_HEADER = "Cuminshelf-Priority";
 
     /** Header with the milliseconds in which the answer is needed. */
-    public static final String DEADLINE = "Cuminshelf-Deadline-Ms";
+    public static final String DEADLINE_HEADER = "Cuminshelf-Deadline-Ms";
 
     /** Header with the idempotency key. */
-    public static final String KEY = "Idempotency-Key";
+    public static final String IDEMPOTENCY_KEY_HEADER = "Idempotency-Key";
 
     private static final String SERVICES = "/services/";
     private static final int LARGEST_BODY = 4 << 20;
@@ -81,7 +81,7 @@
      * @param spans   records the entry's hop
      * @param metrics counts calls
      */
-    public CallersHandler(
+    public CallerApiHandler(
             Consumer<Envelope.Builder> core, Supplier<FleetConfig> config, Spans spans, CallMetrics metrics) {
         this.core = core;
         this.config = config;
@@ -172,10 +172,10 @@
         Span span = startSpan(request, parsed.generation().getModel(), call);
         CompletionJson json = new CompletionJson(
                 "cmpl-" + id, parsed.generation().getModel(), System.currentTimeMillis() / 1000, chat);
-        Runnable onGone = () -> gone(id);
+        Runnable onDisconnect = () -> gone(id);
         OpenCall openCall = parsed.stream()
-                ? new OpenCall.Streamed(span, response, callback, onGone, json)
-                : new OpenCall.Gathered(span, response, callback, json);
+                ? new OpenCall.StreamedCompletion(span, response, callback, onDisconnect, json)
+                : new OpenCall.BufferedCompletion(span, response, callback, json);
         start(request, id, openCall, call);
     }
 
@@ -213,13 +213,16 @@
                 && !idempotent
                 && call.getIdempotencyKey().isEmpty();
         if (keyMissing) {
-            Problem.badRequest(428, "This service wants an " + KEY + " header on requests that change something.")
+            Problem.badRequest(
+                            428,
+                            "This service wants an " + IDEMPOTENCY_KEY_HEADER
+                                    + " header on requests that change something.")
                     .write(response, callback);
             return;
         }
         long id = nextCall.getAndIncrement();
         Span span = startSpan(request, name, call);
-        start(request, id, new OpenCall.Passed(span, response, callback, () -> gone(id)), call);
+        start(request, id, new OpenCall.ServiceCall(span, response, callback, () -> gone(id)), call);
     }
 
     private void start(Request request, long id, OpenCall openCall, CallArrived.Builder call) {
@@ -243,7 +246,7 @@
     }
 
     private void readBody(Request request, Response response, Callback callback, Consumer<byte[]> onBody) {
-        Bodies.read(
+        RequestBodyReader.read(
                 request,
                 response,
                 LARGEST_BODY,
@@ -256,22 +259,22 @@
     /** Takes the headers that every call may have; answers the caller and returns false where one is wrong. */
     private static boolean takeHeaders(
             Request request, Response response, Callback callback, CallArrived.Builder call) {
-        Optional<Integer> priority = number(request, PRIORITY, 0, 9);
-        Optional<Integer> deadline = number(request, DEADLINE, 1, LONGEST_DEADLINE);
-        String key = header(request, KEY);
+        Optional<Integer> priority = number(request, PRIORITY_HEADER, 0, 9);
+        Optional<Integer> deadline = number(request, DEADLINE_HEADER, 1, LONGEST_DEADLINE);
+        String key = header(request, IDEMPOTENCY_KEY_HEADER);
         String wrong = "";
-        if (!header(request, PRIORITY).isEmpty() && priority.isEmpty()) {
-            wrong = PRIORITY + " must be a whole number from 0 to 9.";
-        } else if (!header(request, DEADLINE).isEmpty() && deadline.isEmpty()) {
-            wrong = DEADLINE + " must be a whole number from 1 to " + LONGEST_DEADLINE + ".";
+        if (!header(request, PRIORITY_HEADER).isEmpty() && priority.isEmpty()) {
+            wrong = PRIORITY_HEADER + " must be a whole number from 0 to 9.";
+        } else if (!header(request, DEADLINE_HEADER).isEmpty() && deadline.isEmpty()) {
+            wrong = DEADLINE_HEADER + " must be a whole number from 1 to " + LONGEST_DEADLINE + ".";
         } else if (key.length() > LONGEST_KEY) {
-            wrong = KEY + " must have at most " + LONGEST_KEY + " characters.";
+            wrong = IDEMPOTENCY_KEY_HEADER + " must have at most " + LONGEST_KEY + " characters.";
         }
         if (!wrong.isEmpty()) {
             Problem.badRequest(400, wrong).write(response, callback);
             return false;
         }
-        call.setOrganisation(header(request, ORGANISATION));
+        call.setOrganisation(header(request, ORGANISATION_HEADER));
         call.setPriority(priority.orElse(0));
         call.setDeadlineMs(deadline.orElse(0));
         call.setIdempotencyKey(key);
--- a/src/main/java/org/cuminshelf/http/PlatformHandler.java
+++ b/src/main/java/org/cuminshelf/http/MonitoringHandler.java
@@ -14,7 +14,7 @@
 import org.eclipse.jetty.util.Callback;
 
 /** The pages for the platform: {@code /healthz}, {@code /readyz} and {@code /metrics}. */
-public final class PlatformHandler extends Handler.Abstract.NonBlocking {
+public final class MonitoringHandler extends Handler.Abstract.NonBlocking {
 
     private final BooleanSupplier ready;
     private final PrometheusRegistry registry;
@@ -27,7 +27,7 @@
      * @param ready    whether the balancer may send requests here
      * @param registry the metrics
      */
-    public PlatformHandler(BooleanSupplier ready, PrometheusRegistry registry) {
+    public MonitoringHandler(BooleanSupplier ready, PrometheusRegistry registry) {
         this.ready = ready;
         this.registry = registry;
     }
--- a/src/main/java/org/cuminshelf/http/OpenCall.java
+++ b/src/main/java/org/cuminshelf/http/OpenCall.java
@@ -31,7 +31,7 @@
     }
 
     /** An exchange with a plain service, passed through. */
-    final class Passed implements OpenCall {
+    final class ServiceCall implements OpenCall {
 
         private final Span span;
         private final Response response;
@@ -39,11 +39,11 @@
         private final ResponseWriter writer;
         private boolean started;
 
-        Passed(Span span, Response response, Callback callback, Runnable onGone) {
+        ServiceCall(Span span, Response response, Callback callback, Runnable onDisconnect) {
             this.span = span;
             this.response = response;
             this.callback = callback;
-            this.writer = new ResponseWriter(response, callback, onGone);
+            this.writer = new ResponseWriter(response, callback, onDisconnect);
         }
 
         @Override
@@ -79,7 +79,7 @@
     }
 
     /** A generation whose tokens go to the caller as they come, as server-sent events. */
-    final class Streamed implements OpenCall {
+    final class StreamedCompletion implements OpenCall {
 
         private final Span span;
         private final Response response;
@@ -88,11 +88,12 @@
         private final CompletionJson json;
         private boolean started;
 
-        Streamed(Span span, Response response, Callback callback, Runnable onGone, CompletionJson json) {
+        StreamedCompletion(
+                Span span, Response response, Callback callback, Runnable onDisconnect, CompletionJson json) {
             this.span = span;
             this.response = response;
             this.callback = callback;
-            this.writer = new ResponseWriter(response, callback, onGone);
+            this.writer = new ResponseWriter(response, callback, onDisconnect);
             this.json = json;
         }
 
@@ -139,7 +140,7 @@
     }
 
     /** A generation whose caller wants the whole answer at once. */
-    final class Gathered implements OpenCall {
+    final class BufferedCompletion implements OpenCall {
 
         private final Span span;
         private final Response response;
@@ -147,7 +148,7 @@
         private final CompletionJson json;
         private final StringBuilder text = new StringBuilder();
 
-        Gathered(Span span, Response response, Callback callback, CompletionJson json) {
+        BufferedCompletion(Span span, Response response, Callback callback, CompletionJson json) {
             this.span = span;
             this.response = response;
             this.callback = callback;
--- a/src/main/java/org/cuminshelf/http/QuarantineJson.java
+++ b/src/main/java/org/cuminshelf/http/QuarantineJson.java
@@ -19,9 +19,9 @@
 public final class QuarantineJson {
 
     /** Path of the list, under the prefix of the interface. */
-    public static final String LIST = "quarantine";
+    public static final String LIST_PATH = "quarantine";
     /** Path of a release, under the prefix of the interface. */
-    public static final String RELEASE = "quarantine/release";
+    public static final String RELEASE_PATH = "quarantine/release";
 
     private static final ObjectMapper JSON = new ObjectMapper();
 
@@ -32,7 +32,7 @@
      *
      * @return the request
      */
-    public static AdminRequest.Builder list() {
+    public static AdminRequest.Builder listRequest() {
         return AdminRequest.newBuilder().setQuarantineList(QuarantineList.getDefaultInstance());
     }
 
@@ -43,7 +43,7 @@
      * @param author who releases, where a key names it
      * @return the request, or what is wrong with the body
      */
-    public static Either<String, AdminRequest.Builder> release(byte[] body, Optional<String> author) {
+    public static Either<String, AdminRequest.Builder> releaseRequest(byte[] body, Optional<String> author) {
         JsonNode node;
         try {
             node = JSON.readTree(body);
@@ -74,7 +74,7 @@
     /**
      * Writes the quarantine.
      *
-     * @param answer the answer to {@link #list()}
+     * @param answer the answer to {@link #listRequest()}
      * @return an object with {@code requests}
      */
     public static ObjectNode of(AdminAnswer answer) {
--- a/src/main/java/org/cuminshelf/http/Bodies.java
+++ b/src/main/java/org/cuminshelf/http/RequestBodyReader.java
@@ -9,9 +9,9 @@
 import org.eclipse.jetty.server.Response;
 
 /** Reads request bodies without blocking and with a bound. */
-final class Bodies {
+final class RequestBodyReader {
 
-    private Bodies() {}
+    private RequestBodyReader() {}
 
     /**
      * Reads a whole body.
--- a/src/main/java/org/cuminshelf/http/ResponseWriter.java
+++ b/src/main/java/org/cuminshelf/http/ResponseWriter.java
@@ -20,16 +20,16 @@
 
     private final Response response;
     private final Callback callback;
-    private final Runnable onGone;
+    private final Runnable onDisconnect;
     private final Deque<Part> parts = new ArrayDeque<>();
     private long waitingBytes;
     private boolean writing;
     private boolean ended;
 
-    ResponseWriter(Response response, Callback callback, Runnable onGone) {
+    ResponseWriter(Response response, Callback callback, Runnable onDisconnect) {
         this.response = response;
         this.callback = callback;
-        this.onGone = onGone;
+        this.onDisconnect = onDisconnect;
     }
 
     synchronized void write(byte[] bytes, boolean last) {
@@ -53,7 +53,7 @@
             ended = true;
             parts.clear();
             callback.failed(cause);
-            onGone.run();
+            onDisconnect.run();
         }
     }
 
--- a/src/main/java/org/cuminshelf/platform/ConfigDocument.java
+++ b/src/main/java/org/cuminshelf/platform/ConfigDocument.java
@@ -167,10 +167,10 @@
     private static CallerLimits limits(JsonNode node) throws IOException {
         CallerLimits usual = CallerLimits.DEFAULT;
         return new CallerLimits(
-                (int) number(node, "maxHeaderBytes", usual.headerBytes()),
-                (int) number(node, "maxBodyBytes", usual.bodyBytes()),
-                number(node, "headerTimeoutMs", usual.headerMillis()),
-                number(node, "idleTimeoutMs", usual.idleMillis()));
+                (int) number(node, "maxHeaderBytes", usual.maxHeaderBytes()),
+                (int) number(node, "maxBodyBytes", usual.maxBodyBytes()),
+                number(node, "headerTimeoutMs", usual.headerTimeoutMillis()),
+                number(node, "idleTimeoutMs", usual.idleTimeoutMillis()));
     }
 
     private static String text(JsonNode node, String name) throws IOException {
--- a/src/main/java/org/cuminshelf/platform/ControlCalls.java
+++ b/src/main/java/org/cuminshelf/platform/ControlCalls.java
@@ -41,8 +41,8 @@
     /** Calls of our own, under the path of the product's administration interface, so that its commands work. */
     private static final String ADMIN = "/admin/";
 
-    private static final String QUARANTINE = ADMIN + QuarantineJson.LIST;
-    private static final String QUARANTINE_RELEASE = ADMIN + QuarantineJson.RELEASE;
+    private static final String QUARANTINE = ADMIN + QuarantineJson.LIST_PATH;
+    private static final String QUARANTINE_RELEASE = ADMIN + QuarantineJson.RELEASE_PATH;
 
     private final ReentrantLock lock = new ReentrantLock();
     private final Consumer<Envelope.Builder> core;
@@ -100,9 +100,9 @@
             tell(UpstreamBeat.newBuilder().setName(id).setDeleted(true).build());
             answer(exchange, 200, "{}");
         } else if (path.equals(QUARANTINE) && method.equals("GET")) {
-            ask(exchange, QuarantineJson.list());
+            ask(exchange, QuarantineJson.listRequest());
         } else if (path.equals(QUARANTINE_RELEASE) && method.equals("POST")) {
-            QuarantineJson.release(request.body(), Optional.empty())
+            QuarantineJson.releaseRequest(request.body(), Optional.empty())
                     .peek(release -> ask(exchange, release))
                     .peekLeft(wrong -> answer(exchange, 400, problem(wrong)));
         } else {
@@ -194,7 +194,7 @@
                 boolean read = !answer.getConfig().isEmpty();
                 boolean none = answer.getVersion() == 0;
                 if (read) {
-                    exchange.answer(200, json(), answer.getConfig().asReadOnlyByteBuffer());
+                    exchange.respond(200, json(), answer.getConfig().asReadOnlyByteBuffer());
                 } else {
                     answer(exchange, none ? 503 : 200, none ? problem("no configuration was accepted yet") : "{}");
                 }
@@ -206,7 +206,7 @@
     }
 
     private static void answer(CallerExchange exchange, int status, String body) {
-        exchange.answer(status, json(), ByteBuffer.wrap(body.getBytes(StandardCharsets.UTF_8)));
+        exchange.respond(status, json(), ByteBuffer.wrap(body.getBytes(StandardCharsets.UTF_8)));
     }
 
     private static HttpFields json() {
@@ -218,7 +218,7 @@
     }
 
     @Override
-    public void onGone(CallerExchange exchange) {
+    public void onDisconnect(CallerExchange exchange) {
         waiting.values().remove(exchange);
     }
 
--- a/src/main/java/org/cuminshelf/platform/DutyCalls.java
+++ b/src/main/java/org/cuminshelf/platform/DutyCalls.java
@@ -84,7 +84,7 @@
                         connections.send(platform, connection, UsageDocument.write(report, platform, vm), this));
                 return;
             }
-            connections.forgetIdle(platform, connection);
+            connections.closeIdle(platform, connection);
             end(false, seen == Reachability.LISTENING ? "no longer allowed" : "no connection");
         }
 
@@ -95,7 +95,7 @@
 
         private void giveUp() {
             givenUp = true;
-            exchange.ifPresent(UpstreamExchange::discard);
+            exchange.ifPresent(UpstreamExchange::cancelAndReset);
         }
 
         @Override
@@ -110,7 +110,7 @@
 
         @Override
         public void onComplete() {
-            connections.forgetIdle(platform, connection);
+            connections.closeIdle(platform, connection);
             end(status == ACKNOWLEDGED, "answered");
         }
 
--- a/src/main/java/org/cuminshelf/process/AdminInterface.java
+++ b/src/main/java/org/cuminshelf/process/AdminInterface.java
@@ -6,8 +6,8 @@
 import org.cuminshelf.core.Address;
 import org.cuminshelf.http.AdminHandler;
 import org.cuminshelf.http.HttpListener;
+import org.cuminshelf.http.MonitoringHandler;
 import org.cuminshelf.http.PemFiles;
-import org.cuminshelf.http.PlatformHandler;
 import org.cuminshelf.message.Envelope;
 import org.eclipse.jetty.server.Handler;
 
@@ -28,7 +28,7 @@
     static Opener at(Address address, Optional<PemFiles> tls, Set<String> keys, boolean open) {
         return (core, config, ready, registry) -> {
             AdminHandler handler = new AdminHandler(core, config, keys, open);
-            Handler all = new Handler.Sequence(new PlatformHandler(ready, registry), handler);
+            Handler all = new Handler.Sequence(new MonitoringHandler(ready, registry), handler);
             return start(handler, address, all, tls);
         };
     }
--- a/src/main/java/org/cuminshelf/process/DirectEntryProcess.java
+++ b/src/main/java/org/cuminshelf/process/DirectEntryProcess.java
@@ -162,7 +162,7 @@
                 registry, "cuminshelf_config_version", "Version of the configuration in force.", core::configVersion);
         EntryProcess.gauge(registry, "cuminshelf_open_calls", "Calls not answered yet.", core::openCalls);
         EntryProcess.gauge(
-                registry, "cuminshelf_upstream_connections_opened", "Connections opened.", connections::opened);
+                registry, "cuminshelf_upstream_connections_opened", "Connections opened.", connections::totalOpened);
         EntryProcess.gauge(
                 registry,
                 "cuminshelf_suspected_requests",
@@ -284,8 +284,8 @@
         }
 
         @Override
-        public void onGone(CallerExchange exchange) {
-            core.onGone(exchange);
+        public void onDisconnect(CallerExchange exchange) {
+            core.onDisconnect(exchange);
         }
     }
 
@@ -293,11 +293,11 @@
     private final class Readiness implements CallerHandler {
         @Override
         public void onRequest(ReceivedRequest request, CallerExchange exchange) {
-            exchange.answer(core.isReady() ? OK : UNAVAILABLE, HttpFields.EMPTY, ByteBuffer.allocate(0));
+            exchange.respond(core.isReady() ? OK : UNAVAILABLE, HttpFields.EMPTY, ByteBuffer.allocate(0));
         }
 
         @Override
-        public void onGone(CallerExchange exchange) {
+        public void onDisconnect(CallerExchange exchange) {
             // The answer was given within the question's own call.
         }
     }
@@ -312,7 +312,7 @@
 
         @Override
         public void discardIdleConnections(Address address, String upstream) {
-            connections.forgetIdle(address, upstream);
+            connections.closeIdle(address, upstream);
         }
 
         @Override
@@ -336,7 +336,7 @@
                 .setFrom(Address.PROCESS.value())
                 .setStop(Stop.getDefaultInstance())
                 .build());
-        callers.leave();
+        callers.startDraining();
         while (millisSince(since) < ROTATION_MILLIS) {
             Thread.sleep(LOOK_AGAIN_MILLIS);
         }
@@ -344,7 +344,7 @@
         callers.stopAccepting();
         boolean finished = false;
         while (!finished && millisSince(since) < common.graceMillis() - RESERVE_MILLIS) {
-            callers.closeIdle();
+            callers.closeIdleConnections();
             Thread.sleep(core.openCalls() > 0 ? LOOK_AGAIN_MILLIS : LAST_LOOK_MILLIS);
             finished = core.openCalls() == 0;
         }
--- a/src/main/java/org/cuminshelf/process/EntryProcess.java
+++ b/src/main/java/org/cuminshelf/process/EntryProcess.java
@@ -8,10 +8,10 @@
 import org.cuminshelf.entry.EntryCore;
 import org.cuminshelf.entry.EntrySettings;
 import org.cuminshelf.http.CallMetrics;
-import org.cuminshelf.http.CallersHandler;
+import org.cuminshelf.http.CallerApiHandler;
 import org.cuminshelf.http.HttpListener;
+import org.cuminshelf.http.MonitoringHandler;
 import org.cuminshelf.http.PemFiles;
-import org.cuminshelf.http.PlatformHandler;
 import org.eclipse.jetty.server.Handler;
 
 /** An entry as it runs: its core, its messages and its callers' interface. */
@@ -47,14 +47,14 @@
             CoreRunner runner = frame.run(opened -> core);
             PrometheusRegistry registry = new PrometheusRegistry();
             describe(registry, core, frame);
-            CallersHandler handler = new CallersHandler(
+            CallerApiHandler handler = new CallerApiHandler(
                     message -> runner.offer(Address.CALLERS, message),
                     core::config,
                     frame.spans(),
                     CallMetrics.register(registry));
             runner.port(Address.CALLERS, handler::deliver);
             frame.listen();
-            Handler handlers = new Handler.Sequence(new PlatformHandler(core::isReady, registry), handler);
+            Handler handlers = new Handler.Sequence(new MonitoringHandler(core::isReady, registry), handler);
             return new EntryProcess(frame, HttpListener.start(callers, HTTP_THREADS, handlers, tls));
         } catch (IOException e) {
             frame.close();
--- a/src/main/java/org/cuminshelf/process/MetricsPage.java
+++ b/src/main/java/org/cuminshelf/process/MetricsPage.java
@@ -63,11 +63,11 @@
 
     private static void answer(CallerExchange exchange, int status, byte[] body) {
         HttpFields headers = HttpFields.build().put(HttpHeader.CONTENT_TYPE, PrometheusTextFormatWriter.CONTENT_TYPE);
-        exchange.answer(status, headers, ByteBuffer.wrap(body));
+        exchange.respond(status, headers, ByteBuffer.wrap(body));
     }
 
     @Override
-    public void onGone(CallerExchange exchange) {
+    public void onDisconnect(CallerExchange exchange) {
         // The answer was given within the question's own call.
     }
 
--- a/src/main/java/org/cuminshelf/spans/SpanFile.java
+++ b/src/main/java/org/cuminshelf/spans/FileSpanExporter.java
@@ -15,20 +15,20 @@
 import java.util.Collection;
 
 /** Appends spans to a file, a line of JSON each. */
-final class SpanFile implements SpanExporter {
+final class FileSpanExporter implements SpanExporter {
 
     private static final ObjectMapper JSON = new ObjectMapper();
 
     private final String service;
     private final Writer writer;
 
-    private SpanFile(String service, Writer writer) {
+    private FileSpanExporter(String service, Writer writer) {
         this.service = service;
         this.writer = writer;
     }
 
-    static SpanFile open(String service, Path file) throws IOException {
-        return new SpanFile(
+    static FileSpanExporter open(String service, Path file) throws IOException {
+        return new FileSpanExporter(
                 service,
                 Files.newBufferedWriter(
                         file, StandardCharsets.UTF_8, StandardOpenOption.CREATE, StandardOpenOption.APPEND));
--- a/src/main/java/org/cuminshelf/spans/Spans.java
+++ b/src/main/java/org/cuminshelf/spans/Spans.java
@@ -60,7 +60,7 @@
                 Resource.getDefault().toBuilder().put("service.name", service).build();
         SdkTracerProviderBuilder builder = SdkTracerProvider.builder().setResource(resource);
         if (file.isPresent()) {
-            builder.addSpanProcessor(BatchSpanProcessor.builder(SpanFile.open(service, file.get()))
+            builder.addSpanProcessor(BatchSpanProcessor.builder(FileSpanExporter.open(service, file.get()))
                     .setScheduleDelay(200, TimeUnit.MILLISECONDS)
                     .build());
         }
--- a/src/main/java/org/cuminshelf/tools/QuarantineCommand.java
+++ b/src/main/java/org/cuminshelf/tools/QuarantineCommand.java
@@ -62,7 +62,7 @@
     }
 
     private static int list(AdminClient admin, Namespace flags) throws Exception {
-        AdminClient.Answer answer = admin.get(QuarantineJson.LIST);
+        AdminClient.Answer answer = admin.get(QuarantineJson.LIST_PATH);
         if (answer.status() != OK) {
             return refused(answer);
         }
@@ -97,7 +97,7 @@
                 .put("reason", Flags.text(flags, "reason"))
                 .put("author", Flags.text(flags, "author"));
         AdminClient.Answer answer =
-                admin.post(QuarantineJson.RELEASE, body.toString().getBytes(StandardCharsets.UTF_8));
+                admin.post(QuarantineJson.RELEASE_PATH, body.toString().getBytes(StandardCharsets.UTF_8));
         if (answer.status() != OK) {
             return refused(answer);
         }
--- a/src/test/java/org/cuminshelf/direct/CallDispatcherTest.java
+++ b/src/test/java/org/cuminshelf/direct/CallDispatcherTest.java
@@ -153,7 +153,7 @@
     void theStreamOfADisconnectedCallerIsCancelled() {
         DirectFixture entry = entryWithDecodeEngines(false);
         DirectFixture.CallerResponse response = entry.sendRequest("a", "Tokens", "500");
-        entry.core.onGone(response);
+        entry.core.onDisconnect(response);
         assertThat(entry.lastSent().cancelled).isTrue();
         assertThat(entry.core.openCalls()).isZero();
     }
@@ -162,7 +162,7 @@
     void aNonRetryableRequestKeepsRunningWhenItsCallerDisconnects() {
         DirectFixture entry = entryWithServices(RequestKind.NON_IDEMPOTENT, 1);
         DirectFixture.CallerResponse response = entry.sendRequest("a");
-        entry.core.onGone(response);
+        entry.core.onDisconnect(response);
         assertThat(entry.lastSent().cancelled).isFalse();
     }
 
@@ -261,7 +261,7 @@
         DirectFixture entry = new DirectFixture(DirectFixture.route(RequestKind.IDEMPOTENT, 1, false));
         DirectFixture.CallerResponse response = entry.sendRequest("a");
         DirectFixture.CallerResponse disconnected = entry.sendRequest("gone");
-        entry.core.onGone(disconnected);
+        entry.core.onDisconnect(disconnected);
         entry.advance(450);
         assertThat(response.status).isEqualTo(503);
         assertThat(response.headers.get("Retry-After")).isNotNull();
--- a/src/test/java/org/cuminshelf/direct/DirectFixture.java
+++ b/src/test/java/org/cuminshelf/direct/DirectFixture.java
@@ -218,26 +218,26 @@
         boolean aborted;
 
         @Override
-        public void answer(int answered, HttpFields fields, ByteBuffer bytes) {
+        public void respond(int answered, HttpFields fields, ByteBuffer bytes) {
             status = answered;
             headers = fields;
-            part(bytes);
+            writePart(bytes);
             complete = true;
         }
 
         @Override
-        public void begin(int answered, HttpFields fields) {
+        public void beginResponse(int answered, HttpFields fields) {
             status = answered;
             headers = fields;
         }
 
         @Override
-        public void part(ByteBuffer bytes) {
+        public void writePart(ByteBuffer bytes) {
             body.append(StandardCharsets.UTF_8.decode(bytes));
         }
 
         @Override
-        public void end() {
+        public void endResponse() {
             complete = true;
         }
 
--- a/src/test/java/org/cuminshelf/exchange/CallerConnectionTest.java
+++ b/src/test/java/org/cuminshelf/exchange/CallerConnectionTest.java
@@ -35,7 +35,7 @@
                 requests.add(request);
                 exchanges.add(exchange);
                 if (answersAtOnce) {
-                    exchange.answer(
+                    exchange.respond(
                             200,
                             HttpFields.EMPTY,
                             ByteBuffer.wrap(request.target().getBytes()));
@@ -43,7 +43,7 @@
             }
 
             @Override
-            public void onGone(CallerExchange exchange) {
+            public void onDisconnect(CallerExchange exchange) {
                 gone.countDown();
             }
         };
@@ -97,7 +97,7 @@
             send(socket, GET + GET.replace("/a", "/b"));
             await(1);
             answersAtOnce = true;
-            exchanges.getFirst().answer(200, HttpFields.EMPTY, ByteBuffer.wrap("first".getBytes()));
+            exchanges.getFirst().respond(200, HttpFields.EMPTY, ByteBuffer.wrap("first".getBytes()));
             assertThat(readUntil(socket, "/b")).contains("first").endsWith("/b");
         }
     }
@@ -176,8 +176,8 @@
         try (Socket socket = connect()) {
             send(socket, GET);
             await(1);
-            exchanges.getFirst().begin(200, HttpFields.EMPTY);
-            exchanges.getFirst().part(ByteBuffer.wrap("ab".getBytes()));
+            exchanges.getFirst().beginResponse(200, HttpFields.EMPTY);
+            exchanges.getFirst().writePart(ByteBuffer.wrap("ab".getBytes()));
             exchanges.getFirst().abort();
             assertThat(readUntil(socket, "")).contains("chunked").doesNotContain("0\r\n\r\n");
         }
@@ -185,7 +185,7 @@
 
     @Example
     void aProcessThatLeavesAsksCallersToConnectAnew() throws IOException {
-        listener.leave();
+        listener.startDraining();
         try (Socket socket = connect()) {
             send(socket, GET);
             assertThat(readUntil(socket, "")).contains("Connection: close").endsWith("/a");
--- a/src/test/java/org/cuminshelf/exchange/UpstreamConnectionsTest.java
+++ b/src/test/java/org/cuminshelf/exchange/UpstreamConnectionsTest.java
@@ -123,7 +123,7 @@
         Outcome second = send();
         answer(socket, OK);
         assertThat(second.take()).isEqualTo("200 ok");
-        assertThat(connections.opened()).isEqualTo(1);
+        assertThat(connections.totalOpened()).isEqualTo(1);
     }
 
     /*
--- a/src/test/java/org/cuminshelf/http/HttpListenerTest.java
+++ b/src/test/java/org/cuminshelf/http/HttpListenerTest.java
@@ -94,7 +94,7 @@
     }
 
     private static Handler pages() {
-        return new PlatformHandler(() -> true, new PrometheusRegistry());
+        return new MonitoringHandler(() -> true, new PrometheusRegistry());
     }
 
     private static void awaitSubject(int port, String wanted) throws Exception {
--- a/src/test/java/org/cuminshelf/platform/ConfigDocumentTest.java
+++ b/src/test/java/org/cuminshelf/platform/ConfigDocumentTest.java
@@ -42,7 +42,7 @@
         assertThat(table.route("h.example:80", "/a/b/c").orElseThrow().name()).isEqualTo("r2");
         assertThat(table.route("h.example", "/a/c").orElseThrow().name()).isEqualTo("r");
         assertThat(table.route("h.example", "/b")).isEmpty();
-        assertThat(table.limits().headerBytes()).isEqualTo(100);
+        assertThat(table.limits().maxHeaderBytes()).isEqualTo(100);
     }
 
     @Example
--- a/src/test/java/org/cuminshelf/tools/RealProcessesTest.java
+++ b/src/test/java/org/cuminshelf/tools/RealProcessesTest.java
@@ -17,7 +17,7 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.concurrent.atomic.AtomicInteger;
 import net.jqwik.api.Example;
-import org.cuminshelf.http.CallersHandler;
+import org.cuminshelf.http.CallerApiHandler;
 import org.cuminshelf.standin.StandInText;
 
 /** Real processes on loopback, killed, stopped and restarted under load. */
@@ -156,7 +156,7 @@
 
     private static HttpRequest numberRequest(int port, String title) {
         return HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + port + "/services/registry/numbers"))
-                .header(CallersHandler.KEY, "key of " + title)
+                .header(CallerApiHandler.IDEMPOTENCY_KEY_HEADER, "key of " + title)
                 .timeout(Duration.ofSeconds(30))
                 .POST(HttpRequest.BodyPublishers.ofString(title))
                 .build();
--- a/src/test/java/org/cuminshelf/tools/StandaloneTest.java
+++ b/src/test/java/org/cuminshelf/tools/StandaloneTest.java
@@ -11,7 +11,7 @@
 import net.jqwik.api.Example;
 import net.jqwik.api.lifecycle.AfterContainer;
 import net.jqwik.api.lifecycle.BeforeContainer;
-import org.cuminshelf.http.CallersHandler;
+import org.cuminshelf.http.CallerApiHandler;
 import org.cuminshelf.http.Problem;
 import org.cuminshelf.standin.EngineSpeed;
 import org.cuminshelf.standin.StandInText;
@@ -106,7 +106,7 @@
     @Example
     void aPriorityOutOfRangeIsRefusedWithTheRange() throws Exception {
         HttpRequest request = HttpRequest.newBuilder(uri("/services/registry/numbers"))
-                .header(CallersHandler.PRIORITY, "12")
+                .header(CallerApiHandler.PRIORITY_HEADER, "12")
                 .POST(HttpRequest.BodyPublishers.ofString("x"))
                 .build();
         HttpResponse<String> answer = CLIENT.send(request, HttpResponse.BodyHandlers.ofString());
@@ -179,7 +179,7 @@
 
     private static HttpResponse<String> postWithKey(String title, String key) throws Exception {
         HttpRequest request = HttpRequest.newBuilder(uri("/services/registry/numbers"))
-                .header(CallersHandler.KEY, key)
+                .header(CallerApiHandler.IDEMPOTENCY_KEY_HEADER, key)
                 .POST(HttpRequest.BodyPublishers.ofString(title))
                 .build();
         return CLIENT.send(request, HttpResponse.BodyHandlers.ofString());
