--- a/src/main/java/org/cuminshelf/platform/UsageReportClient.java
+++ b/src/main/java/org/cuminshelf/platform/UsageReportClient.java
@@ -84,7 +84,7 @@
                         connections.send(platform, connection, UsageReportRequest.write(report, platform, vm), this));
                 return;
             }
-            connections.forgetIdle(platform, connection);
+            connections.closeIdle(platform, connection);
             end(false, seen == Reachability.LISTENING ? "no longer allowed" : "no connection");
         }
 
@@ -95,7 +95,7 @@
 
         private void giveUp() {
             givenUp = true;
-            exchange.ifPresent(UpstreamExchange::discard);
+            exchange.ifPresent(UpstreamExchange::cancelAndReset);
         }
 
         @Override
@@ -110,7 +110,7 @@
 
         @Override
         public void onComplete() {
-            connections.forgetIdle(platform, connection);
+            connections.closeIdle(platform, connection);
             end(status == ACKNOWLEDGED, "answered");
         }
 
