--- a/src/main/java/org/cuminshelf/bench/ClaimBench.java
+++ b/src/main/java/org/cuminshelf/bench/ClaimBench.java
@@ -99,7 +99,7 @@
                         new ReplicaSettings(ControlSettings.GLOBAL_GROUP, address, addresses, true),
                         new ReplicaSettings(GROUP, address, addresses, false)));
         return ControlProcess.start(
-                CommonSettings.plain(address, "r", "z", address.value()),
+                CommonSettings.unencrypted(address, "r", "z", address.value()),
                 new ControlProcess.Options(
                         settings, folder, Address.of(HOST + ":0"), Optional.empty(), Set.of(), true, groupCommit),
                 () -> {});
--- a/src/main/java/org/cuminshelf/network/Link.java
+++ b/src/main/java/org/cuminshelf/network/OutboundConnection.java
@@ -14,7 +14,7 @@
 import org.tinylog.Logger;
 
 /** The sending side of a connection to one other process. */
-final class Link {
+final class OutboundConnection {
 
     private static final String LOG = "network: ";
     private static final int MOST_WAITING = 10_000;
@@ -30,7 +30,7 @@
     private long usedAt = System.nanoTime();
     private ScheduledFuture<?> heartbeat;
 
-    Link(TcpNetwork network, Address to) {
+    OutboundConnection(TcpNetwork network, Address to) {
         this.network = network;
         this.to = to;
     }
--- a/src/main/java/org/cuminshelf/network/TlsFiles.java
+++ b/src/main/java/org/cuminshelf/network/ReloadingTlsContext.java
@@ -13,7 +13,7 @@
  * ends must be signed by. They are looked at again when a connection is made, so that renewed files are taken without
  * cutting any; files that can't be read leave the last good ones in force.
  */
-public final class TlsFiles {
+public final class ReloadingTlsContext {
 
     private static final String LOG = "tls: ";
     private static final long LOOK_AGAIN_NANOS = 1_000_000_000L;
@@ -26,7 +26,7 @@
     private long stamp;
     private long lookedAt;
 
-    private TlsFiles(Path certificate, Path key, Path authority) {
+    private ReloadingTlsContext(Path certificate, Path key, Path authority) {
         this.certificate = certificate;
         this.key = key;
         this.authority = authority;
@@ -41,8 +41,8 @@
      * @return the files
      * @throws IOException if one can't be read
      */
-    public static TlsFiles read(Path certificate, Path key, Path authority) throws IOException {
-        TlsFiles files = new TlsFiles(certificate, key, authority);
+    public static ReloadingTlsContext read(Path certificate, Path key, Path authority) throws IOException {
+        ReloadingTlsContext files = new ReloadingTlsContext(certificate, key, authority);
         files.load();
         return files;
     }
--- a/src/main/java/org/cuminshelf/network/TcpNetwork.java
+++ b/src/main/java/org/cuminshelf/network/TcpNetwork.java
@@ -46,12 +46,12 @@
     private static final int CONNECT_MILLIS = 1_000;
 
     private final EventLoopGroup loops;
-    private final Optional<TlsFiles> tls;
-    private final Map<Address, Link> links = new ConcurrentHashMap<>();
-    private final Traffic traffic = new Traffic();
+    private final Optional<ReloadingTlsContext> tls;
+    private final Map<Address, OutboundConnection> links = new ConcurrentHashMap<>();
+    private final TrafficCounters traffic = new TrafficCounters();
     private Channel listener;
 
-    private TcpNetwork(int threads, Optional<TlsFiles> tls) {
+    private TcpNetwork(int threads, Optional<ReloadingTlsContext> tls) {
         this.loops = new MultiThreadIoEventLoopGroup(threads, NioIoHandler.newFactory());
         this.tls = tls;
     }
@@ -63,7 +63,7 @@
      * @param tls     keys and certificates, or nothing where connections stay in the clear
      * @return the network
      */
-    public static TcpNetwork open(int threads, Optional<TlsFiles> tls) {
+    public static TcpNetwork open(int threads, Optional<ReloadingTlsContext> tls) {
         return new TcpNetwork(threads, tls);
     }
 
@@ -103,7 +103,7 @@
     @Override
     public void send(Address to, Envelope message, boolean fresh) {
         traffic.sent(message.getSerializedSize() + LENGTH_BYTES);
-        links.computeIfAbsent(to, key -> new Link(this, key)).send(message, fresh);
+        links.computeIfAbsent(to, key -> new OutboundConnection(this, key)).send(message, fresh);
     }
 
     /**
@@ -111,7 +111,7 @@
      *
      * @return the counts so far
      */
-    public Traffic traffic() {
+    public TrafficCounters traffic() {
         return traffic;
     }
 
@@ -120,11 +120,11 @@
         if (listener != null) {
             listener.close().syncUninterruptibly();
         }
-        links.values().forEach(Link::close);
+        links.values().forEach(OutboundConnection::close);
         loops.shutdownGracefully(0, 500, TimeUnit.MILLISECONDS).syncUninterruptibly();
     }
 
-    Bootstrap connector(Link link) {
+    Bootstrap connector(OutboundConnection link) {
         return new Bootstrap()
                 .group(loops)
                 .channel(NioSocketChannel.class)
@@ -142,7 +142,7 @@
                 });
     }
 
-    void forget(Link link) {
+    void forget(OutboundConnection link) {
         links.remove(link.to(), link);
     }
 
--- a/src/main/java/org/cuminshelf/network/Traffic.java
+++ b/src/main/java/org/cuminshelf/network/TrafficCounters.java
@@ -3,14 +3,14 @@
 import java.util.concurrent.atomic.LongAdder;
 
 /** Counts the messages of a process, without TCP, IP and TLS around them. */
-public final class Traffic {
+public final class TrafficCounters {
 
     private final LongAdder messagesSent = new LongAdder();
     private final LongAdder bytesSent = new LongAdder();
     private final LongAdder messagesReceived = new LongAdder();
     private final LongAdder bytesReceived = new LongAdder();
 
-    Traffic() {}
+    TrafficCounters() {}
 
     void sent(long bytes) {
         messagesSent.increment();
--- a/src/main/java/org/cuminshelf/platform/ControlCalls.java
+++ b/src/main/java/org/cuminshelf/platform/ControlCalls.java
@@ -25,15 +25,15 @@
 import org.cuminshelf.message.DirectOrder;
 import org.cuminshelf.message.Envelope;
 import org.cuminshelf.message.UpstreamBeat;
-import org.cuminshelf.process.ControlInterface;
-import org.cuminshelf.process.MetricsPage;
+import org.cuminshelf.process.ControlEndpoint;
+import org.cuminshelf.process.MetricsServer;
 import org.cuminshelf.routes.RouteTable;
 import org.eclipse.jetty.http.HttpFields;
 import org.eclipse.jetty.http.HttpHeader;
 import org.tinylog.Logger;
 
 /** The calls of upstreams and operators to a control process. */
-final class ControlCalls implements ControlInterface, CallerHandler {
+final class ControlCalls implements ControlEndpoint, CallerHandler {
 
     private static final String CONFIG = "/cuminshelf/config";
     private static final String INSTANCES = "/cuminshelf/instances/";
@@ -50,7 +50,7 @@
     private final CallerListener listener;
     private final UpstreamConnections upstreams;
     private final String vm;
-    private final MetricsPage metrics;
+    private final MetricsServer metrics;
     private final RefusedBeats refused;
     private final Optional<DutyCalls> duties;
     private long nextQuestion = 1;
@@ -59,7 +59,7 @@
             Consumer<Envelope.Builder> core,
             BootSettings boot,
             Address address,
-            MetricsPage metrics,
+            MetricsServer metrics,
             RefusedBeats refused)
             throws IOException {
         this.core = core;
@@ -72,12 +72,12 @@
     }
 
     /** Opens the interface of a VM at an address, as a control process asks for it. */
-    static ControlInterface.Opener at(Address address, BootSettings boot) {
+    static ControlEndpoint.Opener at(Address address, BootSettings boot) {
         return (core, config, ready, registry) -> new ControlCalls(
                 core,
                 boot,
                 address,
-                MetricsPage.open(boot.metrics(), registry),
+                MetricsServer.open(boot.metrics(), registry),
                 RefusedBeats.register(registry, System::nanoTime));
     }
 
--- a/src/main/java/org/cuminshelf/platform/PlatformCommand.java
+++ b/src/main/java/org/cuminshelf/platform/PlatformCommand.java
@@ -85,7 +85,7 @@
 
     private static void reload(DirectEntryProcess entry) {
         try {
-            entry.seeds(BootSettings.read().seeds());
+            entry.replaceSeeds(BootSettings.read().seeds());
         } catch (IOException e) {
             Logger.warn("platform: event=reload outcome=\"the earlier settings stay\" reason=\"{}\"", e.getMessage());
         }
--- a/src/main/java/org/cuminshelf/process/AdminInterface.java
+++ b/src/main/java/org/cuminshelf/process/AdminEndpoint.java
@@ -12,14 +12,14 @@
 import org.eclipse.jetty.server.Handler;
 
 /** The product's own administration interface. */
-final class AdminInterface implements ControlInterface {
+final class AdminEndpoint implements ControlEndpoint {
 
     private static final int HTTP_THREADS = 8;
 
     private final AdminHandler handler;
     private final HttpListener http;
 
-    private AdminInterface(AdminHandler handler, HttpListener http) {
+    private AdminEndpoint(AdminHandler handler, HttpListener http) {
         this.handler = handler;
         this.http = http;
     }
@@ -33,9 +33,9 @@
         };
     }
 
-    private static AdminInterface start(AdminHandler handler, Address address, Handler all, Optional<PemFiles> tls)
+    private static AdminEndpoint start(AdminHandler handler, Address address, Handler all, Optional<PemFiles> tls)
             throws IOException {
-        return new AdminInterface(handler, HttpListener.start(address, HTTP_THREADS, all, tls));
+        return new AdminEndpoint(handler, HttpListener.start(address, HTTP_THREADS, all, tls));
     }
 
     @Override
--- a/src/main/java/org/cuminshelf/process/CommonSettings.java
+++ b/src/main/java/org/cuminshelf/process/CommonSettings.java
@@ -3,7 +3,7 @@
 import java.nio.file.Path;
 import java.util.Optional;
 import org.cuminshelf.core.Address;
-import org.cuminshelf.network.TlsFiles;
+import org.cuminshelf.network.ReloadingTlsContext;
 
 /**
  * What every process of the system is told.
@@ -23,7 +23,7 @@
         String region,
         String zone,
         String vm,
-        Optional<TlsFiles> meshTls,
+        Optional<ReloadingTlsContext> meshTls,
         Optional<Path> spanFile,
         Optional<String> otlp,
         Optional<Path> traceFile,
@@ -40,7 +40,7 @@
      * @param vm     the name of the VM
      * @return the settings
      */
-    public static CommonSettings plain(Address listen, String region, String zone, String vm) {
+    public static CommonSettings unencrypted(Address listen, String region, String zone, String vm) {
         return new CommonSettings(
                 listen,
                 region,
--- a/src/main/java/org/cuminshelf/process/ControlInterface.java
+++ b/src/main/java/org/cuminshelf/process/ControlEndpoint.java
@@ -8,7 +8,7 @@
 import org.cuminshelf.message.Envelope;
 
 /** The interface of a control process to those who are no process of the system. */
-public interface ControlInterface extends AutoCloseable {
+public interface ControlEndpoint extends AutoCloseable {
 
     /** Opens the interface of one control process. */
     @FunctionalInterface
@@ -24,7 +24,7 @@
          * @return the interface
          * @throws IOException if its address can't be used
          */
-        ControlInterface open(
+        ControlEndpoint open(
                 Consumer<Envelope.Builder> core,
                 Supplier<byte[]> config,
                 BooleanSupplier ready,
--- a/src/main/java/org/cuminshelf/process/ControlProcess.java
+++ b/src/main/java/org/cuminshelf/process/ControlProcess.java
@@ -24,11 +24,11 @@
 
     private static final int NETWORK_THREADS = 2;
 
-    private final Frame frame;
+    private final ProcessRuntime frame;
     private final StorageThread storage;
-    private final ControlInterface outside;
+    private final ControlEndpoint outside;
 
-    private ControlProcess(Frame frame, StorageThread storage, ControlInterface outside) {
+    private ControlProcess(ProcessRuntime frame, StorageThread storage, ControlEndpoint outside) {
         this.frame = frame;
         this.storage = storage;
         this.outside = outside;
@@ -64,8 +64,8 @@
      * @throws IOException if an address, a file or the data folder can't be used
      */
     public static ControlProcess start(CommonSettings common, Options options, Runnable onFailure) throws IOException {
-        ControlInterface.Opener admin =
-                AdminInterface.at(options.admin(), options.adminTls(), options.adminKeys(), options.openAdmin());
+        ControlEndpoint.Opener admin =
+                AdminEndpoint.at(options.admin(), options.adminTls(), options.adminKeys(), options.openAdmin());
         return start(common, options, admin, onFailure);
     }
 
@@ -80,9 +80,9 @@
      * @throws IOException if an address, a file or the data folder can't be used
      */
     public static ControlProcess start(
-            CommonSettings common, Options options, ControlInterface.Opener opener, Runnable onFailure)
+            CommonSettings common, Options options, ControlEndpoint.Opener opener, Runnable onFailure)
             throws IOException {
-        Frame frame = Frame.open("control", common, NETWORK_THREADS);
+        ProcessRuntime frame = ProcessRuntime.open("control", common, NETWORK_THREADS);
         Map<String, GroupLog> logs = new HashMap<>();
         try {
             for (ReplicaSettings group : options.settings().groups()) {
@@ -103,9 +103,9 @@
     private static ControlProcess start(
             CommonSettings common,
             Options options,
-            ControlInterface.Opener opener,
+            ControlEndpoint.Opener opener,
             Runnable onFailure,
-            Frame frame,
+            ProcessRuntime frame,
             Map<String, GroupLog> logs)
             throws IOException {
         Map<String, DurableState> durable = new HashMap<>();
@@ -115,7 +115,7 @@
                 common.listen(),
                 frame.incarnation(),
                 durable,
-                ProcessStart.silentSince(),
+                ProcessStart.previousRunEndedByNanos(),
                 frame.random(),
                 frame.invariants());
         CoreRunner runner = frame.run(opened -> core);
@@ -123,7 +123,7 @@
         runner.port(Address.STORAGE, storage::offer);
         PrometheusRegistry registry = new PrometheusRegistry();
         describe(registry, core, frame);
-        ControlInterface outside = opener.open(
+        ControlEndpoint outside = opener.open(
                 message -> runner.offer(Address.ADMINISTRATORS, message), core::config, () -> isReady(core), registry);
         runner.port(Address.ADMINISTRATORS, outside::deliver);
         runner.port(Address.ORDERS, outside::deliver);
@@ -140,7 +140,7 @@
                 .allMatch(group -> core.replica(group).flatMap(Replica::leader).isPresent());
     }
 
-    private static void describe(PrometheusRegistry registry, ControlCore core, Frame frame) {
+    private static void describe(PrometheusRegistry registry, ControlCore core, ProcessRuntime frame) {
         EntryProcess.gauge(
                 registry, "cuminshelf_config_version", "Version of the configuration accepted.", core::configVersion);
         EntryProcess.gauge(
@@ -172,7 +172,7 @@
      *
      * @return the counts
      */
-    public org.cuminshelf.network.Traffic traffic() {
+    public org.cuminshelf.network.TrafficCounters traffic() {
         return frame.network().traffic();
     }
 
--- a/src/main/java/org/cuminshelf/process/DirectEntryProcess.java
+++ b/src/main/java/org/cuminshelf/process/DirectEntryProcess.java
@@ -87,7 +87,7 @@
     private final Thread ticker = new Thread(this::tickOn, "core");
     private final long incarnation;
     private final PrometheusRegistry registry = new PrometheusRegistry();
-    private Optional<MetricsPage> metrics = Optional.empty();
+    private Optional<MetricsServer> metrics = Optional.empty();
     private CallerListener callers;
     private Optional<CallerListener> readiness = Optional.empty();
     private long wakeAt;
@@ -120,7 +120,7 @@
                 new Port(),
                 System::nanoTime,
                 invariants,
-                StructuredLog.create(LOG, DecisionMetrics.register(registry)));
+                RateLimitedDecisionLog.create(LOG, DecisionMetrics.register(registry)));
         describe();
     }
 
@@ -152,7 +152,7 @@
         }
         ticker.start();
         if (options.metrics().isPresent()) {
-            metrics = Optional.of(MetricsPage.open(options.metrics().get(), registry));
+            metrics = Optional.of(MetricsServer.open(options.metrics().get(), registry));
         }
         Logger.info(LOG + "event=start vm={} callers={} messages={}", common.vm(), options.callers(), common.listen());
     }
@@ -191,7 +191,7 @@
      *
      * @param seeds their addresses for messages
      */
-    public void seeds(List<Address> seeds) {
+    public void replaceSeeds(List<Address> seeds) {
         lock.lock();
         try {
             core.replaceSeeds(seeds);
@@ -366,7 +366,7 @@
             callers.close();
         }
         readiness.ifPresent(CallerListener::close);
-        metrics.ifPresent(MetricsPage::close);
+        metrics.ifPresent(MetricsServer::close);
         connections.close();
         network.close();
     }
--- a/src/main/java/org/cuminshelf/process/EntryProcess.java
+++ b/src/main/java/org/cuminshelf/process/EntryProcess.java
@@ -20,10 +20,10 @@
     private static final int NETWORK_THREADS = 2;
     private static final int HTTP_THREADS = 16;
 
-    private final Frame frame;
+    private final ProcessRuntime frame;
     private final HttpListener http;
 
-    private EntryProcess(Frame frame, HttpListener http) {
+    private EntryProcess(ProcessRuntime frame, HttpListener http) {
         this.frame = frame;
         this.http = http;
     }
@@ -40,7 +40,7 @@
      */
     public static EntryProcess start(
             CommonSettings common, EntrySettings settings, Address callers, Optional<PemFiles> tls) throws IOException {
-        Frame frame = Frame.open("entry", common, NETWORK_THREADS);
+        ProcessRuntime frame = ProcessRuntime.open("entry", common, NETWORK_THREADS);
         try {
             EntryCore core = EntryCore.start(
                     settings, common.listen(), frame.incarnation(), System.nanoTime(), frame.invariants());
@@ -62,7 +62,7 @@
         }
     }
 
-    private static void describe(PrometheusRegistry registry, EntryCore core, Frame frame) {
+    private static void describe(PrometheusRegistry registry, EntryCore core, ProcessRuntime frame) {
         gauge(registry, "cuminshelf_config_version", "Version of the configuration in force.", core::configVersion);
         gauge(registry, "cuminshelf_invariant_breach_count", "Promises found broken.", frame.invariants()::count);
         gauge(
@@ -99,7 +99,7 @@
      *
      * @return the counts
      */
-    public org.cuminshelf.network.Traffic traffic() {
+    public org.cuminshelf.network.TrafficCounters traffic() {
         return frame.network().traffic();
     }
 
--- a/src/main/java/org/cuminshelf/process/MetricsPage.java
+++ b/src/main/java/org/cuminshelf/process/MetricsServer.java
@@ -17,7 +17,7 @@
 import org.eclipse.jetty.http.HttpHeader;
 
 /** The metrics of a process as text, on an address of their own so that no caller's request waits for them. */
-public final class MetricsPage implements CallerHandler, AutoCloseable {
+public final class MetricsServer implements CallerHandler, AutoCloseable {
 
     private static final String PATH = "/metrics";
     private static final int OK = 200;
@@ -29,7 +29,7 @@
             PrometheusTextFormatWriter.builder().build();
     private final CallerListener listener;
 
-    private MetricsPage(Address address, PrometheusRegistry registry) throws IOException {
+    private MetricsServer(Address address, PrometheusRegistry registry) throws IOException {
         this.registry = registry;
         this.listener = CallerListener.start(address, new ReentrantLock(), this, () -> CallerLimits.DEFAULT);
     }
@@ -42,8 +42,8 @@
      * @return the page
      * @throws IOException if the address can't be used
      */
-    public static MetricsPage open(Address address, PrometheusRegistry registry) throws IOException {
-        return new MetricsPage(address, registry);
+    public static MetricsServer open(Address address, PrometheusRegistry registry) throws IOException {
+        return new MetricsServer(address, registry);
     }
 
     @Override
--- a/src/main/java/org/cuminshelf/process/Frame.java
+++ b/src/main/java/org/cuminshelf/process/ProcessRuntime.java
@@ -13,7 +13,7 @@
 import org.tinylog.Logger;
 
 /** What every process has: its network, its core's thread, its spans, and its way to stop. */
-final class Frame implements AutoCloseable {
+final class ProcessRuntime implements AutoCloseable {
 
     private static final String LOG = "process: ";
 
@@ -26,7 +26,7 @@
     private final UniformRandomProvider random;
     private CoreRunner runner;
 
-    private Frame(String kind, CommonSettings settings, TcpNetwork network, Spans spans) {
+    private ProcessRuntime(String kind, CommonSettings settings, TcpNetwork network, Spans spans) {
         this.kind = kind;
         this.settings = settings;
         this.network = network;
@@ -37,9 +37,9 @@
         this.incarnation = System.currentTimeMillis() << 20 | random.nextInt(1 << 20);
     }
 
-    static Frame open(String kind, CommonSettings settings, int networkThreads) throws IOException {
+    static ProcessRuntime open(String kind, CommonSettings settings, int networkThreads) throws IOException {
         Spans spans = Spans.export(kind + " " + settings.vm(), settings.spanFile(), settings.otlp());
-        return new Frame(kind, settings, TcpNetwork.open(networkThreads, settings.meshTls()), spans);
+        return new ProcessRuntime(kind, settings, TcpNetwork.open(networkThreads, settings.meshTls()), spans);
     }
 
     CountingInvariants invariants() {
@@ -66,7 +66,7 @@
         return runner;
     }
 
-    CoreRunner run(Function<Frame, Core> core) throws IOException {
+    CoreRunner run(Function<ProcessRuntime, Core> core) throws IOException {
         Optional<TraceFile> trace = settings.traceFile().isPresent()
                 ? Optional.of(TraceFile.write(settings.traceFile().get()))
                 : Optional.empty();
--- a/src/main/java/org/cuminshelf/process/ProcessStart.java
+++ b/src/main/java/org/cuminshelf/process/ProcessStart.java
@@ -17,7 +17,7 @@
     private ProcessStart() {}
 
     /** Takes the time, if that was not done yet; to be called before anything else. */
-    public static void note() {
+    public static void recordStartTime() {
         // Loading this class has taken it.
     }
 
@@ -26,7 +26,7 @@
      *
      * @return the begin of this program for the first process in it, now for all others
      */
-    static long silentSince() {
+    static long previousRunEndedByNanos() {
         return TAKEN.compareAndSet(false, true) ? BEGAN : System.nanoTime();
     }
 }
--- a/src/main/java/org/cuminshelf/process/StructuredLog.java
+++ b/src/main/java/org/cuminshelf/process/RateLimitedDecisionLog.java
@@ -10,7 +10,7 @@
  * requests themselves: lines are bounded each second, those on the ordinary end of requests first, and what was left
  * out is counted in a line of its own. The lines are written by the log's own thread.
  */
-final class StructuredLog implements DecisionLog {
+final class RateLimitedDecisionLog implements DecisionLog {
 
     /** Lines a second on failures and beliefs; some 20 KB, a hundredth of what a small VM's link carries. */
     private static final int MOST_NOTES = 150;
@@ -28,13 +28,13 @@
     private int notes;
     private int ordinary;
 
-    private StructuredLog(String prefix, DecisionMetrics metrics) {
+    private RateLimitedDecisionLog(String prefix, DecisionMetrics metrics) {
         this.prefix = prefix;
         this.metrics = metrics;
     }
 
-    static StructuredLog create(String prefix, DecisionMetrics metrics) {
-        return new StructuredLog(prefix, metrics);
+    static RateLimitedDecisionLog create(String prefix, DecisionMetrics metrics) {
+        return new RateLimitedDecisionLog(prefix, metrics);
     }
 
     @Override
--- a/src/main/java/org/cuminshelf/process/SidecarProcess.java
+++ b/src/main/java/org/cuminshelf/process/SidecarProcess.java
@@ -26,10 +26,10 @@
 
     private static final int NETWORK_THREADS = 1;
 
-    private final Frame frame;
+    private final ProcessRuntime frame;
     private final Upstream upstream;
 
-    private SidecarProcess(Frame frame, Upstream upstream) {
+    private SidecarProcess(ProcessRuntime frame, Upstream upstream) {
         this.frame = frame;
         this.upstream = upstream;
     }
@@ -46,7 +46,7 @@
      */
     public static SidecarProcess start(CommonSettings common, SidecarSettings settings, URI base, String healthPath)
             throws IOException {
-        Frame frame = Frame.open("sidecar", common, NETWORK_THREADS);
+        ProcessRuntime frame = ProcessRuntime.open("sidecar", common, NETWORK_THREADS);
         try {
             CoreRunner runner = frame.run(opened -> SidecarCore.start(
                     settings, opened.incarnation(), System.nanoTime(), opened.random(), opened.invariants()));
@@ -68,7 +68,7 @@
      *
      * @return the counts
      */
-    public org.cuminshelf.network.Traffic traffic() {
+    public org.cuminshelf.network.TrafficCounters traffic() {
         return frame.network().traffic();
     }
 
--- a/src/main/java/org/cuminshelf/tools/CommonFlags.java
+++ b/src/main/java/org/cuminshelf/tools/CommonFlags.java
@@ -6,7 +6,7 @@
 import net.sourceforge.argparse4j.inf.Namespace;
 import net.sourceforge.argparse4j.inf.Subparser;
 import org.cuminshelf.http.PemFiles;
-import org.cuminshelf.network.TlsFiles;
+import org.cuminshelf.network.ReloadingTlsContext;
 import org.cuminshelf.process.CommonSettings;
 
 /** The flags that every process of the system has. */
@@ -43,7 +43,7 @@
     }
 
     /** Connections between processes are authenticated on both ends unless that is switched off in so many words. */
-    private static Optional<TlsFiles> meshTls(Namespace flags) throws UsageException, IOException {
+    private static Optional<ReloadingTlsContext> meshTls(Namespace flags) throws UsageException, IOException {
         Optional<Path> certificate = Flags.path(flags, "mesh-cert");
         Optional<Path> key = Flags.path(flags, "mesh-key");
         Optional<Path> authority = Flags.path(flags, "mesh-ca");
@@ -53,7 +53,7 @@
         if (certificate.isEmpty() || key.isEmpty() || authority.isEmpty()) {
             throw new UsageException("give --mesh-cert, --mesh-key and --mesh-ca, or --mesh-plain to go without TLS");
         }
-        return Optional.of(TlsFiles.read(certificate.get(), key.get(), authority.get()));
+        return Optional.of(ReloadingTlsContext.read(certificate.get(), key.get(), authority.get()));
     }
 
     /** The PEM files behind two flags, both or neither. */
--- a/src/main/java/org/cuminshelf/tools/Main.java
+++ b/src/main/java/org/cuminshelf/tools/Main.java
@@ -42,7 +42,7 @@
      * @param arguments the command and its flags
      */
     public static void main(String[] arguments) {
-        ProcessStart.note();
+        ProcessStart.recordStartTime();
         System.exit(run(arguments));
     }
 
--- a/src/main/java/org/cuminshelf/tools/Standalone.java
+++ b/src/main/java/org/cuminshelf/tools/Standalone.java
@@ -141,7 +141,7 @@
     }
 
     private static CommonSettings common(Options options, String vm, Address listen) {
-        CommonSettings plain = CommonSettings.plain(listen, REGION, ZONE, vm);
+        CommonSettings plain = CommonSettings.unencrypted(listen, REGION, ZONE, vm);
         return new CommonSettings(
                 listen,
                 REGION,
--- a/src/test/java/org/cuminshelf/network/MutualTlsTest.java
+++ b/src/test/java/org/cuminshelf/network/MutualTlsTest.java
@@ -28,8 +28,8 @@
      */
     @Example
     void onlyProcessesOfTheSameAuthorityAreHeard() throws Exception {
-        TlsFiles own = files("own");
-        TlsFiles stranger = files("stranger");
+        ReloadingTlsContext own = files("own");
+        ReloadingTlsContext stranger = files("stranger");
         Address address = freeAddress();
         BlockingQueue<Envelope> received = new LinkedBlockingQueue<>();
         try (TcpNetwork server = TcpNetwork.open(1, Optional.of(own));
@@ -51,12 +51,12 @@
     @Example
     void aMissingFileIsToldByItsName() {
         Path none = Path.of("no-such-cert.pem");
-        assertThatThrownBy(() -> TlsFiles.read(none, none, none)).hasMessageContaining("no-such-cert.pem");
+        assertThatThrownBy(() -> ReloadingTlsContext.read(none, none, none)).hasMessageContaining("no-such-cert.pem");
     }
 
-    private static TlsFiles files(String name) throws Exception {
+    private static ReloadingTlsContext files(String name) throws Exception {
         PemFixture pem = PemFixture.make(Files.createTempDirectory("mesh"), name);
-        return TlsFiles.read(pem.certificate(), pem.key(), pem.certificate());
+        return ReloadingTlsContext.read(pem.certificate(), pem.key(), pem.certificate());
     }
 
     private static Envelope message(long number) {
--- a/src/test/java/org/cuminshelf/process/ProcessStartTest.java
+++ b/src/test/java/org/cuminshelf/process/ProcessStartTest.java
@@ -10,8 +10,8 @@
     /* Two lives of one process in one program: the first may have answered a leader until the second began. */
     @Example
     void onlyTheFirstProcessOfAProgramBeganWithIt() {
-        ProcessStart.silentSince();
+        ProcessStart.previousRunEndedByNanos();
         long before = System.nanoTime();
-        assertThat(ProcessStart.silentSince()).isGreaterThanOrEqualTo(before);
+        assertThat(ProcessStart.previousRunEndedByNanos()).isGreaterThanOrEqualTo(before);
     }
 }
