--- a/src/main/java/org/cuminshelf/process/AdminEndpoint.java
+++ b/src/main/java/org/cuminshelf/process/AdminEndpoint.java
@@ -11,7 +11,7 @@
 import org.cuminshelf.message.Envelope;
 import org.eclipse.jetty.server.Handler;
 
-/** The product's own administration interface. */
+/** The administration interface of the product, served over HTTP or HTTPS. */
 final class AdminEndpoint implements ControlEndpoint {
 
     private static final int HTTP_THREADS = 8;
@@ -24,18 +24,26 @@
         this.http = http;
     }
 
-    /** Opens the interface at an address, as a control process asks for it. */
-    static Opener at(Address address, Optional<PemFiles> tls, Set<String> keys, boolean open) {
+    /**
+     * Returns an opener of the administration interface.
+     *
+     * @param address        the address to listen on; port 0 selects a free port
+     * @param tls            PEM files for HTTPS, or empty for HTTP
+     * @param keyHashes      SHA-256 hashes of the keys that may operate besides those of the configured teams
+     * @param allowAnonymous whether requests without a key may operate
+     * @return the opener
+     */
+    static Opener opener(Address address, Optional<PemFiles> tls, Set<String> keyHashes, boolean allowAnonymous) {
         return (core, config, ready, registry) -> {
-            AdminHandler handler = new AdminHandler(core, config, keys, open);
-            Handler all = new Handler.Sequence(new MonitoringHandler(ready, registry), handler);
-            return start(handler, address, all, tls);
+            AdminHandler handler = new AdminHandler(core, config, keyHashes, allowAnonymous);
+            Handler handlers = new Handler.Sequence(new MonitoringHandler(ready, registry), handler);
+            return start(handler, address, handlers, tls);
         };
     }
 
-    private static AdminEndpoint start(AdminHandler handler, Address address, Handler all, Optional<PemFiles> tls)
+    private static AdminEndpoint start(AdminHandler handler, Address address, Handler handlers, Optional<PemFiles> tls)
             throws IOException {
-        return new AdminEndpoint(handler, HttpListener.start(address, HTTP_THREADS, all, tls));
+        return new AdminEndpoint(handler, HttpListener.start(address, HTTP_THREADS, handlers, tls));
     }
 
     @Override
--- a/src/main/java/org/cuminshelf/process/CommonSettings.java
+++ b/src/main/java/org/cuminshelf/process/CommonSettings.java
@@ -6,17 +6,17 @@
 import org.cuminshelf.network.ReloadingTlsContext;
 
 /**
- * What every process of the system is told.
+ * Settings shared by all kinds of process.
  *
- * @param listen      the own address for messages
- * @param region      the region of the VM
- * @param zone        the availability zone of the VM
- * @param vm          the name of the VM
- * @param meshTls     keys for messages between processes, or nothing where they go in the clear
- * @param spanFile    file to which spans are written, if any
- * @param otlp        OTLP endpoint to which spans are sent, if any
- * @param traceFile   file to which the core's inputs are recorded, if any
- * @param graceMillis how long a graceful stop may take
+ * @param listen       address on which this process receives messages
+ * @param region       the region of the VM
+ * @param zone         the availability zone of the VM
+ * @param vm           the name of the VM
+ * @param meshTls      TLS context for messages between processes, or empty to send them unencrypted
+ * @param spanFile     file to which spans are written, or empty for none
+ * @param otlpEndpoint OTLP endpoint to which spans are sent, or empty for none
+ * @param traceFile    file to which the core's inputs are recorded, or empty for none
+ * @param graceMillis  maximum duration of a graceful stop in milliseconds
  */
 public record CommonSettings(
         Address listen,
@@ -25,16 +25,16 @@
         String vm,
         Optional<ReloadingTlsContext> meshTls,
         Optional<Path> spanFile,
-        Optional<String> otlp,
+        Optional<String> otlpEndpoint,
         Optional<Path> traceFile,
         long graceMillis) {
 
     private static final long DEFAULT_GRACE_MILLIS = 60_000;
 
     /**
-     * Settings of a process in the clear, with nothing recorded.
+     * Creates settings without TLS, spans or trace, with the default grace period of 60 seconds.
      *
-     * @param listen the own address for messages
+     * @param listen address on which this process receives messages
      * @param region the region of the VM
      * @param zone   the availability zone of the VM
      * @param vm     the name of the VM
--- a/src/main/java/org/cuminshelf/process/ControlEndpoint.java
+++ b/src/main/java/org/cuminshelf/process/ControlEndpoint.java
@@ -7,22 +7,22 @@
 import java.util.function.Supplier;
 import org.cuminshelf.message.Envelope;
 
-/** The interface of a control process to those who are no process of the system. */
+/** The interface of a control process to clients outside the system, such as operators. */
 public interface ControlEndpoint extends AutoCloseable {
 
-    /** Opens the interface of one control process. */
+    /** Opens the external interface of a control process. */
     @FunctionalInterface
     interface Opener {
 
         /**
          * Opens the interface.
          *
-         * @param core     takes requests
-         * @param config   the accepted configuration
-         * @param ready    whether a leader is known
+         * @param core     receives the requests for the core
+         * @param config   supplies the accepted configuration
+         * @param ready    whether every group has a known leader
          * @param registry the metrics of the process
-         * @return the interface
-         * @throws IOException if its address can't be used
+         * @return the open interface
+         * @throws IOException if the interface cannot listen on its address
          */
         ControlEndpoint open(
                 Consumer<Envelope.Builder> core,
@@ -33,14 +33,15 @@
     }
 
     /**
-     * Takes the core's answers, and orders to upstreams; called on the core's thread.
+     * Delivers a message from the core: the answer to a request, or an order to an upstream. Called on the core's
+     * thread.
      *
-     * @param message an answer or an order
+     * @param message the answer or order
      */
     void deliver(Envelope message);
 
     /**
-     * The port in use.
+     * Returns the TCP port on which the interface listens.
      *
      * @return the port
      */
--- a/src/main/java/org/cuminshelf/process/ControlProcess.java
+++ b/src/main/java/org/cuminshelf/process/ControlProcess.java
@@ -19,80 +19,80 @@
 import org.cuminshelf.storage.FileLogDevice;
 import org.cuminshelf.storage.GroupLog;
 
-/** A control process as it runs: its core, its messages, its disk and the administration interface. */
+/** A running control process: the core, its network, its durable logs and its external interface. */
 public final class ControlProcess implements ServingProcess {
 
     private static final int NETWORK_THREADS = 2;
 
-    private final ProcessRuntime frame;
+    private final ProcessRuntime runtime;
     private final StorageThread storage;
-    private final ControlEndpoint outside;
+    private final ControlEndpoint endpoint;
 
-    private ControlProcess(ProcessRuntime frame, StorageThread storage, ControlEndpoint outside) {
-        this.frame = frame;
+    private ControlProcess(ProcessRuntime runtime, StorageThread storage, ControlEndpoint endpoint) {
+        this.runtime = runtime;
         this.storage = storage;
-        this.outside = outside;
+        this.endpoint = endpoint;
     }
 
     /**
-     * What a control process is told besides what every process is.
+     * Settings of a control process besides the common ones.
      *
-     * @param settings    its groups
-     * @param dataFolder  where its logs lie
-     * @param admin       the address of the administration interface; port 0 takes a free one
-     * @param adminTls    PEM files for HTTPS, or nothing for HTTP
-     * @param adminKeys   SHA-256 of keys that may operate besides those of the configuration's teams
-     * @param openAdmin   whether requests without a key may operate
-     * @param groupCommit whether one sync may serve many entries
+     * @param settings            settings of the core, including its replication groups
+     * @param dataDirectory       directory of the replication logs
+     * @param adminAddress        address of the administration interface; port 0 selects a free port
+     * @param adminTls            PEM files for HTTPS, or empty for HTTP
+     * @param adminKeyHashes      SHA-256 hashes of keys that may operate besides those of the configured teams
+     * @param allowAnonymousAdmin whether requests without a key may operate
+     * @param groupCommit         whether one sync may cover several log entries
      */
     public record Options(
             ControlSettings settings,
-            Path dataFolder,
-            Address admin,
+            Path dataDirectory,
+            Address adminAddress,
             Optional<PemFiles> adminTls,
-            Set<String> adminKeys,
-            boolean openAdmin,
+            Set<String> adminKeyHashes,
+            boolean allowAnonymousAdmin,
             boolean groupCommit) {}
 
     /**
-     * Starts a control process.
+     * Starts a control process with the administration interface of the product.
      *
-     * @param common    what every process is told
-     * @param options   what a control process is told
-     * @param onFailure ends the process when its disk fails
+     * @param common    the common settings
+     * @param options   the settings of a control process
+     * @param onFailure called when a write or sync of a log fails; must end the process
      * @return the running process
-     * @throws IOException if an address, a file or the data folder can't be used
+     * @throws IOException if an address, a file or the data directory cannot be used
      */
     public static ControlProcess start(CommonSettings common, Options options, Runnable onFailure) throws IOException {
-        ControlEndpoint.Opener admin =
-                AdminEndpoint.at(options.admin(), options.adminTls(), options.adminKeys(), options.openAdmin());
+        ControlEndpoint.Opener admin = AdminEndpoint.opener(
+                options.adminAddress(), options.adminTls(), options.adminKeyHashes(), options.allowAnonymousAdmin());
         return start(common, options, admin, onFailure);
     }
 
     /**
-     * Starts a control process with another interface than the product's own.
+     * Starts a control process with the given external interface.
      *
-     * @param common    what every process is told
-     * @param options   what a control process is told
-     * @param opener    opens its interface
-     * @param onFailure ends the process when its disk fails
+     * @param common    the common settings
+     * @param options   the settings of a control process
+     * @param opener    opens the external interface
+     * @param onFailure called when a write or sync of a log fails; must end the process
      * @return the running process
-     * @throws IOException if an address, a file or the data folder can't be used
+     * @throws IOException if an address, a file or the data directory cannot be used
      */
     public static ControlProcess start(
             CommonSettings common, Options options, ControlEndpoint.Opener opener, Runnable onFailure)
             throws IOException {
-        ProcessRuntime frame = ProcessRuntime.open("control", common, NETWORK_THREADS);
+        ProcessRuntime runtime = ProcessRuntime.open("control", common, NETWORK_THREADS);
         Map<String, GroupLog> logs = new HashMap<>();
         try {
             for (ReplicaSettings group : options.settings().groups()) {
-                Path file = options.dataFolder().resolve(group.group()).resolve("log");
-                long identity = Math.max(1, frame.random().nextLong() & Long.MAX_VALUE);
-                logs.put(group.group(), GroupLog.open(FileLogDevice.open(file), file.toString(), identity));
+                Path logFile = options.dataDirectory().resolve(group.group()).resolve("log");
+                long identity = Math.max(1, runtime.random().nextLong() & Long.MAX_VALUE);
+                logs.put(group.group(), GroupLog.open(FileLogDevice.open(logFile), logFile.toString(), identity));
             }
-            return start(common, options, opener, onFailure, frame, logs);
+            return start(common, options, opener, onFailure, runtime, logs);
         } catch (IOException e) {
-            frame.close();
+            runtime.close();
             for (GroupLog log : logs.values()) {
                 log.close();
             }
@@ -105,93 +105,100 @@
             Options options,
             ControlEndpoint.Opener opener,
             Runnable onFailure,
-            ProcessRuntime frame,
+            ProcessRuntime runtime,
             Map<String, GroupLog> logs)
             throws IOException {
-        Map<String, DurableState> durable = new HashMap<>();
-        logs.forEach((group, log) -> durable.put(group, log.recovered()));
+        Map<String, DurableState> durableStates = new HashMap<>();
+        logs.forEach((group, log) -> durableStates.put(group, log.recovered()));
         ControlCore core = ControlCore.start(
                 options.settings(),
                 common.listen(),
-                frame.incarnation(),
-                durable,
+                runtime.incarnation(),
+                durableStates,
                 ProcessStart.previousRunEndedByNanos(),
-                frame.random(),
-                frame.invariants());
-        CoreRunner runner = frame.run(opened -> core);
+                runtime.random(),
+                runtime.invariants());
+        CoreRunner runner = runtime.createRunner(opened -> core);
         StorageThread storage = new StorageThread(logs, runner::offer, onFailure, options.groupCommit());
-        runner.port(Address.STORAGE, storage::offer);
+        runner.registerPort(Address.STORAGE, storage::offer);
         PrometheusRegistry registry = new PrometheusRegistry();
-        describe(registry, core, frame);
-        ControlEndpoint outside = opener.open(
-                message -> runner.offer(Address.ADMINISTRATORS, message), core::config, () -> isReady(core), registry);
-        runner.port(Address.ADMINISTRATORS, outside::deliver);
-        runner.port(Address.ORDERS, outside::deliver);
-        runner.everySecond(() -> runner.offer(
+        registerGauges(registry, core, runtime);
+        ControlEndpoint endpoint = opener.open(
+                message -> runner.offer(Address.ADMINISTRATORS, message),
+                core::config,
+                () -> everyGroupHasLeader(core),
+                registry);
+        runner.registerPort(Address.ADMINISTRATORS, endpoint::deliver);
+        runner.registerPort(Address.ORDERS, endpoint::deliver);
+        runner.runEverySecond(() -> runner.offer(
                 Address.PROCESS,
                 Envelope.newBuilder().setWallClock(WallClock.newBuilder().setEpochMs(System.currentTimeMillis()))));
         storage.start();
-        frame.listen();
-        return new ControlProcess(frame, storage, outside);
+        runtime.start();
+        return new ControlProcess(runtime, storage, endpoint);
     }
 
-    private static boolean isReady(ControlCore core) {
+    private static boolean everyGroupHasLeader(ControlCore core) {
         return core.groups().stream()
                 .allMatch(group -> core.replica(group).flatMap(Replica::leader).isPresent());
     }
 
-    private static void describe(PrometheusRegistry registry, ControlCore core, ProcessRuntime frame) {
-        EntryProcess.gauge(
+    private static void registerGauges(PrometheusRegistry registry, ControlCore core, ProcessRuntime runtime) {
+        EntryProcess.registerGauge(
                 registry, "cuminshelf_config_version", "Version of the configuration accepted.", core::configVersion);
-        EntryProcess.gauge(
+        EntryProcess.registerGauge(
                 registry,
                 "cuminshelf_quarantined_requests",
-                "Requests refused because upstreams crash when they run them.",
+                "Requests refused because running them crashed upstreams.",
                 core::quarantinedRequests);
-        EntryProcess.gauge(
-                registry, "cuminshelf_invariant_breach_count", "Promises found broken.", frame.invariants()::count);
+        EntryProcess.registerGauge(
+                registry,
+                "cuminshelf_invariant_breach_count",
+                "Invariant violations detected.",
+                runtime.invariants()::count);
         for (String group : core.groups()) {
             Replica replica = core.replica(group).orElseThrow();
             String name = "cuminshelf_replica_" + group.replaceAll("[^a-zA-Z0-9]", "_");
-            EntryProcess.gauge(registry, name + "_term", "Term of the replica of " + group + ".", replica::term);
-            EntryProcess.gauge(
+            EntryProcess.registerGauge(
+                    registry, name + "_term", "Term of the replica of " + group + ".", replica::term);
+            EntryProcess.registerGauge(
                     registry, name + "_applied", "Last index applied of " + group + ".", replica::appliedIndex);
         }
     }
 
     /**
-     * The port of the administration interface.
+     * Returns the TCP port of the external interface.
      *
      * @return the port
      */
     public int adminPort() {
-        return outside.port();
+        return endpoint.port();
     }
 
     /**
-     * Bytes and messages to and from other processes.
+     * Returns the counters of messages and bytes exchanged with other processes.
      *
-     * @return the counts
+     * @return the counters
      */
     public org.cuminshelf.network.TrafficCounters traffic() {
-        return frame.network().traffic();
+        return runtime.network().traffic();
     }
 
     @Override
     public boolean stopGracefully() throws InterruptedException {
-        boolean finished = frame.stopGracefully();
+        boolean finished = runtime.stopGracefully();
         close();
         return finished;
     }
 
     @Override
     public void close() {
-        outside.close();
-        frame.close();
+        endpoint.close();
+        runtime.close();
         try {
             storage.close();
         } catch (IOException e) {
-            org.tinylog.Logger.warn("storage: A log did not close cleanly: {}.", e.getMessage());
+            org.tinylog.Logger.warn("storage: Failed to close a replication log: {}.", e.getMessage());
         }
     }
 }
--- a/src/main/java/org/cuminshelf/process/CoreRunner.java
+++ b/src/main/java/org/cuminshelf/process/CoreRunner.java
@@ -21,54 +21,60 @@
 import org.cuminshelf.network.Network;
 import org.tinylog.Logger;
 
-/** Runs one core on one thread: feeds it what arrives, ticks it when due, and carries out what it sends. */
+/**
+ * Runs a core on a single thread: passes incoming messages to it, ticks it when it is due and at least once a second,
+ * and sends the messages that it emits to local ports or to other processes.
+ */
 public final class CoreRunner implements AutoCloseable {
 
     private static final String LOG = "process: ";
-    private static final int MOST_INPUTS_BEFORE_TICK = 256;
+    private static final int MAX_INPUTS_PER_TICK = 256;
     private static final long NANOS_PER_SECOND = TimeUnit.SECONDS.toNanos(1);
-    private static final long LONGEST_WAIT = TimeUnit.SECONDS.toNanos(1);
-    /** Difference between the clocks' paces that counts as a jump: reading both takes far less. */
-    private static final long JUMP_MILLIS = 100;
+    private static final long MAX_WAIT_NANOS = TimeUnit.SECONDS.toNanos(1);
+    /**
+     * Change of the offset between wall clock and monotonic clock that counts as a jump; reading both clocks takes far
+     * less.
+     */
+    private static final long CLOCK_JUMP_THRESHOLD_MILLIS = 100;
 
     private final String name;
     private final Address self;
     private final long incarnation;
     private final Core core;
     private final Network network;
-    private final Map<Address, Consumer<Envelope>> ports = new HashMap<>();
+    private final Map<Address, Consumer<Envelope>> portHandlers = new HashMap<>();
     private final LinkedBlockingQueue<Envelope> inputs = new LinkedBlockingQueue<>();
     private final CountDownLatch stopped = new CountDownLatch(1);
     private final Optional<TraceFile> trace;
     private final Thread thread;
     private volatile boolean running = true;
-    private Runnable secondly = () -> {};
-    /** Time of day less monotonic time when last looked at, in milliseconds. */
-    private long pacedAt = System.currentTimeMillis() - TimeUnit.NANOSECONDS.toMillis(System.nanoTime());
+    private Runnable everySecondAction = () -> {};
+    /** Wall clock minus monotonic clock at the last check, in milliseconds. */
+    private long clockOffsetMillis = System.currentTimeMillis() - TimeUnit.NANOSECONDS.toMillis(System.nanoTime());
 
-    private long secondlyAt = System.nanoTime() - NANOS_PER_SECOND;
+    private long lastEverySecondNanos = System.nanoTime() - NANOS_PER_SECOND;
 
     private final Outbox outbox = new Outbox() {
         @Override
         public void send(Address to, Envelope.Builder message) {
-            deliver(to, message, false);
+            dispatch(to, message, false);
         }
 
         @Override
         public void sendOnNewConnection(Address to, Envelope.Builder message) {
-            deliver(to, message, true);
+            dispatch(to, message, true);
         }
     };
 
     /**
-     * Makes a runner; nothing runs before {@link #start()}.
+     * Creates a runner, which is idle until {@link #start()}.
      *
-     * @param name        the name of its thread
-     * @param self        the own address
+     * @param name        name of the thread
+     * @param self        address of this process, the sender of its messages
      * @param incarnation the incarnation of this process
-     * @param core        the core
-     * @param network     where messages to other processes go
-     * @param trace       where inputs are recorded, if they are
+     * @param core        the core to run
+     * @param network     sends messages to other processes
+     * @param trace       records the inputs of the core, or empty to record nothing
      */
     public CoreRunner(
             String name, Address self, long incarnation, Core core, Network network, Optional<TraceFile> trace) {
@@ -79,26 +85,26 @@
         this.network = network;
         this.trace = trace;
         this.thread = new Thread(this::run, name);
-        port(Address.PROCESS, message -> stopped.countDown());
+        registerPort(Address.PROCESS, message -> stopped.countDown());
     }
 
     /**
-     * Connects a local port. Only before the start.
+     * Registers the handler of a local port. Must be called before {@link #start()}.
      *
-     * @param port    the port
-     * @param handler takes what the core sends there, on the core's thread; it must not block
+     * @param port    the local port
+     * @param handler receives the messages that the core sends to the port, on the core's thread; must not block
      */
-    public void port(Address port, Consumer<Envelope> handler) {
-        ports.put(port, handler);
+    public void registerPort(Address port, Consumer<Envelope> handler) {
+        portHandlers.put(port, handler);
     }
 
     /**
-     * Runs an action about once a second on the core's thread. Only before the start.
+     * Sets an action that runs about once a second on the core's thread. Must be called before {@link #start()}.
      *
-     * @param action the action; it must not block
+     * @param action the action; must not block
      */
-    public void everySecond(Runnable action) {
-        this.secondly = action;
+    public void runEverySecond(Runnable action) {
+        this.everySecondAction = action;
     }
 
     /** Starts the thread. */
@@ -107,35 +113,35 @@
     }
 
     /**
-     * Gives the core a message; may be called from any thread.
+     * Queues a message for the core. May be called from any thread.
      *
-     * @param message the message with its sender
+     * @param message the message, including its sender
      */
     public void offer(Envelope message) {
         inputs.add(message);
     }
 
     /**
-     * Gives the core a message from a local port; may be called from any thread.
+     * Queues a message from a local port for the core. May be called from any thread.
      *
-     * @param port    the port
-     * @param message the message
+     * @param port    the local port, set as the sender
+     * @param message the message without its sender
      */
     public void offer(Address port, Envelope.Builder message) {
         inputs.add(message.setFrom(port.value()).build());
     }
 
     /**
-     * Asks the core to leave and waits until it has finished.
+     * Tells the core to stop gracefully and waits until it has finished its work.
      *
-     * @param patience how long to wait at most
-     * @param unit     unit of the patience
-     * @return whether it finished
+     * @param timeout the maximum time to wait
+     * @param unit    unit of the timeout
+     * @return whether the core finished within the timeout
      * @throws InterruptedException if the wait is interrupted
      */
-    public boolean stopGracefully(long patience, TimeUnit unit) throws InterruptedException {
+    public boolean stopGracefully(long timeout, TimeUnit unit) throws InterruptedException {
         offer(Address.PROCESS, Envelope.newBuilder().setStop(Stop.getDefaultInstance()));
-        return stopped.await(patience, unit);
+        return stopped.await(timeout, unit);
     }
 
     @Override
@@ -150,7 +156,7 @@
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } catch (IOException e) {
-            Logger.warn(LOG + "The trace of {} can't be closed: {}.", name, e.getMessage());
+            Logger.warn(LOG + "Failed to close the trace file of {}: {}.", name, e.getMessage());
         }
     }
 
@@ -159,49 +165,49 @@
         try {
             while (running) {
                 batch.clear();
-                await(batch);
-                noticeClockJump(batch);
-                runSecondly();
+                pollInputs(batch);
+                detectClockJump(batch);
+                runEverySecondAction();
                 step(batch);
             }
-        } catch (InterruptedException end) {
+        } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } catch (IOException e) {
-            Logger.error(LOG + "The trace of {} can't be written: {}.", name, e.getMessage());
+            Logger.error(LOG + "Failed to write the trace file of {}; its core stops: {}.", name, e.getMessage());
         }
     }
 
-    private void await(List<Envelope> batch) throws InterruptedException {
-        long wait = Math.min(LONGEST_WAIT, core.nextDue() - System.nanoTime());
+    private void pollInputs(List<Envelope> batch) throws InterruptedException {
+        long wait = Math.min(MAX_WAIT_NANOS, core.nextDue() - System.nanoTime());
         Envelope first = wait > 0 ? inputs.poll(wait, TimeUnit.NANOSECONDS) : inputs.poll();
         if (first != null) {
             batch.add(first);
-            inputs.drainTo(batch, MOST_INPUTS_BEFORE_TICK - 1);
+            inputs.drainTo(batch, MAX_INPUTS_PER_TICK - 1);
         }
     }
 
     /**
-     * Tells the core when the time of day moved against the monotonic clock. Guards against a VM that was suspended:
-     * its monotonic clock stood still, so that a lease seems to hold which ended long ago. It is told before anything
-     * that arrived since, and before the next tick.
+     * Notifies the core when the wall clock moved relative to the monotonic clock. Guards against suspension of the VM:
+     * the monotonic clock stops, so an expired lease still seems valid. The notification precedes all other inputs of
+     * the batch and the next tick.
      */
-    private void noticeClockJump(List<Envelope> batch) {
-        long wall = System.currentTimeMillis();
-        long pace = wall - TimeUnit.NANOSECONDS.toMillis(System.nanoTime());
-        if (Math.abs(pace - pacedAt) > JUMP_MILLIS) {
+    private void detectClockJump(List<Envelope> batch) {
+        long wallMillis = System.currentTimeMillis();
+        long currentOffsetMillis = wallMillis - TimeUnit.NANOSECONDS.toMillis(System.nanoTime());
+        if (Math.abs(currentOffsetMillis - clockOffsetMillis) > CLOCK_JUMP_THRESHOLD_MILLIS) {
             batch.addFirst(Envelope.newBuilder()
                     .setFrom(Address.PROCESS.value())
-                    .setWallClock(WallClock.newBuilder().setEpochMs(wall).setJumped(true))
+                    .setWallClock(WallClock.newBuilder().setEpochMs(wallMillis).setJumped(true))
                     .build());
         }
-        pacedAt = pace;
+        clockOffsetMillis = currentOffsetMillis;
     }
 
-    private void runSecondly() {
+    private void runEverySecondAction() {
         long now = System.nanoTime();
-        if (now - secondlyAt >= NANOS_PER_SECOND) {
-            secondlyAt = now;
-            secondly.run();
+        if (now - lastEverySecondNanos >= NANOS_PER_SECOND) {
+            lastEverySecondNanos = now;
+            everySecondAction.run();
         }
     }
 
@@ -212,14 +218,14 @@
             try {
                 core.accept(now, input, outbox);
             } catch (RuntimeException e) {
-                Logger.error(e, LOG + "{} could not take a message of kind {}.", name, input.getBodyCase());
+                Logger.error(e, LOG + "{} failed to process a message of kind {}.", name, input.getBodyCase());
             }
         }
         record(now, Optional.empty());
         try {
             core.tick(now, outbox);
         } catch (RuntimeException e) {
-            Logger.error(e, LOG + "A tick of {} failed.", name);
+            Logger.error(e, LOG + "{} failed in a tick.", name);
         }
     }
 
@@ -232,16 +238,16 @@
         trace.get().append(record.build());
     }
 
-    private void deliver(Address to, Envelope.Builder message, boolean fresh) {
-        Envelope stamped =
+    private void dispatch(Address to, Envelope.Builder message, boolean freshConnection) {
+        Envelope outgoing =
                 message.setFrom(self.value()).setIncarnation(incarnation).build();
         if (to.isLocal()) {
-            Consumer<Envelope> handler = ports.get(to);
+            Consumer<Envelope> handler = portHandlers.get(to);
             if (handler != null) {
-                handler.accept(stamped);
+                handler.accept(outgoing);
             }
             return;
         }
-        network.send(to, stamped, fresh);
+        network.send(to, outgoing, freshConnection);
     }
 }
--- a/src/main/java/org/cuminshelf/process/CountingInvariants.java
+++ b/src/main/java/org/cuminshelf/process/CountingInvariants.java
@@ -6,12 +6,12 @@
 import org.cuminshelf.core.Invariants;
 import org.tinylog.Logger;
 
-/** Counts and logs breaches in a serving process. */
+/** Counts and logs invariant violations instead of throwing, for processes that serve requests. */
 public final class CountingInvariants implements Invariants {
 
-    private static final Counter BREACHES = Counter.builder()
+    private static final Counter VIOLATIONS = Counter.builder()
             .name("cuminshelf_invariant_breaches")
-            .help("Promises found broken; any value above 0 is a fault to report.")
+            .help("Invariant violations detected; report any value above 0 as a bug.")
             .labelNames("invariant")
             .register();
 
@@ -20,9 +20,9 @@
     private CountingInvariants() {}
 
     /**
-     * Makes a receiver that has seen no breach.
+     * Creates a checker with a count of zero.
      *
-     * @return the receiver
+     * @return the checker
      */
     public static CountingInvariants create() {
         return new CountingInvariants();
@@ -32,15 +32,15 @@
     public void check(boolean holds, String name, Supplier<String> detail) {
         if (!holds) {
             count.incrementAndGet();
-            BREACHES.labelValues(name).inc();
+            VIOLATIONS.labelValues(name).inc();
             Logger.error("invariant: {} does not hold: {}.", name, detail.get());
         }
     }
 
     /**
-     * Counts the breaches so far.
+     * Returns the number of violations since this object was created.
      *
-     * @return their number
+     * @return the number of violations
      */
     public long count() {
         return count.get();
--- a/src/main/java/org/cuminshelf/process/DirectEntryProcess.java
+++ b/src/main/java/org/cuminshelf/process/DirectEntryProcess.java
@@ -38,60 +38,63 @@
 import org.tinylog.Logger;
 
 /**
- * An entry that reaches upstreams straight, as it runs. The core runs under one lock on whichever thread brings it
- * something: bytes go from an upstream to its caller without a change of threads, which on a fraction of a core costs
- * more than the work itself.
+ * A running entry that connects to upstreams directly, without sidecars. The core runs under a single lock on the
+ * thread that delivers an event, so bytes pass from an upstream to its caller without a thread switch. With only a
+ * fraction of a CPU core available, a switch costs more than the work itself.
  */
 public final class DirectEntryProcess implements ServingProcess {
 
     private static final String LOG = "entry: ";
-    /** How long an entry that leaves goes on taking connections: the balancer needs two questions, a second apart. */
-    private static final long ROTATION_MILLIS = 2_600;
-    /** Part of the grace period that is left when the process ends in any case. */
-    private static final long RESERVE_MILLIS = 400;
+    /**
+     * How long a stopping entry still accepts connections: the load balancer needs two readiness checks, a second
+     * apart, to notice.
+     */
+    private static final long READINESS_DRAIN_MILLIS = 2_600;
+    /** Part of the grace period that is reserved for closing, whether or not all calls have ended. */
+    private static final long SHUTDOWN_RESERVE_MILLIS = 400;
 
-    private static final long LOOK_AGAIN_MILLIS = 20;
-    private static final long LAST_LOOK_MILLIS = 60;
-    private static final long LONGEST_WAIT = TimeUnit.SECONDS.toNanos(1);
+    private static final long DRAIN_POLL_MILLIS = 20;
+    private static final long DRAIN_CONFIRM_MILLIS = 60;
+    private static final long MAX_WAIT_NANOS = TimeUnit.SECONDS.toNanos(1);
     private static final int OK = 200;
-    private static final int UNAVAILABLE = 503;
+    private static final int SERVICE_UNAVAILABLE = 503;
 
     /**
-     * What such an entry is told besides what every process is.
+     * Settings of a direct entry besides the common ones.
      *
-     * @param settings  its place
-     * @param callers   where callers connect
-     * @param readiness where the balancer asks whether it takes callers, if it does
-     * @param metrics   where metrics are served, if they are
-     * @param protocol  how callers and upstreams write
-     * @param format    reads the accepted configuration
+     * @param settings         settings of the core
+     * @param callerAddress    address on which callers connect
+     * @param readinessAddress address of the readiness check of the load balancer, or empty for none
+     * @param metricsAddress   address on which metrics are served, or empty for none
+     * @param protocol         the protocol of callers and upstreams
+     * @param configParser     parses the accepted configuration; empty if it is malformed
      */
     public record Options(
             DirectSettings settings,
-            Address callers,
-            Optional<Address> readiness,
-            Optional<Address> metrics,
+            Address callerAddress,
+            Optional<Address> readinessAddress,
+            Optional<Address> metricsAddress,
             UpstreamProtocol protocol,
-            Function<byte[], Optional<RouteTable>> format) {}
+            Function<byte[], Optional<RouteTable>> configParser) {}
 
     private final CommonSettings common;
     private final ReentrantLock lock = new ReentrantLock();
-    private final Condition timer = lock.newCondition();
+    private final Condition dueTimeChanged = lock.newCondition();
     private final TcpNetwork network;
     private final CountingInvariants invariants = CountingInvariants.create();
     private final UpstreamConnections connections;
     private final DirectCore core;
-    private final Function<byte[], Optional<RouteTable>> format;
-    private final ExecutorService configReader = Executors.newSingleThreadExecutor(
+    private final Function<byte[], Optional<RouteTable>> configParser;
+    private final ExecutorService configExecutor = Executors.newSingleThreadExecutor(
             Thread.ofPlatform().daemon().name("config").factory());
-    private final Thread ticker = new Thread(this::tickOn, "core");
+    private final Thread ticker = new Thread(this::runTicker, "core");
     private final long incarnation;
     private final PrometheusRegistry registry = new PrometheusRegistry();
-    private Optional<MetricsServer> metrics = Optional.empty();
-    private CallerListener callers;
-    private Optional<CallerListener> readiness = Optional.empty();
-    private long wakeAt;
-    private long sweepAt;
+    private Optional<MetricsServer> metricsServer = Optional.empty();
+    private CallerListener callerListener;
+    private Optional<CallerListener> readinessListener = Optional.empty();
+    private long nextWakeUpNanos;
+    private long nextSweepNanos;
     private volatile boolean running = true;
 
     private final Outbox outbox = new Outbox() {
@@ -110,27 +113,27 @@
         this.common = common;
         this.incarnation = System.currentTimeMillis() << 20 | System.nanoTime() & 0xFFFFF;
         this.network = TcpNetwork.open(1, common.meshTls());
-        this.format = options.format();
+        this.configParser = options.configParser();
         this.connections = UpstreamConnections.start(lock);
         this.core = DirectCore.start(
                 options.settings(),
                 common.listen(),
                 options.protocol(),
                 this::readRoutes,
-                new Port(),
+                new PooledUpstreamClient(),
                 System::nanoTime,
                 invariants,
                 RateLimitedDecisionLog.create(LOG, DecisionMetrics.register(registry)));
-        describe();
+        registerGauges();
     }
 
     /**
-     * Starts an entry.
+     * Starts a direct entry.
      *
-     * @param common  what every process is told
-     * @param options what such an entry is told
+     * @param common  the common settings
+     * @param options the settings of a direct entry
      * @return the running process
-     * @throws IOException if an address can't be used
+     * @throws IOException if the process cannot listen on one of its addresses
      */
     public static DirectEntryProcess start(CommonSettings common, Options options) throws IOException {
         DirectEntryProcess process = new DirectEntryProcess(common, options);
@@ -145,51 +148,61 @@
 
     private void open(Options options) throws IOException {
         network.listen(common.listen(), this::accept);
-        callers = CallerListener.start(options.callers(), lock, new Callers(), core::callerLimits);
-        if (options.readiness().isPresent()) {
-            readiness = Optional.of(
-                    CallerListener.start(options.readiness().get(), lock, new Readiness(), () -> CallerLimits.DEFAULT));
+        callerListener =
+                CallerListener.start(options.callerAddress(), lock, new CallerRequestHandler(), core::callerLimits);
+        if (options.readinessAddress().isPresent()) {
+            readinessListener = Optional.of(CallerListener.start(
+                    options.readinessAddress().get(), lock, new ReadinessHandler(), () -> CallerLimits.DEFAULT));
         }
         ticker.start();
-        if (options.metrics().isPresent()) {
-            metrics = Optional.of(MetricsServer.open(options.metrics().get(), registry));
+        if (options.metricsAddress().isPresent()) {
+            metricsServer =
+                    Optional.of(MetricsServer.open(options.metricsAddress().get(), registry));
         }
-        Logger.info(LOG + "event=start vm={} callers={} messages={}", common.vm(), options.callers(), common.listen());
+        Logger.info(
+                LOG + "event=start vm={} callers={} messages={}",
+                common.vm(),
+                options.callerAddress(),
+                common.listen());
     }
 
-    private void describe() {
-        EntryProcess.gauge(
+    private void registerGauges() {
+        EntryProcess.registerGauge(
                 registry, "cuminshelf_config_version", "Version of the configuration in force.", core::configVersion);
-        EntryProcess.gauge(registry, "cuminshelf_open_calls", "Calls not answered yet.", core::openCalls);
-        EntryProcess.gauge(
-                registry, "cuminshelf_upstream_connections_opened", "Connections opened.", connections::totalOpened);
-        EntryProcess.gauge(
+        EntryProcess.registerGauge(registry, "cuminshelf_open_calls", "Calls in progress.", core::openCalls);
+        EntryProcess.registerGauge(
+                registry,
+                "cuminshelf_upstream_connections_opened",
+                "Connections to upstreams opened since the start.",
+                connections::totalOpened);
+        EntryProcess.registerGauge(
                 registry,
                 "cuminshelf_suspected_requests",
-                "Requests that were at a crash of an upstream and have not ended well since.",
+                "Requests that were running when an upstream crashed and have not completed successfully since.",
                 core::suspectedRequests);
-        EntryProcess.gauge(
+        EntryProcess.registerGauge(
                 registry,
                 "cuminshelf_quarantined_requests",
-                "Requests refused because upstreams crash when they run them.",
+                "Requests refused because running them crashed upstreams.",
                 core::quarantinedRequests);
-        EntryProcess.gauge(
+        EntryProcess.registerGauge(
                 registry,
                 "cuminshelf_limited_upstreams",
-                "Upstreams that state a limit on requests.",
+                "Upstreams that announce a request limit.",
                 core::limitedUpstreams);
-        EntryProcess.gauge(
+        EntryProcess.registerGauge(
                 registry,
                 "cuminshelf_resting_upstreams",
-                "Upstreams that asked this entry for rest.",
+                "Upstreams that requested backoff from this entry.",
                 core::upstreamsInBackoff);
-        EntryProcess.gauge(registry, "cuminshelf_invariant_breach_count", "Promises found broken.", invariants::count);
+        EntryProcess.registerGauge(
+                registry, "cuminshelf_invariant_breach_count", "Invariant violations detected.", invariants::count);
     }
 
     /**
-     * Takes other control processes to begin with, as changed settings name them.
+     * Replaces the seed addresses of the control processes after a change of the settings.
      *
-     * @param seeds their addresses for messages
+     * @param seeds message addresses of the control processes
      */
     public void replaceSeeds(List<Address> seeds) {
         lock.lock();
@@ -211,12 +224,12 @@
         }
     }
 
-    private void readRoutes(byte[] deflated, Consumer<Optional<RouteTable>> whenRead) {
-        configReader.execute(() -> {
-            Optional<RouteTable> read = RouteTableReader.parse(deflated, format);
+    private void readRoutes(byte[] deflatedConfig, Consumer<Optional<RouteTable>> callback) {
+        configExecutor.execute(() -> {
+            Optional<RouteTable> routes = RouteTableReader.parse(deflatedConfig, configParser);
             lock.lock();
             try {
-                whenRead.accept(read);
+                callback.accept(routes);
                 wakeIfDue();
             } finally {
                 lock.unlock();
@@ -224,18 +237,18 @@
         });
     }
 
-    private void deliver(Address to, Envelope.Builder message, boolean fresh) {
+    private void deliver(Address to, Envelope.Builder message, boolean freshConnection) {
         if (!to.isLocal()) {
             network.send(
                     to,
                     message.setFrom(common.listen().value())
                             .setIncarnation(incarnation)
                             .build(),
-                    fresh);
+                    freshConnection);
         }
     }
 
-    private void tickOn() {
+    private void runTicker() {
         lock.lock();
         try {
             while (running) {
@@ -243,40 +256,40 @@
                 if (now >= core.nextDue()) {
                     core.tick(now, outbox);
                 }
-                if (now >= sweepAt) {
-                    sweepAt = now + LONGEST_WAIT;
+                if (now >= nextSweepNanos) {
+                    nextSweepNanos = now + MAX_WAIT_NANOS;
                     connections.sweep();
-                    core.accept(now, wallClock(), outbox);
+                    core.accept(now, wallClockMessage(), outbox);
                 }
-                long wait = Math.min(LONGEST_WAIT, core.nextDue() - System.nanoTime());
-                wakeAt = System.nanoTime() + wait;
+                long wait = Math.min(MAX_WAIT_NANOS, core.nextDue() - System.nanoTime());
+                nextWakeUpNanos = System.nanoTime() + wait;
                 if (wait > 0) {
-                    timer.awaitNanos(wait);
+                    dueTimeChanged.awaitNanos(wait);
                 }
             }
-        } catch (InterruptedException end) {
+        } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } finally {
             lock.unlock();
         }
     }
 
-    private static Envelope wallClock() {
+    private static Envelope wallClockMessage() {
         return Envelope.newBuilder()
                 .setFrom(Address.PROCESS.value())
                 .setWallClock(WallClock.newBuilder().setEpochMs(System.currentTimeMillis()))
                 .build();
     }
 
-    /** Wakes the ticking thread if something fell due before it would wake by itself. */
+    /** Wakes the ticker thread if the core is now due before the scheduled wake-up. */
     private void wakeIfDue() {
-        if (core.nextDue() < wakeAt) {
-            timer.signal();
+        if (core.nextDue() < nextWakeUpNanos) {
+            dueTimeChanged.signal();
         }
     }
 
-    /** Callers' requests. */
-    private final class Callers implements CallerHandler {
+    /** Passes requests of callers to the core. */
+    private final class CallerRequestHandler implements CallerHandler {
         @Override
         public void onRequest(ReceivedRequest request, CallerExchange exchange) {
             core.onRequest(request, exchange);
@@ -289,21 +302,21 @@
         }
     }
 
-    /** The balancer's question. */
-    private final class Readiness implements CallerHandler {
+    /** Answers the readiness checks of the load balancer. */
+    private final class ReadinessHandler implements CallerHandler {
         @Override
         public void onRequest(ReceivedRequest request, CallerExchange exchange) {
-            exchange.respond(core.isReady() ? OK : UNAVAILABLE, HttpFields.EMPTY, ByteBuffer.allocate(0));
+            exchange.respond(core.isReady() ? OK : SERVICE_UNAVAILABLE, HttpFields.EMPTY, ByteBuffer.allocate(0));
         }
 
         @Override
         public void onDisconnect(CallerExchange exchange) {
-            // The answer was given within the question's own call.
+            // onRequest has already answered.
         }
     }
 
-    /** Requests to upstreams. */
-    private final class Port implements UpstreamClient {
+    /** Sends requests to upstreams over the pooled connections. */
+    private final class PooledUpstreamClient implements UpstreamClient {
         @Override
         public UpstreamExchange send(
                 Address address, String upstream, UpstreamRequest request, UpstreamHandler handler) {
@@ -316,57 +329,57 @@
         }
 
         @Override
-        public void probe(Address address, String upstream, Consumer<Reachability> whenSeen) {
-            connections.probe(address, upstream, seen -> {
-                whenSeen.accept(seen);
+        public void probe(Address address, String upstream, Consumer<Reachability> callback) {
+            connections.probe(address, upstream, reachability -> {
+                callback.accept(reachability);
                 wakeIfDue();
             });
         }
     }
 
     /**
-     * Leaves without cutting a request: says that it isn't ready, goes on taking connections until the balancer has
-     * noticed and none after, asks callers to go elsewhere with each answer, and ends once nothing is open.
+     * Stops without cutting off a request: reports that it isn't ready, accepts connections only until the load
+     * balancer has noticed, asks callers with each answer to reconnect elsewhere, and closes once no call is open.
      */
     @Override
     public boolean stopGracefully() throws InterruptedException {
-        long since = System.nanoTime();
+        long startNanos = System.nanoTime();
         Logger.info(LOG + "event=stop vm={} open={}", common.vm(), core.openCalls());
         accept(Envelope.newBuilder()
                 .setFrom(Address.PROCESS.value())
                 .setStop(Stop.getDefaultInstance())
                 .build());
-        callers.startDraining();
-        while (millisSince(since) < ROTATION_MILLIS) {
-            Thread.sleep(LOOK_AGAIN_MILLIS);
+        callerListener.startDraining();
+        while (millisSince(startNanos) < READINESS_DRAIN_MILLIS) {
+            Thread.sleep(DRAIN_POLL_MILLIS);
         }
-        // A connection taken now would bring a request that may not be finished in the time that is left.
-        callers.stopAccepting();
+        // A request on a connection accepted from now on might not complete within the remaining time.
+        callerListener.stopAccepting();
         boolean finished = false;
-        while (!finished && millisSince(since) < common.graceMillis() - RESERVE_MILLIS) {
-            callers.closeIdleConnections();
-            Thread.sleep(core.openCalls() > 0 ? LOOK_AGAIN_MILLIS : LAST_LOOK_MILLIS);
+        while (!finished && millisSince(startNanos) < common.graceMillis() - SHUTDOWN_RESERVE_MILLIS) {
+            callerListener.closeIdleConnections();
+            Thread.sleep(core.openCalls() > 0 ? DRAIN_POLL_MILLIS : DRAIN_CONFIRM_MILLIS);
             finished = core.openCalls() == 0;
         }
-        Logger.info(LOG + "event=stopped vm={} finished={} ms={}", common.vm(), finished, millisSince(since));
+        Logger.info(LOG + "event=stopped vm={} finished={} ms={}", common.vm(), finished, millisSince(startNanos));
         close();
         return finished;
     }
 
-    private static long millisSince(long nanos) {
-        return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - nanos);
+    private static long millisSince(long startNanos) {
+        return TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNanos);
     }
 
     @Override
     public void close() {
         running = false;
         ticker.interrupt();
-        configReader.shutdownNow();
-        if (callers != null) {
-            callers.close();
+        configExecutor.shutdownNow();
+        if (callerListener != null) {
+            callerListener.close();
         }
-        readiness.ifPresent(CallerListener::close);
-        metrics.ifPresent(MetricsServer::close);
+        readinessListener.ifPresent(CallerListener::close);
+        metricsServer.ifPresent(MetricsServer::close);
         connections.close();
         network.close();
     }
--- a/src/main/java/org/cuminshelf/process/EntryProcess.java
+++ b/src/main/java/org/cuminshelf/process/EntryProcess.java
@@ -14,70 +14,77 @@
 import org.cuminshelf.http.PemFiles;
 import org.eclipse.jetty.server.Handler;
 
-/** An entry as it runs: its core, its messages and its callers' interface. */
+/** A running entry: the core, its network and the HTTP interface for callers. */
 public final class EntryProcess implements ServingProcess {
 
     private static final int NETWORK_THREADS = 2;
     private static final int HTTP_THREADS = 16;
 
-    private final ProcessRuntime frame;
+    private final ProcessRuntime runtime;
     private final HttpListener http;
 
-    private EntryProcess(ProcessRuntime frame, HttpListener http) {
-        this.frame = frame;
+    private EntryProcess(ProcessRuntime runtime, HttpListener http) {
+        this.runtime = runtime;
         this.http = http;
     }
 
     /**
      * Starts an entry.
      *
-     * @param common   what every process is told
-     * @param settings what an entry is told
-     * @param callers  the address of the callers' interface; port 0 takes a free one
-     * @param tls      PEM files for HTTPS, or nothing for HTTP
+     * @param common        the common settings
+     * @param settings      the settings of an entry
+     * @param callerAddress address of the caller interface; port 0 selects a free port
+     * @param tls           PEM files for HTTPS, or empty for HTTP
      * @return the running entry
-     * @throws IOException if an address or a file can't be used
+     * @throws IOException if an address or a file cannot be used
      */
     public static EntryProcess start(
-            CommonSettings common, EntrySettings settings, Address callers, Optional<PemFiles> tls) throws IOException {
-        ProcessRuntime frame = ProcessRuntime.open("entry", common, NETWORK_THREADS);
+            CommonSettings common, EntrySettings settings, Address callerAddress, Optional<PemFiles> tls)
+            throws IOException {
+        ProcessRuntime runtime = ProcessRuntime.open("entry", common, NETWORK_THREADS);
         try {
             EntryCore core = EntryCore.start(
-                    settings, common.listen(), frame.incarnation(), System.nanoTime(), frame.invariants());
-            CoreRunner runner = frame.run(opened -> core);
+                    settings, common.listen(), runtime.incarnation(), System.nanoTime(), runtime.invariants());
+            CoreRunner runner = runtime.createRunner(opened -> core);
             PrometheusRegistry registry = new PrometheusRegistry();
-            describe(registry, core, frame);
+            registerGauges(registry, core, runtime);
             CallerApiHandler handler = new CallerApiHandler(
                     message -> runner.offer(Address.CALLERS, message),
                     core::config,
-                    frame.spans(),
+                    runtime.spans(),
                     CallMetrics.register(registry));
-            runner.port(Address.CALLERS, handler::deliver);
-            frame.listen();
+            runner.registerPort(Address.CALLERS, handler::deliver);
+            runtime.start();
             Handler handlers = new Handler.Sequence(new MonitoringHandler(core::isReady, registry), handler);
-            return new EntryProcess(frame, HttpListener.start(callers, HTTP_THREADS, handlers, tls));
+            return new EntryProcess(runtime, HttpListener.start(callerAddress, HTTP_THREADS, handlers, tls));
         } catch (IOException e) {
-            frame.close();
+            runtime.close();
             throw e;
         }
     }
 
-    private static void describe(PrometheusRegistry registry, EntryCore core, ProcessRuntime frame) {
-        gauge(registry, "cuminshelf_config_version", "Version of the configuration in force.", core::configVersion);
-        gauge(registry, "cuminshelf_invariant_breach_count", "Promises found broken.", frame.invariants()::count);
-        gauge(
+    private static void registerGauges(PrometheusRegistry registry, EntryCore core, ProcessRuntime runtime) {
+        registerGauge(
+                registry, "cuminshelf_config_version", "Version of the configuration in force.", core::configVersion);
+        registerGauge(
+                registry,
+                "cuminshelf_invariant_breach_count",
+                "Invariant violations detected.",
+                runtime.invariants()::count);
+        registerGauge(
                 registry,
                 "cuminshelf_message_bytes_sent",
                 "Bytes sent to other processes.",
-                frame.network().traffic()::bytesSent);
-        gauge(
+                runtime.network().traffic()::bytesSent);
+        registerGauge(
                 registry,
                 "cuminshelf_message_bytes_received",
                 "Bytes received from other processes.",
-                frame.network().traffic()::bytesReceived);
+                runtime.network().traffic()::bytesReceived);
     }
 
-    static void gauge(PrometheusRegistry registry, String name, String help, java.util.function.LongSupplier value) {
+    static void registerGauge(
+            PrometheusRegistry registry, String name, String help, java.util.function.LongSupplier value) {
         GaugeWithCallback.builder()
                 .name(name)
                 .help(help)
@@ -86,7 +93,7 @@
     }
 
     /**
-     * The port of the callers' interface.
+     * Returns the TCP port of the caller interface.
      *
      * @return the port
      */
@@ -95,26 +102,26 @@
     }
 
     /**
-     * Bytes and messages to and from other processes.
+     * Returns the counters of messages and bytes exchanged with other processes.
      *
-     * @return the counts
+     * @return the counters
      */
     public org.cuminshelf.network.TrafficCounters traffic() {
-        return frame.network().traffic();
+        return runtime.network().traffic();
     }
 
     /**
-     * Counts the promises found broken.
+     * Returns the number of invariant violations detected since the start.
      *
-     * @return their number
+     * @return the number of violations
      */
     public long invariantBreaches() {
-        return frame.invariants().count();
+        return runtime.invariants().count();
     }
 
     @Override
     public boolean stopGracefully() throws InterruptedException {
-        boolean finished = frame.stopGracefully();
+        boolean finished = runtime.stopGracefully();
         close();
         return finished;
     }
@@ -122,6 +129,6 @@
     @Override
     public void close() {
         http.close();
-        frame.close();
+        runtime.close();
     }
 }
--- a/src/main/java/org/cuminshelf/process/MetricsServer.java
+++ b/src/main/java/org/cuminshelf/process/MetricsServer.java
@@ -16,13 +16,13 @@
 import org.eclipse.jetty.http.HttpFields;
 import org.eclipse.jetty.http.HttpHeader;
 
-/** The metrics of a process as text, on an address of their own so that no caller's request waits for them. */
+/** Serves the metrics of a process as Prometheus text, on a separate address so that scrapes delay no request. */
 public final class MetricsServer implements CallerHandler, AutoCloseable {
 
     private static final String PATH = "/metrics";
     private static final int OK = 200;
     private static final int NOT_FOUND = 404;
-    private static final int FAILED = 500;
+    private static final int INTERNAL_SERVER_ERROR = 500;
 
     private final PrometheusRegistry registry;
     private final PrometheusTextFormatWriter writer =
@@ -35,12 +35,12 @@
     }
 
     /**
-     * Serves the metrics under {@code /metrics}.
+     * Starts serving the metrics under {@code /metrics}.
      *
-     * @param address  where
+     * @param address  the address to listen on
      * @param registry the metrics
-     * @return the page
-     * @throws IOException if the address can't be used
+     * @return the running server
+     * @throws IOException if the server cannot listen on the address
      */
     public static MetricsServer open(Address address, PrometheusRegistry registry) throws IOException {
         return new MetricsServer(address, registry);
@@ -57,7 +57,7 @@
             writer.write(bytes, registry.scrape());
             answer(exchange, OK, bytes.toByteArray());
         } catch (IOException e) {
-            answer(exchange, FAILED, e.toString().getBytes(StandardCharsets.UTF_8));
+            answer(exchange, INTERNAL_SERVER_ERROR, e.toString().getBytes(StandardCharsets.UTF_8));
         }
     }
 
@@ -68,7 +68,7 @@
 
     @Override
     public void onDisconnect(CallerExchange exchange) {
-        // The answer was given within the question's own call.
+        // onRequest has already answered.
     }
 
     @Override
--- a/src/main/java/org/cuminshelf/process/ProcessRuntime.java
+++ b/src/main/java/org/cuminshelf/process/ProcessRuntime.java
@@ -12,7 +12,7 @@
 import org.cuminshelf.spans.Spans;
 import org.tinylog.Logger;
 
-/** What every process has: its network, its core's thread, its spans, and its way to stop. */
+/** The parts that every process with a core of its own has: network, core thread, spans and graceful stop. */
 final class ProcessRuntime implements AutoCloseable {
 
     private static final String LOG = "process: ";
@@ -31,14 +31,14 @@
         this.settings = settings;
         this.network = network;
         this.spans = spans;
-        // Starts of the same process are milliseconds apart at least; the random part covers a clock
-        // set back.
+        // Starts of the same process are at least milliseconds apart; the random bits cover a clock that
+        // was set back.
         this.random = RandomSource.XO_RO_SHI_RO_128_PP.create();
         this.incarnation = System.currentTimeMillis() << 20 | random.nextInt(1 << 20);
     }
 
     static ProcessRuntime open(String kind, CommonSettings settings, int networkThreads) throws IOException {
-        Spans spans = Spans.export(kind + " " + settings.vm(), settings.spanFile(), settings.otlp());
+        Spans spans = Spans.export(kind + " " + settings.vm(), settings.spanFile(), settings.otlpEndpoint());
         return new ProcessRuntime(kind, settings, TcpNetwork.open(networkThreads, settings.meshTls()), spans);
     }
 
@@ -66,7 +66,7 @@
         return runner;
     }
 
-    CoreRunner run(Function<ProcessRuntime, Core> core) throws IOException {
+    CoreRunner createRunner(Function<ProcessRuntime, Core> core) throws IOException {
         Optional<TraceFile> trace = settings.traceFile().isPresent()
                 ? Optional.of(TraceFile.write(settings.traceFile().get()))
                 : Optional.empty();
@@ -74,17 +74,17 @@
         return runner;
     }
 
-    void listen() throws IOException {
+    void start() throws IOException {
         network.listen(settings.listen(), runner::offer);
         runner.start();
-        Logger.info(LOG + "{} {} listens on {}.", kind, settings.vm(), settings.listen());
+        Logger.info(LOG + "{} {} is listening on {}.", kind, settings.vm(), settings.listen());
     }
 
-    /** Leaves and finishes; returns whether everything was finished in time. */
+    /** Stops the core gracefully; returns whether it finished its work within the grace period. */
     boolean stopGracefully() throws InterruptedException {
-        Logger.info(LOG + "{} {} is leaving.", kind, settings.vm());
+        Logger.info(LOG + "{} {} is stopping gracefully.", kind, settings.vm());
         boolean finished = runner.stopGracefully(settings.graceMillis(), TimeUnit.MILLISECONDS);
-        Logger.info(LOG + "{} {} has {}.", kind, settings.vm(), finished ? "finished" : "run out of patience");
+        Logger.info(LOG + "{} {} has {}.", kind, settings.vm(), finished ? "finished" : "exceeded the grace period");
         return finished;
     }
 
--- a/src/main/java/org/cuminshelf/process/ProcessStart.java
+++ b/src/main/java/org/cuminshelf/process/ProcessStart.java
@@ -3,30 +3,33 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 
 /**
- * When this program began, by its monotonic clock.
+ * Start time of this JVM on the monotonic clock.
  *
- * <p>A replica that starts again must not vote while a leader that it has forgotten may hold a lease by what its former
- * life answered. That life ended before this program began, so the wait counts from here: most of it is over once the
- * replica is up, and a group of which all processes were killed at once has a leader that much sooner.
+ * <p>A restarted replica must not vote while a leader unknown to it may still hold a lease that an answer of the
+ * replica's previous run granted. The previous run ended before this JVM started, so the waiting time counts from the
+ * start of the JVM: most of it has passed once the replica is up, and a group whose processes were all killed at once
+ * elects a leader correspondingly earlier.
  */
 public final class ProcessStart {
 
-    private static final long BEGAN = System.nanoTime();
-    private static final AtomicBoolean TAKEN = new AtomicBoolean();
+    private static final long START_NANOS = System.nanoTime();
+    private static final AtomicBoolean CLAIMED = new AtomicBoolean();
 
     private ProcessStart() {}
 
-    /** Takes the time, if that was not done yet; to be called before anything else. */
+    /** Records the start time, unless already recorded. Must be called first in the main method. */
     public static void recordStartTime() {
-        // Loading this class has taken it.
+        // The static initializer of this class reads the clock.
     }
 
     /**
-     * The time since which no former life of a process that starts now has said anything.
+     * Returns a time by which any previous run of the process that is being started had ended. Only the first process
+     * started in a JVM may use the start of the JVM: a later one may replace a process that ran in the same JVM.
      *
-     * @return the begin of this program for the first process in it, now for all others
+     * @return the start time of the JVM on the first call, the current time on every other call, in nanoseconds of
+     *     {@link System#nanoTime()}
      */
     static long previousRunEndedByNanos() {
-        return TAKEN.compareAndSet(false, true) ? BEGAN : System.nanoTime();
+        return CLAIMED.compareAndSet(false, true) ? START_NANOS : System.nanoTime();
     }
 }
--- a/src/main/java/org/cuminshelf/process/RateLimitedDecisionLog.java
+++ b/src/main/java/org/cuminshelf/process/RateLimitedDecisionLog.java
@@ -6,27 +6,27 @@
 import org.tinylog.Logger;
 
 /**
- * Decisions as lines of names and values. Guards against a burst that fills the log and takes the processor from the
- * requests themselves: lines are bounded each second, those on the ordinary end of requests first, and what was left
- * out is counted in a line of its own. The lines are written by the log's own thread.
+ * Logs decisions as lines of key-value pairs. Guards against bursts that fill the log and take CPU time from the
+ * requests: the number of lines per second is limited, with a much lower limit for normally completed requests. A
+ * separate line reports how many other lines were dropped. The thread of the logging library does the writing.
  */
 final class RateLimitedDecisionLog implements DecisionLog {
 
-    /** Lines a second on failures and beliefs; some 20 KB, a hundredth of what a small VM's link carries. */
-    private static final int MOST_NOTES = 150;
-    /** Lines a second on requests that ended as they should: enough to see the usual, at 0.1 ms of processor each. */
-    private static final int MOST_ORDINARY = 5;
+    /** Limit for failures and upstream state; some 20 KB per second, 1/100 of the network bandwidth of a small VM. */
+    private static final int MAX_EVENT_LINES_PER_SECOND = 150;
+    /** Limit for normally completed requests: a sufficient sample, at 0.1 ms of CPU time per line. */
+    private static final int MAX_COMPLETION_LINES_PER_SECOND = 5;
 
-    private static final int TYPICAL_LINE = 160;
+    private static final int TYPICAL_LINE_LENGTH = 160;
 
     private static final String REQUEST = "request";
 
     private final String prefix;
     private final DecisionMetrics metrics;
-    private final AtomicLong dropped = new AtomicLong();
-    private long second;
-    private int notes;
-    private int ordinary;
+    private final AtomicLong droppedLines = new AtomicLong();
+    private long currentSecond;
+    private int eventLines;
+    private int completionLines;
 
     private RateLimitedDecisionLog(String prefix, DecisionMetrics metrics) {
         this.prefix = prefix;
@@ -39,40 +39,40 @@
 
     @Override
     public synchronized void note(String kind, String id, Object... fields) {
-        metrics.count(kind, fields);
-        turnSecond();
-        if (notes++ < MOST_NOTES) {
+        metrics.record(kind, fields);
+        startSecondIfElapsed();
+        if (eventLines++ < MAX_EVENT_LINES_PER_SECOND) {
             write(kind, id, fields);
         } else {
-            dropped.incrementAndGet();
+            droppedLines.incrementAndGet();
         }
     }
 
     @Override
     public synchronized void noteCompletion(String id, Object... fields) {
-        metrics.count(REQUEST, fields);
-        turnSecond();
-        if (ordinary++ < MOST_ORDINARY) {
+        metrics.record(REQUEST, fields);
+        startSecondIfElapsed();
+        if (completionLines++ < MAX_COMPLETION_LINES_PER_SECOND) {
             write(REQUEST, id, fields);
         }
     }
 
-    private void turnSecond() {
+    private void startSecondIfElapsed() {
         long now = TimeUnit.NANOSECONDS.toSeconds(System.nanoTime());
-        if (now == second) {
+        if (now == currentSecond) {
             return;
         }
-        second = now;
-        notes = 0;
-        ordinary = 0;
-        long lost = dropped.getAndSet(0);
-        if (lost > 0) {
-            Logger.warn("{}event=lines-dropped count={}", prefix, lost);
+        currentSecond = now;
+        eventLines = 0;
+        completionLines = 0;
+        long droppedCount = droppedLines.getAndSet(0);
+        if (droppedCount > 0) {
+            Logger.warn("{}event=lines-dropped count={}", prefix, droppedCount);
         }
     }
 
     private void write(String kind, String id, Object... fields) {
-        StringBuilder line = new StringBuilder(TYPICAL_LINE);
+        StringBuilder line = new StringBuilder(TYPICAL_LINE_LENGTH);
         line.append(prefix).append("event=").append(kind).append(" id=").append(id);
         for (int index = 0; index + 1 < fields.length; index += 2) {
             String value = String.valueOf(fields[index + 1]);
--- a/src/main/java/org/cuminshelf/process/ServingProcess.java
+++ b/src/main/java/org/cuminshelf/process/ServingProcess.java
@@ -4,14 +4,14 @@
 public interface ServingProcess extends AutoCloseable {
 
     /**
-     * Leaves, finishes what it has accepted, and closes.
+     * Stops accepting work, finishes the accepted work within the grace period, and closes.
      *
-     * @return whether everything was finished in time
+     * @return whether all accepted work was finished in time
      * @throws InterruptedException if the wait is interrupted
      */
     boolean stopGracefully() throws InterruptedException;
 
-    /** Ends at once. */
+    /** Closes at once, without finishing accepted work. */
     @Override
     void close();
 }
--- a/src/main/java/org/cuminshelf/process/SidecarProcess.java
+++ b/src/main/java/org/cuminshelf/process/SidecarProcess.java
@@ -21,95 +21,96 @@
 import org.cuminshelf.upstream.Upstream;
 import org.cuminshelf.verdict.Verdict;
 
-/** A sidecar as it runs: its core, its messages and its upstream. */
+/** A running sidecar: the core, its network and the connection to its upstream. */
 public final class SidecarProcess implements ServingProcess {
 
     private static final int NETWORK_THREADS = 1;
 
-    private final ProcessRuntime frame;
+    private final ProcessRuntime runtime;
     private final Upstream upstream;
 
-    private SidecarProcess(ProcessRuntime frame, Upstream upstream) {
-        this.frame = frame;
+    private SidecarProcess(ProcessRuntime runtime, Upstream upstream) {
+        this.runtime = runtime;
         this.upstream = upstream;
     }
 
     /**
      * Starts a sidecar.
      *
-     * @param common     what every process is told
-     * @param settings   what a sidecar is told
-     * @param base       where the upstream listens
-     * @param healthPath path of a plain service that answers below 500 while it is well
+     * @param common      the common settings
+     * @param settings    the settings of a sidecar
+     * @param upstreamUri base URI of the upstream
+     * @param healthPath  health check path of an upstream that isn't an engine; healthy if the status is below 500
      * @return the running sidecar
-     * @throws IOException if an address or a file can't be used
+     * @throws IOException if an address or a file cannot be used
      */
-    public static SidecarProcess start(CommonSettings common, SidecarSettings settings, URI base, String healthPath)
-            throws IOException {
-        ProcessRuntime frame = ProcessRuntime.open("sidecar", common, NETWORK_THREADS);
+    public static SidecarProcess start(
+            CommonSettings common, SidecarSettings settings, URI upstreamUri, String healthPath) throws IOException {
+        ProcessRuntime runtime = ProcessRuntime.open("sidecar", common, NETWORK_THREADS);
         try {
-            CoreRunner runner = frame.run(opened -> SidecarCore.start(
+            CoreRunner runner = runtime.createRunner(opened -> SidecarCore.start(
                     settings, opened.incarnation(), System.nanoTime(), opened.random(), opened.invariants()));
-            HopSpans hops = new HopSpans(frame.spans(), message -> runner.offer(Address.UPSTREAM, message));
+            UpstreamSpans upstreamSpans =
+                    new UpstreamSpans(runtime.spans(), message -> runner.offer(Address.UPSTREAM, message));
             Upstream upstream = settings.kind() == UpstreamKind.UPSTREAM_ENGINE
-                    ? EngineUpstream.watch(base, settings.slots(), hops)
-                    : ServiceUpstream.watch(base, healthPath, settings.slots(), hops);
-            runner.port(Address.UPSTREAM, message -> upstream.handle(hops.started(message)));
-            frame.listen();
-            return new SidecarProcess(frame, upstream);
+                    ? EngineUpstream.watch(upstreamUri, settings.slots(), upstreamSpans)
+                    : ServiceUpstream.watch(upstreamUri, healthPath, settings.slots(), upstreamSpans);
+            runner.registerPort(Address.UPSTREAM, message -> upstream.handle(upstreamSpans.startSpan(message)));
+            runtime.start();
+            return new SidecarProcess(runtime, upstream);
         } catch (IOException e) {
-            frame.close();
+            runtime.close();
             throw e;
         }
     }
 
     /**
-     * Bytes and messages to and from other processes.
+     * Returns the counters of messages and bytes exchanged with other processes.
      *
-     * @return the counts
+     * @return the counters
      */
     public org.cuminshelf.network.TrafficCounters traffic() {
-        return frame.network().traffic();
+        return runtime.network().traffic();
     }
 
     @Override
     public boolean stopGracefully() throws InterruptedException {
-        boolean finished = frame.stopGracefully();
+        boolean finished = runtime.stopGracefully();
         close();
         return finished;
     }
 
     @Override
     public void close() {
-        frame.close();
+        runtime.close();
         upstream.close();
     }
 
-    /** Records the hop from the sidecar to its upstream for each attempt. */
-    private static final class HopSpans implements Consumer<Envelope.Builder> {
+    /** Records a client span from the sidecar to its upstream for each attempt. */
+    private static final class UpstreamSpans implements Consumer<Envelope.Builder> {
 
         private final Spans spans;
         private final Consumer<Envelope.Builder> core;
-        private final Map<Long, Span> open = new ConcurrentHashMap<>();
+        private final Map<Long, Span> openSpans = new ConcurrentHashMap<>();
 
-        private HopSpans(Spans spans, Consumer<Envelope.Builder> core) {
+        private UpstreamSpans(Spans spans, Consumer<Envelope.Builder> core) {
             this.spans = spans;
             this.core = core;
         }
 
-        private Envelope started(Envelope message) {
+        private Envelope startSpan(Envelope message) {
             if (!message.hasStartUpstream()) {
                 return message;
             }
             StartUpstream start = message.getStartUpstream();
-            String target = start.hasGeneration()
+            String targetName = start.hasGeneration()
                     ? start.getGeneration().getModel()
                     : start.getExchange().getService();
-            Span span = spans.start("sidecar " + target, SpanKind.CLIENT, start.getTraceParent());
-            open.put(start.getAttempt(), span);
-            String next = Spans.traceParent(span, start.getTraceParent());
+            Span span = spans.start("sidecar " + targetName, SpanKind.CLIENT, start.getTraceParent());
+            openSpans.put(start.getAttempt(), span);
+            String traceParent = Spans.traceParent(span, start.getTraceParent());
             return message.toBuilder()
-                    .setStartUpstream(start.toBuilder().setTraceParent(next))
+                    .setStartUpstream(start.toBuilder().setTraceParent(traceParent))
                     .build();
         }
 
@@ -117,7 +118,7 @@
         public void accept(Envelope.Builder message) {
             if (message.hasUpstreamEnd()) {
                 UpstreamEnd end = message.getUpstreamEnd();
-                Span span = open.remove(end.getAttempt());
+                Span span = openSpans.remove(end.getAttempt());
                 if (span != null) {
                     String verdict = Verdict.of(end.getRan(), end.getCause(), 0).label();
                     Spans.end(span, verdict, end.getCause() != Cause.CAUSE_NONE);
--- a/src/main/java/org/cuminshelf/process/StorageThread.java
+++ b/src/main/java/org/cuminshelf/process/StorageThread.java
@@ -16,19 +16,19 @@
 import org.tinylog.Logger;
 
 /**
- * Writes what the replicas persist. Everything that arrived while one sync ran is written before the next, so that one
- * sync serves many entries (group commit).
+ * Writes the log records of the replicas to disk. Requests that arrive during a sync are written together before the
+ * next one, so a single sync covers many entries (group commit).
  *
- * <p>A failed sync is fatal and never retried: the system may have dropped the pages, and a second sync would report
- * success for bytes that are lost.
+ * <p>A failed sync is fatal and never retried: the operating system may have dropped the dirty pages, and a second sync
+ * would report success for lost bytes.
  */
 public final class StorageThread implements AutoCloseable {
 
     private static final String LOG = "storage: ";
-    private static final int MOST_AT_ONCE = 1_024;
+    private static final int MAX_DRAINED_REQUESTS = 1_024;
 
     private final Map<String, GroupLog> logs;
-    private final Consumer<Envelope> answers;
+    private final Consumer<Envelope> onPersisted;
     private final Runnable onFailure;
     private final boolean groupCommit;
     private final LinkedBlockingQueue<Persist> queue = new LinkedBlockingQueue<>();
@@ -36,17 +36,17 @@
     private volatile boolean running = true;
 
     /**
-     * Makes the thread; nothing runs before {@link #start()}.
+     * Creates the thread, which is idle until {@link #start()}.
      *
-     * @param logs        the log of each group
-     * @param answers     takes what was persisted
-     * @param onFailure   ends the process; called once
-     * @param groupCommit whether one sync may serve many entries; off only to measure what it saves
+     * @param logs        the log of each group, by group name; closed with this thread
+     * @param onPersisted receives a {@link Persisted} message per group after each sync, on this thread
+     * @param onFailure   called once when a write or sync fails; must end the process
+     * @param groupCommit whether one sync may cover many entries; {@code false} only in benchmarks
      */
     public StorageThread(
-            Map<String, GroupLog> logs, Consumer<Envelope> answers, Runnable onFailure, boolean groupCommit) {
+            Map<String, GroupLog> logs, Consumer<Envelope> onPersisted, Runnable onFailure, boolean groupCommit) {
         this.logs = new HashMap<>(logs);
-        this.answers = answers;
+        this.onPersisted = onPersisted;
         this.onFailure = onFailure;
         this.groupCommit = groupCommit;
     }
@@ -57,9 +57,9 @@
     }
 
     /**
-     * Queues what a core persists.
+     * Queues a request of a core to persist log records. May be called from any thread.
      *
-     * @param message a message that carries a {@link Persist}
+     * @param message a message whose body is a {@link Persist}
      */
     public void offer(Envelope message) {
         queue.add(message.getPersist());
@@ -86,19 +86,19 @@
                 batch.clear();
                 batch.add(queue.take());
                 if (groupCommit) {
-                    queue.drainTo(batch, MOST_AT_ONCE);
+                    queue.drainTo(batch, MAX_DRAINED_REQUESTS);
                 }
                 write(batch);
             }
-        } catch (InterruptedException end) {
+        } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         } catch (IOException e) {
-            Logger.error(LOG + "A write or sync failed; this replica stops: {}.", e.getMessage());
+            Logger.error(LOG + "Writing or syncing a replication log failed; the process stops: {}.", e.getMessage());
             onFailure.run();
         }
     }
 
-    private static void writeSingly(GroupLog log, Persist persist) throws IOException {
+    private static void syncEachRecord(GroupLog log, Persist persist) throws IOException {
         for (LogRecord record : persist.getRecordsList()) {
             log.write(List.of(record));
             log.sync();
@@ -106,20 +106,20 @@
     }
 
     private void write(List<Persist> batch) throws IOException {
-        Map<String, Long> last = new HashMap<>();
+        Map<String, Long> lastSequences = new HashMap<>();
         for (Persist persist : batch) {
             GroupLog log = logs.get(persist.getGroup());
             if (groupCommit) {
                 log.write(persist.getRecordsList());
             } else {
-                writeSingly(log, persist);
+                syncEachRecord(log, persist);
             }
-            last.put(persist.getGroup(), persist.getSequence());
+            lastSequences.put(persist.getGroup(), persist.getSequence());
         }
-        for (String group : last.keySet()) {
+        for (String group : lastSequences.keySet()) {
             logs.get(group).sync();
         }
-        last.forEach((group, sequence) -> answers.accept(Envelope.newBuilder()
+        lastSequences.forEach((group, sequence) -> onPersisted.accept(Envelope.newBuilder()
                 .setFrom(Address.STORAGE.value())
                 .setPersisted(Persisted.newBuilder().setGroup(group).setSequence(sequence))
                 .build()));
--- a/src/main/java/org/cuminshelf/process/package-info.java
+++ b/src/main/java/org/cuminshelf/process/package-info.java
@@ -1,4 +1,4 @@
 /**
- * What runs a core as a process: its thread, its clock, its storage, its local ports, and the graceful stop.
+ * Runs cores as processes: provides their threads, clock, storage and local ports, and the graceful stop.
  */
 package org.cuminshelf.process;
--- a/src/test/java/org/cuminshelf/process/DecisionMetricsTest.java
+++ b/src/test/java/org/cuminshelf/process/DecisionMetricsTest.java
@@ -8,44 +8,44 @@
 import java.util.List;
 import net.jqwik.api.Example;
 
-/** What the metrics tell of decisions. */
+/** Tests the counters of {@link DecisionMetrics}. */
 class DecisionMetricsTest {
 
     private final PrometheusRegistry registry = new PrometheusRegistry();
     private final DecisionMetrics metrics = DecisionMetrics.register(registry);
 
-    private List<CounterSnapshot.CounterDataPointSnapshot> organisations() {
+    private List<CounterSnapshot.CounterDataPointSnapshot> organisationPoints() {
         return registry.scrape().stream()
-                .filter(one -> one.getMetadata().getName().equals("cuminshelf_organisation_requests"))
-                .flatMap(one -> ((CounterSnapshot) one).getDataPoints().stream())
+                .filter(snapshot -> snapshot.getMetadata().getName().equals("cuminshelf_organisation_requests"))
+                .flatMap(snapshot -> ((CounterSnapshot) snapshot).getDataPoints().stream())
                 .toList();
     }
 
-    private double count(String organisation, String answered) {
+    private double countOf(String organisation, String answered) {
         Labels labels = Labels.of("organisation", organisation, "answered", answered);
-        return organisations().stream()
+        return organisationPoints().stream()
                 .filter(point -> point.getLabels().equals(labels))
                 .mapToDouble(CounterSnapshot.CounterDataPointSnapshot::getValue)
                 .sum();
     }
 
     @Example
-    void anOrganisationsRequestsAreCountedByWhetherTheyWereAnswered() {
-        metrics.count("request", "outcome", 200, "organisation", "acme");
-        metrics.count("request", "outcome", "not-run", "organisation", "acme");
-        metrics.count("request", "outcome", 500, "organisation", "acme");
-        metrics.count("attempt", "outcome", "broken", "organisation", "acme");
-        assertThat(count("acme", "true")).isEqualTo(1);
-        assertThat(count("acme", "false")).isEqualTo(2);
+    void requestsOfAnOrganisationAreCountedByWhetherTheyWereAnswered() {
+        metrics.record("request", "outcome", 200, "organisation", "acme");
+        metrics.record("request", "outcome", "not-run", "organisation", "acme");
+        metrics.record("request", "outcome", 500, "organisation", "acme");
+        metrics.record("attempt", "outcome", "broken", "organisation", "acme");
+        assertThat(countOf("acme", "true")).isEqualTo(1);
+        assertThat(countOf("acme", "false")).isEqualTo(2);
     }
 
-    /* The page of metrics grows without bound on a deployment of many thousand organisations. */
+    /* Guards against a metrics page that grows without bound on a deployment with many thousand organisations. */
     @Example
-    void onlySoManyOrganisationsHaveACountOfTheirOwn() {
-        for (int number = 0; number < 2_000; number++) {
-            metrics.count("request", "outcome", 200, "organisation", "o" + number);
+    void organisationsBeyondTheLimitShareOneCounter() {
+        for (int index = 0; index < 2_000; index++) {
+            metrics.record("request", "outcome", 200, "organisation", "o" + index);
         }
-        assertThat(organisations()).hasSize(501);
-        assertThat(count("(others)", "true")).isEqualTo(1_500);
+        assertThat(organisationPoints()).hasSize(501);
+        assertThat(countOf("(others)", "true")).isEqualTo(1_500);
     }
 }
--- a/src/test/java/org/cuminshelf/process/ProcessStartTest.java
+++ b/src/test/java/org/cuminshelf/process/ProcessStartTest.java
@@ -4,14 +4,17 @@
 
 import net.jqwik.api.Example;
 
-/** Since when a process is known to have said nothing before. */
+/** Tests the time by which a previous run of a process had ended. */
 class ProcessStartTest {
 
-    /* Two lives of one process in one program: the first may have answered a leader until the second began. */
+    /*
+     * A process is restarted within one JVM. Its first run may have granted a lease to a leader until the second run
+     * started, so the start of the JVM is too early for the second run.
+     */
     @Example
-    void onlyTheFirstProcessOfAProgramBeganWithIt() {
+    void onlyTheFirstProcessOfAJvmCountsFromTheStartOfTheJvm() {
         ProcessStart.previousRunEndedByNanos();
-        long before = System.nanoTime();
-        assertThat(ProcessStart.previousRunEndedByNanos()).isGreaterThanOrEqualTo(before);
+        long beforeSecondCallNanos = System.nanoTime();
+        assertThat(ProcessStart.previousRunEndedByNanos()).isGreaterThanOrEqualTo(beforeSecondCallNanos);
     }
 }
