--- a/src/main/java/org/cuminshelf/network/EnvelopeDecoder.java
+++ b/src/main/java/org/cuminshelf/network/EnvelopeDecoder.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import org.cuminshelf.message.Envelope;
 
-/** Turns the content of frames into messages; an empty frame is a heartbeat. */
+/** Decodes the payload of frames into messages. An empty frame is a heartbeat, decoded to an empty message. */
 final class EnvelopeDecoder extends MessageToMessageDecoder<ByteBuf> {
 
     @Override
--- a/src/main/java/org/cuminshelf/network/EnvelopeEncoder.java
+++ b/src/main/java/org/cuminshelf/network/EnvelopeEncoder.java
@@ -9,8 +9,8 @@
 import org.cuminshelf.message.Envelope;
 
 /**
- * Turns messages into frames: a four-byte length and the protobuf form. Netty's own protobuf handlers need the full
- * protobuf runtime; the lite one saves memory in sidecars.
+ * Encodes messages as frames: a four-byte length followed by the serialized protobuf message. Replaces the protobuf
+ * handlers of Netty, which need the full protobuf runtime; the lite runtime saves memory in sidecars.
  */
 final class EnvelopeEncoder extends MessageToByteEncoder<Envelope> {
 
--- a/src/main/java/org/cuminshelf/network/OutboundConnection.java
+++ b/src/main/java/org/cuminshelf/network/OutboundConnection.java
@@ -13,21 +13,24 @@
 import org.cuminshelf.message.Envelope;
 import org.tinylog.Logger;
 
-/** The sending side of a connection to one other process. */
+/**
+ * The outgoing connection to one other process. Connects on the first message; messages sent meanwhile are queued up to
+ * {@link #MAX_QUEUED_MESSAGES}, beyond which the oldest is discarded.
+ */
 final class OutboundConnection {
 
     private static final String LOG = "network: ";
-    private static final int MOST_WAITING = 10_000;
+    private static final int MAX_QUEUED_MESSAGES = 10_000;
     private static final long NANOS_PER_MILLI = 1_000_000;
 
     private final TcpNetwork network;
     private final Address to;
-    private final Deque<Envelope> waiting = new ArrayDeque<>();
+    private final Deque<Envelope> queued = new ArrayDeque<>();
     private Channel channel;
     private boolean connecting;
-    private long connectedAt;
-    private volatile long echoAt;
-    private long usedAt = System.nanoTime();
+    private long connectedNanos;
+    private volatile long lastEchoNanos;
+    private long lastSendNanos = System.nanoTime();
     private ScheduledFuture<?> heartbeat;
 
     OutboundConnection(TcpNetwork network, Address to) {
@@ -39,33 +42,33 @@
         return to;
     }
 
-    synchronized void send(Envelope message, boolean fresh) {
-        usedAt = System.nanoTime();
-        if (fresh && channel != null && !showedLife(usedAt)) {
-            Logger.debug(LOG + "A connection to {} showed no life; a new one is opened.", to);
-            drop();
+    synchronized void send(Envelope message, boolean requireRecentEcho) {
+        lastSendNanos = System.nanoTime();
+        if (requireRecentEcho && channel != null && !hasRecentEcho(lastSendNanos)) {
+            Logger.debug(LOG + "No recent heartbeat echo from {}; opening a new connection.", to);
+            disconnect();
         }
         if (channel != null && channel.isActive()) {
             channel.writeAndFlush(message, channel.voidPromise());
             return;
         }
-        if (waiting.size() >= MOST_WAITING) {
-            waiting.poll();
+        if (queued.size() >= MAX_QUEUED_MESSAGES) {
+            queued.poll();
         }
-        waiting.add(message);
+        queued.add(message);
         connect();
     }
 
     synchronized void close() {
-        drop();
-        waiting.clear();
+        disconnect();
+        queued.clear();
     }
 
-    ChannelHandler echoes() {
+    ChannelHandler echoHandler() {
         return new SimpleChannelInboundHandler<Envelope>() {
             @Override
             protected void channelRead0(ChannelHandlerContext context, Envelope message) {
-                echoAt = System.nanoTime();
+                lastEchoNanos = System.nanoTime();
             }
 
             @Override
@@ -75,15 +78,15 @@
 
             @Override
             public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-                Logger.debug(LOG + "The connection to {} ends: {}.", to, cause.getMessage());
+                Logger.debug(LOG + "Closing the connection to {} after an error: {}.", to, cause.getMessage());
                 context.close();
             }
         };
     }
 
-    private boolean showedLife(long now) {
-        long since = now - Math.max(echoAt, connectedAt);
-        return since <= TcpNetwork.FRESH_WITHIN_MILLIS * NANOS_PER_MILLI;
+    private boolean hasRecentEcho(long now) {
+        long ageNanos = now - Math.max(lastEchoNanos, connectedNanos);
+        return ageNanos <= TcpNetwork.MAX_ECHO_AGE_MILLIS * NANOS_PER_MILLI;
     }
 
     private void connect() {
@@ -91,64 +94,67 @@
             return;
         }
         connecting = true;
-        ChannelFuture future = network.connector(this).connect(TcpNetwork.socketAddress(to));
-        future.addListener(done -> onConnected(future));
+        ChannelFuture future = network.bootstrapFor(this).connect(TcpNetwork.socketAddress(to));
+        future.addListener(completed -> onConnected(future));
     }
 
     private synchronized void onConnected(ChannelFuture future) {
         connecting = false;
         if (!future.isSuccess()) {
-            // What waited is lost, as a message on a broken connection is; the cores ask again.
-            waiting.clear();
-            network.forget(this);
+            // Queued messages are lost like those on a broken connection; the cores retry.
+            queued.clear();
+            network.removeConnection(this);
             return;
         }
         channel = future.channel();
-        connectedAt = System.nanoTime();
-        echoAt = connectedAt;
-        while (!waiting.isEmpty()) {
-            channel.write(waiting.poll(), channel.voidPromise());
+        connectedNanos = System.nanoTime();
+        lastEchoNanos = connectedNanos;
+        while (!queued.isEmpty()) {
+            channel.write(queued.poll(), channel.voidPromise());
         }
         channel.flush();
         heartbeat = channel.eventLoop()
                 .scheduleAtFixedRate(
-                        this::beat, TcpNetwork.HEARTBEAT_MILLIS, TcpNetwork.HEARTBEAT_MILLIS, TimeUnit.MILLISECONDS);
+                        this::sendHeartbeat,
+                        TcpNetwork.HEARTBEAT_INTERVAL_MILLIS,
+                        TcpNetwork.HEARTBEAT_INTERVAL_MILLIS,
+                        TimeUnit.MILLISECONDS);
     }
 
-    private synchronized void beat() {
+    private synchronized void sendHeartbeat() {
         long now = System.nanoTime();
         if (channel == null) {
             return;
         }
-        boolean silent = now - echoAt > TcpNetwork.SILENT_MILLIS * NANOS_PER_MILLI;
-        boolean idle = now - usedAt > TcpNetwork.IDLE_MILLIS * NANOS_PER_MILLI;
-        if (silent) {
-            Logger.info(LOG + "The connection to {} went silent and is closed.", to);
+        boolean echoTimedOut = now - lastEchoNanos > TcpNetwork.ECHO_TIMEOUT_MILLIS * NANOS_PER_MILLI;
+        boolean idle = now - lastSendNanos > TcpNetwork.IDLE_TIMEOUT_MILLIS * NANOS_PER_MILLI;
+        if (echoTimedOut) {
+            Logger.info(LOG + "No heartbeat echo from {}; closing the connection.", to);
         }
-        if (silent || idle) {
-            drop();
-            network.forget(this);
+        if (echoTimedOut || idle) {
+            disconnect();
+            network.removeConnection(this);
             return;
         }
         channel.writeAndFlush(Envelope.getDefaultInstance(), channel.voidPromise());
     }
 
-    private synchronized void onInactive(Channel ended) {
-        if (channel == ended) {
-            drop();
-            network.forget(this);
+    private synchronized void onInactive(Channel closedChannel) {
+        if (channel == closedChannel) {
+            disconnect();
+            network.removeConnection(this);
         }
     }
 
-    private void drop() {
+    private void disconnect() {
         if (heartbeat != null) {
             heartbeat.cancel(false);
             heartbeat = null;
         }
         if (channel != null) {
-            Channel old = channel;
+            Channel oldChannel = channel;
             channel = null;
-            old.close();
+            oldChannel.close();
         }
     }
 }
--- a/src/main/java/org/cuminshelf/network/ReloadingTlsContext.java
+++ b/src/main/java/org/cuminshelf/network/ReloadingTlsContext.java
@@ -9,22 +9,23 @@
 import org.tinylog.Logger;
 
 /**
- * The PEM files for connections between the processes: own certificate chain, own key, and the authority that both
- * ends must be signed by. They are looked at again when a connection is made, so that renewed files are taken without
- * cutting any; files that can't be read leave the last good ones in force.
+ * Mutual TLS for connections between the processes, from three PEM files: the certificate chain and private key of this
+ * process, and the certificate authority that must have signed both ends. The files are checked for changes when a
+ * connection is made, at most once a second, so renewed certificates take effect for new connections and interrupt no
+ * existing one. If changed files cannot be loaded, the last valid ones remain in use.
  */
 public final class ReloadingTlsContext {
 
     private static final String LOG = "tls: ";
-    private static final long LOOK_AGAIN_NANOS = 1_000_000_000L;
+    private static final long CHECK_INTERVAL_NANOS = 1_000_000_000L;
 
     private final Path certificate;
     private final Path key;
     private final Path authority;
     private SslContext server;
     private SslContext client;
-    private long stamp;
-    private long lookedAt;
+    private long fingerprint;
+    private long lastCheckNanos;
 
     private ReloadingTlsContext(Path certificate, Path key, Path authority) {
         this.certificate = certificate;
@@ -33,18 +34,18 @@
     }
 
     /**
-     * Reads the files.
+     * Loads the files.
      *
      * @param certificate the certificate chain
      * @param key         the private key in PKCS#8
-     * @param authority   the certificate of the authority
-     * @return the files
-     * @throws IOException if one can't be read
+     * @param authority   the certificate of the certificate authority
+     * @return the context
+     * @throws IOException if a file cannot be read or is not valid PEM
      */
     public static ReloadingTlsContext read(Path certificate, Path key, Path authority) throws IOException {
-        ReloadingTlsContext files = new ReloadingTlsContext(certificate, key, authority);
-        files.load();
-        return files;
+        ReloadingTlsContext context = new ReloadingTlsContext(certificate, key, authority);
+        context.load();
+        return context;
     }
 
     synchronized SslContext serverContext() {
@@ -59,27 +60,29 @@
 
     private void reloadIfChanged() {
         long now = System.nanoTime();
-        if (now - lookedAt < LOOK_AGAIN_NANOS) {
+        if (now - lastCheckNanos < CHECK_INTERVAL_NANOS) {
             return;
         }
-        lookedAt = now;
+        lastCheckNanos = now;
         try {
-            if (stamp() != stamp) {
+            if (fingerprint() != fingerprint) {
                 load();
-                Logger.info(LOG + "The certificate files were read again.");
+                Logger.info(LOG + "Reloaded the certificate files.");
             }
         } catch (IOException e) {
-            Logger.warn(LOG + "Changed certificate files can't be used; the earlier ones stay: {}.", e.getMessage());
+            Logger.warn(
+                    LOG + "Failed to load the changed certificate files; keeping the previous ones: {}.",
+                    e.getMessage());
         }
     }
 
     private void load() throws IOException {
         for (Path file : java.util.List.of(certificate, key, authority)) {
             if (!Files.isReadable(file)) {
-                throw new IOException(file + ": can't be read; name a readable PEM file");
+                throw new IOException(file + ": cannot be read; specify a readable PEM file");
             }
         }
-        long newStamp = stamp();
+        long newFingerprint = fingerprint();
         try {
             SslContext newServer = SslContextBuilder.forServer(certificate.toFile(), key.toFile())
                     .trustManager(authority.toFile())
@@ -91,14 +94,16 @@
                     .endpointIdentificationAlgorithm(null)
                     .build();
             server = newServer;
-            stamp = newStamp;
+            fingerprint = newFingerprint;
         } catch (IllegalArgumentException e) {
             throw new IOException(
-                    certificate + " and " + key + ": not a PEM certificate with its PKCS#8 key: " + e.getMessage(), e);
+                    certificate + " and " + key + ": not a PEM certificate and its PKCS#8 private key: "
+                            + e.getMessage(),
+                    e);
         }
     }
 
-    private long stamp() throws IOException {
+    private long fingerprint() throws IOException {
         return Files.getLastModifiedTime(certificate).toMillis() * 31
                 + Files.getLastModifiedTime(key).toMillis() * 17
                 + Files.getLastModifiedTime(authority).toMillis();
--- a/src/main/java/org/cuminshelf/network/TcpNetwork.java
+++ b/src/main/java/org/cuminshelf/network/TcpNetwork.java
@@ -26,41 +26,42 @@
 import org.tinylog.Logger;
 
 /**
- * Messages over TCP. Each process listens on its address; a process that has something to send keeps one connection to
- * the receiver's listening address, and the receiver answers over a connection of its own.
+ * Sends and receives messages over TCP. Each process listens on its address. A sender keeps one connection to the
+ * listening address of a receiver, and the receiver answers over a connection of its own.
  *
- * <p>Failure it guards against: something between the two ends loses track of a connection, which then stays open and
- * silent for good. Every second each connection carries a heartbeat that the receiver echoes; one without an echo for
- * {@link #SILENT_MILLIS} is closed, and a fresh send leaves it behind even sooner.
+ * <p>Guards against network equipment that drops the state of a connection, which then stays open but delivers nothing.
+ * Each connection carries a heartbeat every second, which the receiver echoes. A connection without an echo for
+ * {@link #ECHO_TIMEOUT_MILLIS} is closed; a send that requires a recent echo already replaces it after
+ * {@link #MAX_ECHO_AGE_MILLIS}.
  */
 public final class TcpNetwork implements Network, AutoCloseable {
 
-    static final int LARGEST_MESSAGE = 64 << 20;
-    static final long HEARTBEAT_MILLIS = 1_000;
-    static final long SILENT_MILLIS = 3_000;
-    static final long FRESH_WITHIN_MILLIS = 1_300;
-    static final long IDLE_MILLIS = 60_000;
+    static final int MAX_MESSAGE_BYTES = 64 << 20;
+    static final long HEARTBEAT_INTERVAL_MILLIS = 1_000;
+    static final long ECHO_TIMEOUT_MILLIS = 3_000;
+    static final long MAX_ECHO_AGE_MILLIS = 1_300;
+    static final long IDLE_TIMEOUT_MILLIS = 60_000;
 
     private static final String LOG = "network: ";
     private static final int LENGTH_BYTES = 4;
-    private static final int CONNECT_MILLIS = 1_000;
+    private static final int CONNECT_TIMEOUT_MILLIS = 1_000;
 
-    private final EventLoopGroup loops;
+    private final EventLoopGroup eventLoops;
     private final Optional<ReloadingTlsContext> tls;
-    private final Map<Address, OutboundConnection> links = new ConcurrentHashMap<>();
+    private final Map<Address, OutboundConnection> connections = new ConcurrentHashMap<>();
     private final TrafficCounters traffic = new TrafficCounters();
     private Channel listener;
 
     private TcpNetwork(int threads, Optional<ReloadingTlsContext> tls) {
-        this.loops = new MultiThreadIoEventLoopGroup(threads, NioIoHandler.newFactory());
+        this.eventLoops = new MultiThreadIoEventLoopGroup(threads, NioIoHandler.newFactory());
         this.tls = tls;
     }
 
     /**
-     * Makes a network that only sends until {@link #listen} is called.
+     * Creates a network that only sends until {@link #listen} is called.
      *
-     * @param threads event loop threads
-     * @param tls     keys and certificates, or nothing where connections stay in the clear
+     * @param threads number of event loop threads
+     * @param tls     TLS context of both directions, or empty for unencrypted connections
      * @return the network
      */
     public static TcpNetwork open(int threads, Optional<ReloadingTlsContext> tls) {
@@ -68,15 +69,15 @@
     }
 
     /**
-     * Listens for messages.
+     * Starts listening for messages.
      *
-     * @param address  the own address
-     * @param receiver takes each message, on an event loop thread
-     * @throws IOException if the address can't be used
+     * @param address  the address to listen on
+     * @param receiver receives each message, on an event loop thread
+     * @throws IOException if the process cannot listen on the address
      */
     public void listen(Address address, Consumer<Envelope> receiver) throws IOException {
         ServerBootstrap bootstrap = new ServerBootstrap()
-                .group(loops)
+                .group(eventLoops)
                 .channel(NioServerSocketChannel.class)
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childHandler(new ChannelInitializer<SocketChannel>() {
@@ -86,7 +87,7 @@
                             channel.pipeline().addLast(tls.get().serverContext().newHandler(channel.alloc()));
                         }
                         addCodec(channel);
-                        channel.pipeline().addLast(new Receiver(receiver));
+                        channel.pipeline().addLast(new InboundHandler(receiver));
                     }
                 });
         try {
@@ -96,20 +97,22 @@
             throw new IOException("interrupted while binding " + address, e);
         } catch (Exception e) {
             throw new IOException(
-                    "can't listen on " + address + ": " + e.getMessage() + "; is another process using it?", e);
+                    "cannot listen on " + address + ": " + e.getMessage() + "; is another process using it?", e);
         }
     }
 
     @Override
-    public void send(Address to, Envelope message, boolean fresh) {
-        traffic.sent(message.getSerializedSize() + LENGTH_BYTES);
-        links.computeIfAbsent(to, key -> new OutboundConnection(this, key)).send(message, fresh);
+    public void send(Address to, Envelope message, boolean requireRecentEcho) {
+        traffic.recordSent(message.getSerializedSize() + LENGTH_BYTES);
+        connections
+                .computeIfAbsent(to, key -> new OutboundConnection(this, key))
+                .send(message, requireRecentEcho);
     }
 
     /**
-     * Counts what was sent and received.
+     * Returns the counters of sent and received messages and bytes.
      *
-     * @return the counts so far
+     * @return the counters
      */
     public TrafficCounters traffic() {
         return traffic;
@@ -120,16 +123,16 @@
         if (listener != null) {
             listener.close().syncUninterruptibly();
         }
-        links.values().forEach(OutboundConnection::close);
-        loops.shutdownGracefully(0, 500, TimeUnit.MILLISECONDS).syncUninterruptibly();
+        connections.values().forEach(OutboundConnection::close);
+        eventLoops.shutdownGracefully(0, 500, TimeUnit.MILLISECONDS).syncUninterruptibly();
     }
 
-    Bootstrap connector(OutboundConnection link) {
+    Bootstrap bootstrapFor(OutboundConnection connection) {
         return new Bootstrap()
-                .group(loops)
+                .group(eventLoops)
                 .channel(NioSocketChannel.class)
                 .option(ChannelOption.TCP_NODELAY, true)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MILLIS)
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLIS)
                 .handler(new ChannelInitializer<SocketChannel>() {
                     @Override
                     protected void initChannel(SocketChannel channel) throws IOException {
@@ -137,13 +140,13 @@
                             channel.pipeline().addLast(tls.get().clientContext().newHandler(channel.alloc()));
                         }
                         addCodec(channel);
-                        channel.pipeline().addLast(link.echoes());
+                        channel.pipeline().addLast(connection.echoHandler());
                     }
                 });
     }
 
-    void forget(OutboundConnection link) {
-        links.remove(link.to(), link);
+    void removeConnection(OutboundConnection connection) {
+        connections.remove(connection.to(), connection);
     }
 
     static InetSocketAddress socketAddress(Address address) {
@@ -154,17 +157,17 @@
 
     private static void addCodec(Channel channel) {
         channel.pipeline()
-                .addLast(new LengthFieldBasedFrameDecoder(LARGEST_MESSAGE, 0, LENGTH_BYTES, 0, LENGTH_BYTES))
+                .addLast(new LengthFieldBasedFrameDecoder(MAX_MESSAGE_BYTES, 0, LENGTH_BYTES, 0, LENGTH_BYTES))
                 .addLast(new EnvelopeDecoder())
                 .addLast(new EnvelopeEncoder());
     }
 
-    /** Takes messages and echoes heartbeats, which are messages without a body. */
-    private final class Receiver extends SimpleChannelInboundHandler<Envelope> {
+    /** Passes messages to the receiver and echoes heartbeats, which are messages without a body. */
+    private final class InboundHandler extends SimpleChannelInboundHandler<Envelope> {
 
         private final Consumer<Envelope> receiver;
 
-        private Receiver(Consumer<Envelope> receiver) {
+        private InboundHandler(Consumer<Envelope> receiver) {
             this.receiver = receiver;
         }
 
@@ -174,7 +177,7 @@
                 context.writeAndFlush(message);
                 return;
             }
-            traffic.received(message.getSerializedSize() + LENGTH_BYTES);
+            traffic.recordReceived(message.getSerializedSize() + LENGTH_BYTES);
             if (!Address.of(message.getFrom()).isLocal()) {
                 receiver.accept(message);
             }
@@ -183,7 +186,9 @@
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
             Logger.debug(
-                    LOG + "A connection from {} ends: {}.", context.channel().remoteAddress(), cause.getMessage());
+                    LOG + "Closing the connection from {} after an error: {}.",
+                    context.channel().remoteAddress(),
+                    cause.getMessage());
             context.close();
         }
     }
--- a/src/main/java/org/cuminshelf/network/TrafficCounters.java
+++ b/src/main/java/org/cuminshelf/network/TrafficCounters.java
@@ -2,7 +2,7 @@
 
 import java.util.concurrent.atomic.LongAdder;
 
-/** Counts the messages of a process, without TCP, IP and TLS around them. */
+/** Counts the messages of a process and their bytes, excluding the overhead of TCP, IP and TLS. */
 public final class TrafficCounters {
 
     private final LongAdder messagesSent = new LongAdder();
@@ -12,47 +12,47 @@
 
     TrafficCounters() {}
 
-    void sent(long bytes) {
+    void recordSent(long bytes) {
         messagesSent.increment();
         bytesSent.add(bytes);
     }
 
-    void received(long bytes) {
+    void recordReceived(long bytes) {
         messagesReceived.increment();
         bytesReceived.add(bytes);
     }
 
     /**
-     * Messages sent.
+     * Returns the number of messages sent.
      *
-     * @return their number
+     * @return the number of messages
      */
     public long messagesSent() {
         return messagesSent.sum();
     }
 
     /**
-     * Bytes sent.
+     * Returns the number of bytes sent, including the length prefix of each message.
      *
-     * @return their number
+     * @return the number of bytes
      */
     public long bytesSent() {
         return bytesSent.sum();
     }
 
     /**
-     * Messages received.
+     * Returns the number of messages received.
      *
-     * @return their number
+     * @return the number of messages
      */
     public long messagesReceived() {
         return messagesReceived.sum();
     }
 
     /**
-     * Bytes received.
+     * Returns the number of bytes received, including the length prefix of each message.
      *
-     * @return their number
+     * @return the number of bytes
      */
     public long bytesReceived() {
         return bytesReceived.sum();
--- a/src/main/java/org/cuminshelf/network/package-info.java
+++ b/src/main/java/org/cuminshelf/network/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Messages between the processes of the system: length-prefixed protobuf over TCP by Netty, with heartbeats on every
- * connection and TLS on both ends unless it is switched off.
+ * Sends messages between the processes of the system: length-prefixed protobuf over TCP with Netty, with heartbeats on
+ * every connection and mutual TLS unless it is disabled.
  */
 package org.cuminshelf.network;
--- a/src/main/java/org/cuminshelf/process/DecisionMetrics.java
+++ b/src/main/java/org/cuminshelf/process/DecisionMetrics.java
@@ -52,12 +52,12 @@
     }
 
     /**
-     * Counts a decision.
+     * Counts a decision and, if it has a time to the first answer, records that.
      *
      * @param kind   kind of its subject, such as {@code request}
      * @param fields alternating names and values
      */
-    void record(String kind, Object... fields) {
+    void observe(String kind, Object... fields) {
         String outcome = NONE;
         String organisation = NONE;
         for (int index = 0; index + 1 < fields.length; index += 2) {
--- a/src/main/java/org/cuminshelf/process/RateLimitedDecisionLog.java
+++ b/src/main/java/org/cuminshelf/process/RateLimitedDecisionLog.java
@@ -39,7 +39,7 @@
 
     @Override
     public synchronized void note(String kind, String id, Object... fields) {
-        metrics.record(kind, fields);
+        metrics.observe(kind, fields);
         startSecondIfElapsed();
         if (eventLines++ < MAX_EVENT_LINES_PER_SECOND) {
             write(kind, id, fields);
@@ -50,7 +50,7 @@
 
     @Override
     public synchronized void noteCompletion(String id, Object... fields) {
-        metrics.record(REQUEST, fields);
+        metrics.observe(REQUEST, fields);
         startSecondIfElapsed();
         if (completionLines++ < MAX_COMPLETION_LINES_PER_SECOND) {
             write(REQUEST, id, fields);
--- a/src/test/java/org/cuminshelf/network/MutualTlsTest.java
+++ b/src/test/java/org/cuminshelf/network/MutualTlsTest.java
@@ -17,30 +17,30 @@
 import org.cuminshelf.message.Cancel;
 import org.cuminshelf.message.Envelope;
 
-/** Both ends of a connection between processes show a certificate of the same authority. */
+/** Tests that both ends of a connection need a certificate of the same authority. */
 class MutualTlsTest {
 
-    private static final long PATIENCE_SECONDS = 20;
+    private static final long TIMEOUT_SECONDS = 20;
 
     /*
-     * Somebody on the network sends an order to a sidecar and an engine obeys. Cause: a listener that takes messages
-     * from a process without the fleet's certificate, or with one of another authority.
+     * Guards against a listener that accepts messages from a sender without a certificate, or with one of another
+     * authority: anybody on the network could then send an order to a sidecar, which its engine would carry out.
      */
     @Example
-    void onlyProcessesOfTheSameAuthorityAreHeard() throws Exception {
-        ReloadingTlsContext own = files("own");
-        ReloadingTlsContext stranger = files("stranger");
+    void onlyMessagesFromProcessesOfTheSameAuthorityAreReceived() throws Exception {
+        ReloadingTlsContext own = tlsContext("own");
+        ReloadingTlsContext otherAuthority = tlsContext("stranger");
         Address address = freeAddress();
         BlockingQueue<Envelope> received = new LinkedBlockingQueue<>();
         try (TcpNetwork server = TcpNetwork.open(1, Optional.of(own));
-                TcpNetwork plain = TcpNetwork.open(1, Optional.empty());
-                TcpNetwork foreign = TcpNetwork.open(1, Optional.of(stranger));
-                TcpNetwork peer = TcpNetwork.open(1, Optional.of(own))) {
+                TcpNetwork unencryptedClient = TcpNetwork.open(1, Optional.empty());
+                TcpNetwork otherAuthorityClient = TcpNetwork.open(1, Optional.of(otherAuthority));
+                TcpNetwork sameAuthorityClient = TcpNetwork.open(1, Optional.of(own))) {
             server.listen(address, received::add);
-            plain.send(address, message(1), false);
-            foreign.send(address, message(2), false);
-            peer.send(address, message(3), false);
-            assertThat(received.poll(PATIENCE_SECONDS, TimeUnit.SECONDS)
+            unencryptedClient.send(address, messageNumbered(1), false);
+            otherAuthorityClient.send(address, messageNumbered(2), false);
+            sameAuthorityClient.send(address, messageNumbered(3), false);
+            assertThat(received.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS)
                             .getCancel()
                             .getNumber())
                     .isEqualTo(3);
@@ -49,17 +49,18 @@
     }
 
     @Example
-    void aMissingFileIsToldByItsName() {
-        Path none = Path.of("no-such-cert.pem");
-        assertThatThrownBy(() -> ReloadingTlsContext.read(none, none, none)).hasMessageContaining("no-such-cert.pem");
+    void theErrorForAMissingFileNamesTheFile() {
+        Path missing = Path.of("no-such-cert.pem");
+        assertThatThrownBy(() -> ReloadingTlsContext.read(missing, missing, missing))
+                .hasMessageContaining("no-such-cert.pem");
     }
 
-    private static ReloadingTlsContext files(String name) throws Exception {
+    private static ReloadingTlsContext tlsContext(String name) throws Exception {
         PemFixture pem = PemFixture.make(Files.createTempDirectory("mesh"), name);
         return ReloadingTlsContext.read(pem.certificate(), pem.key(), pem.certificate());
     }
 
-    private static Envelope message(long number) {
+    private static Envelope messageNumbered(long number) {
         return Envelope.newBuilder()
                 .setFrom("10.0.0.9:1")
                 .setCancel(Cancel.newBuilder().setNumber(number))
--- a/src/test/java/org/cuminshelf/network/TcpNetworkTest.java
+++ b/src/test/java/org/cuminshelf/network/TcpNetworkTest.java
@@ -15,10 +15,10 @@
 import org.cuminshelf.message.Cancel;
 import org.cuminshelf.message.Envelope;
 
-/** Messages over real sockets on loopback. */
+/** Tests messages over real sockets on the loopback interface. */
 class TcpNetworkTest {
 
-    private static final long PATIENCE_SECONDS = 20;
+    private static final long TIMEOUT_SECONDS = 20;
 
     @Example
     void messagesArriveInOrder() throws Exception {
@@ -31,15 +31,15 @@
                 client.send(address, cancel(number), false);
             }
             for (long number = 1; number <= 50; number++) {
-                Envelope message = received.poll(PATIENCE_SECONDS, TimeUnit.SECONDS);
+                Envelope message = received.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
                 assertThat(message.getCancel().getNumber()).isEqualTo(number);
             }
         }
     }
 
     /*
-     * Every connection is closed as silent every three seconds, and what is on its way is lost. Heartbeats are empty
-     * messages, and the decoder of that time never saw an empty frame, so none was echoed.
+     * Guards against a decoder that skips empty frames. Heartbeats are empty messages; if none is echoed, the sender
+     * closes every connection as unresponsive after three seconds, and messages in transit are lost.
      */
     @Example
     void aHeartbeatIsEchoed() throws Exception {
@@ -48,18 +48,18 @@
                 java.net.Socket socket = new java.net.Socket()) {
             server.listen(address, message -> {});
             socket.connect(TcpNetwork.socketAddress(address));
-            socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(PATIENCE_SECONDS));
+            socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(TIMEOUT_SECONDS));
             socket.getOutputStream().write(new byte[4]);
             assertThat(socket.getInputStream().readNBytes(4)).containsOnly(0);
         }
     }
 
     /*
-     * A process stops hearing the others: something else wrote to its port for messages, and what could not be read
-     * took the rest with it. Only the connection that carried it may end.
+     * Guards against a process that no longer receives messages because another program wrote data to its message port
+     * that cannot be parsed. Only the connection that carried the data may be closed.
      */
     @Example
-    void bytesThatAreNoMessageEndTheirConnectionAndNoOther() throws Exception {
+    void bytesThatAreNoMessageCloseOnlyTheirOwnConnection() throws Exception {
         Address address = freeAddress();
         BlockingQueue<Envelope> received = new LinkedBlockingQueue<>();
         try (TcpNetwork server = TcpNetwork.open(1, Optional.empty());
@@ -69,14 +69,14 @@
             server.listen(address, received::add);
             for (java.net.Socket socket : new java.net.Socket[] {unreadable, tooLong}) {
                 socket.connect(TcpNetwork.socketAddress(address));
-                socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(PATIENCE_SECONDS));
+                socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(TIMEOUT_SECONDS));
             }
             unreadable.getOutputStream().write(new byte[] {0, 0, 0, 3, (byte) 0xFF, (byte) 0xFF, (byte) 0xFF});
             tooLong.getOutputStream().write("GET / HTTP/1.1\r\n\r\n".getBytes());
             assertThat(unreadable.getInputStream().read()).isEqualTo(-1);
             assertThat(tooLong.getInputStream().read()).isEqualTo(-1);
             client.send(address, cancel(7), false);
-            assertThat(received.poll(PATIENCE_SECONDS, TimeUnit.SECONDS)
+            assertThat(received.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS)
                             .getCancel()
                             .getNumber())
                     .isEqualTo(7);
@@ -84,10 +84,10 @@
     }
 
     @Example
-    void aPortInUseIsToldWithItsAddress() throws Exception {
-        try (ServerSocket taken = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"));
+    void theErrorForAPortInUseNamesTheAddress() throws Exception {
+        try (ServerSocket occupied = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"));
                 TcpNetwork network = TcpNetwork.open(1, Optional.empty())) {
-            Address address = Address.of("127.0.0.1:" + taken.getLocalPort());
+            Address address = Address.of("127.0.0.1:" + occupied.getLocalPort());
             assertThatThrownBy(() -> network.listen(address, message -> {}))
                     .isInstanceOf(IOException.class)
                     .hasMessageContaining(address.value())
@@ -96,7 +96,7 @@
     }
 
     @Example
-    void aMessageThatNamesALocalPortAsItsSenderIsDropped() throws Exception {
+    void aMessageWithALocalPortAsItsSenderIsDiscarded() throws Exception {
         Address address = freeAddress();
         BlockingQueue<Envelope> received = new LinkedBlockingQueue<>();
         try (TcpNetwork server = TcpNetwork.open(1, Optional.empty());
@@ -107,7 +107,7 @@
                     cancel(1).toBuilder().setFrom(Address.STORAGE.value()).build(),
                     false);
             client.send(address, cancel(2), false);
-            assertThat(received.poll(PATIENCE_SECONDS, TimeUnit.SECONDS)
+            assertThat(received.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS)
                             .getCancel()
                             .getNumber())
                     .isEqualTo(2);
--- a/src/test/java/org/cuminshelf/process/DecisionMetricsTest.java
+++ b/src/test/java/org/cuminshelf/process/DecisionMetricsTest.java
@@ -31,10 +31,10 @@
 
     @Example
     void requestsOfAnOrganisationAreCountedByWhetherTheyWereAnswered() {
-        metrics.record("request", "outcome", 200, "organisation", "acme");
-        metrics.record("request", "outcome", "not-run", "organisation", "acme");
-        metrics.record("request", "outcome", 500, "organisation", "acme");
-        metrics.record("attempt", "outcome", "broken", "organisation", "acme");
+        metrics.observe("request", "outcome", 200, "organisation", "acme");
+        metrics.observe("request", "outcome", "not-run", "organisation", "acme");
+        metrics.observe("request", "outcome", 500, "organisation", "acme");
+        metrics.observe("attempt", "outcome", "broken", "organisation", "acme");
         assertThat(countOf("acme", "true")).isEqualTo(1);
         assertThat(countOf("acme", "false")).isEqualTo(2);
     }
@@ -43,7 +43,7 @@
     @Example
     void organisationsBeyondTheLimitShareOneCounter() {
         for (int index = 0; index < 2_000; index++) {
-            metrics.record("request", "outcome", 200, "organisation", "o" + index);
+            metrics.observe("request", "outcome", 200, "organisation", "o" + index);
         }
         assertThat(organisationPoints()).hasSize(501);
         assertThat(countOf("(others)", "true")).isEqualTo(1_500);
