--- a/src/main/java/org/cuminshelf/platform/BootSettings.java
+++ b/src/main/java/org/cuminshelf/platform/BootSettings.java
@@ -12,51 +12,55 @@
 import org.cuminshelf.direct.RetryLimits;
 
 /**
- * What the platform's settings file says to one process.
+ * Settings of one process, as read from the platform's settings file.
  *
- * @param vm             the name of the VM ({@code node} there)
- * @param zone           the availability zone
- * @param region         the region
- * @param messages       own address for messages of the system's processes: the first of the ports for these
- * @param metrics        own address for metrics: the last of these ports, unless a flag names another
- * @param callers        where callers connect, on an entry
- * @param readiness      where the balancer asks whether this entry takes callers
- * @param control        where upstreams and operators call, on a control process
- * @param seeds          addresses for messages of control processes to begin with
- * @param firstStart     whether the whole system starts for the first time ({@code bootstrap} there)
- * @param dataFolder     the folder for files that last, where there is a disk
- * @param graceMillis    milliseconds from the request to stop until the process is killed
- * @param repeats        how often all entries together may send requests once more
- * @param duties         calls to the platform that are the duty of one node at a time
+ * @param vm               name of the VM (JSON field {@code node})
+ * @param zone             availability zone
+ * @param region           region
+ * @param messageAddress   listening address for messages between processes; its port is the first internal port
+ * @param metricsAddress   listening address for metrics; its port is the last internal port unless a flag overrides it
+ * @param callerAddress    listening address for callers (entry only)
+ * @param readinessAddress listening address of the load balancer's readiness check (entry only)
+ * @param controlAddress   listening address for upstreams and operators (control process only)
+ * @param seeds            message addresses of the control processes to contact first
+ * @param bootstrap        whether the whole system starts for the first time
+ * @param dataFolder       folder for persistent files; empty if the VM has no disk
+ * @param stopGraceMillis  milliseconds from the request to stop until the process is killed
+ * @param retryLimits      limits on retries by all entries together
+ * @param duties           settings of the calls to the platform that only one VM at a time may make
  */
 record BootSettings(
         String vm,
         String zone,
         String region,
-        Address messages,
-        Address metrics,
-        Optional<Address> callers,
-        Optional<Address> readiness,
-        Optional<Address> control,
+        Address messageAddress,
+        Address metricsAddress,
+        Optional<Address> callerAddress,
+        Optional<Address> readinessAddress,
+        Optional<Address> controlAddress,
         List<Address> seeds,
-        boolean firstStart,
+        boolean bootstrap,
         Optional<Path> dataFolder,
-        long graceMillis,
-        RetryLimits repeats,
+        long stopGraceMillis,
+        RetryLimits retryLimits,
         PlatformDutySettings duties) {
 
-    /** Variable that holds the path of the settings file. */
-    static final String VARIABLE = "CUMINSHELF_BOOT";
+    /** Environment variable that holds the path of the settings file. */
+    static final String PATH_VARIABLE = "CUMINSHELF_BOOT";
 
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final long MILLIS_PER_SECOND = 1_000;
     private static final double DEFAULT_GRACE_SECONDS = 8;
 
-    /** Reads the file that the platform names. */
+    /**
+     * Reads the file named by {@link #PATH_VARIABLE}.
+     *
+     * @throws IOException if the variable is not set, or the file can't be read or lacks a required field
+     */
     static BootSettings read() throws IOException {
-        String path = System.getenv(VARIABLE);
+        String path = System.getenv(PATH_VARIABLE);
         if (path == null || path.isEmpty()) {
-            throw new IOException(VARIABLE + " is not set; it must hold the path of the settings file");
+            throw new IOException(PATH_VARIABLE + " is not set; it must hold the path of the settings file");
         }
         return read(Path.of(path));
     }
@@ -69,69 +73,70 @@
         if (root == null || !root.isObject()) {
             throw new IOException(file + ": the settings are no JSON object");
         }
-        return of(root, file);
+        return parse(root, file);
     }
 
-    private static BootSettings of(JsonNode root, Path file) throws IOException {
+    private static BootSettings parse(JsonNode root, Path file) throws IOException {
         String ip = required(root, "ip", file);
         JsonNode ports = root.path("internalPorts");
         if (!ports.path(0).isInt()) {
             throw new IOException(file + ": 'internalPorts' must hold two numbers");
         }
-        int first = ports.path(0).intValue();
-        int last = ports.path(1).asInt(first + 1);
+        int firstPort = ports.path(0).intValue();
+        int lastPort = ports.path(1).asInt(firstPort + 1);
         JsonNode listen = root.path("listen");
         JsonNode bounds = root.path("bounds");
         return new BootSettings(
                 required(root, "node", file),
                 required(root, "zone", file),
                 root.path("region").asText(""),
-                Address.of(ip + ":" + first),
-                Address.of(ip + ":" + last),
+                Address.of(ip + ":" + firstPort),
+                Address.of(ip + ":" + lastPort),
                 address(listen, "front"),
                 address(listen, "ready"),
                 address(listen, "control"),
-                seeds(root, first),
+                seeds(root, firstPort),
                 root.path("bootstrap").asBoolean(false),
                 Optional.ofNullable(root.path("dataDir").textValue()).map(Path::of),
                 (long) (bounds.path("graceS").asDouble(DEFAULT_GRACE_SECONDS) * MILLIS_PER_SECOND),
-                repeats(bounds),
-                PlatformDutySettings.of(root));
+                retryLimits(bounds),
+                PlatformDutySettings.parse(root));
     }
 
-    /** These settings with a control process of the own VM as the only seed. */
+    /** Returns these settings with a port of the own VM as the only seed. */
     BootSettings withSeedPort(int port) {
-        return with(metrics, List.of(onOwnVm(port)));
+        return with(metricsAddress, List.of(onOwnVm(port)));
     }
 
-    /** These settings with another port for metrics. */
+    /** Returns these settings with another metrics port. */
     BootSettings withMetricsPort(int port) {
         return with(onOwnVm(port), seeds);
     }
 
     private Address onOwnVm(int port) {
-        return Address.of(messages.value().substring(0, messages.value().lastIndexOf(':')) + ":" + port);
+        return Address.of(
+                messageAddress.value().substring(0, messageAddress.value().lastIndexOf(':')) + ":" + port);
     }
 
-    private BootSettings with(Address metricsAddress, List<Address> firstSeeds) {
+    private BootSettings with(Address newMetricsAddress, List<Address> newSeeds) {
         return new BootSettings(
                 vm,
                 zone,
                 region,
-                messages,
-                metricsAddress,
-                callers,
-                readiness,
-                control,
-                firstSeeds,
-                firstStart,
+                messageAddress,
+                newMetricsAddress,
+                callerAddress,
+                readinessAddress,
+                controlAddress,
+                newSeeds,
+                bootstrap,
                 dataFolder,
-                graceMillis,
-                repeats,
+                stopGraceMillis,
+                retryLimits,
                 duties);
     }
 
-    private static RetryLimits repeats(JsonNode bounds) {
+    private static RetryLimits retryLimits(JsonNode bounds) {
         if (!bounds.path("retryBudgetRatio").isNumber()) {
             return RetryLimits.DEFAULT;
         }
@@ -141,12 +146,12 @@
                 (long) (bounds.path("retryWindowS").asDouble(10) * MILLIS_PER_SECOND));
     }
 
-    /** Seeds are told by their address for operators; messages go to the first internal port of the same VM. */
-    private static List<Address> seeds(JsonNode root, int port) {
+    /** The file lists seeds by their operator address; messages go to the first internal port of the same VM. */
+    private static List<Address> seeds(JsonNode root, int messagePort) {
         List<Address> seeds = new ArrayList<>();
         for (JsonNode seed : root.path("seeds")) {
             String value = seed.asText();
-            seeds.add(Address.of(value.substring(0, value.lastIndexOf(':')) + ":" + port));
+            seeds.add(Address.of(value.substring(0, value.lastIndexOf(':')) + ":" + messagePort));
         }
         return seeds;
     }
--- a/src/main/java/org/cuminshelf/platform/HeartbeatParser.java
+++ b/src/main/java/org/cuminshelf/platform/HeartbeatParser.java
@@ -12,31 +12,31 @@
 import org.eclipse.jetty.util.HostPort;
 
 /**
- * The heartbeat of an upstream.
+ * Parses the JSON heartbeats of upstreams.
  *
- * <p>Failure it guards against: a heartbeat comes from another program, or was spoiled on its way. Taken as far as it
- * can be read, it would name an upstream that isn't there, or give one that is another role or another start; requests
- * sent on that word are lost. So a heartbeat is taken whole or not at all, and what was known before holds.
+ * <p>A heartbeat may come from another program or be corrupted in transit. If its valid fields were used, it could
+ * register an upstream that doesn't exist, or give an existing one a wrong role or instance, and requests routed by it
+ * would be lost. So a heartbeat with any invalid field is rejected as a whole, and the last valid one stays in force.
  */
 final class HeartbeatParser {
 
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final String READY = "ready";
-    private static final String DRAINING = "draining";
-    private static final String PREFILL = "prefill";
-    private static final String DECODE = "decode";
-    private static final int HIGHEST_PORT = 65_535;
+    private static final String STATE_READY = "ready";
+    private static final String STATE_DRAINING = "draining";
+    private static final String STAGE_PREFILL = "prefill";
+    private static final String STAGE_DECODE = "decode";
+    private static final int MAX_PORT = 65_535;
 
     private HeartbeatParser() {}
 
     /**
-     * Reads a heartbeat.
+     * Parses a heartbeat.
      *
-     * @param name     the name under which the upstream announces itself
-     * @param document the bytes sent
-     * @return the heartbeat, or what is wrong with it
+     * @param name     the name under which the upstream registers itself
+     * @param document the request body
+     * @return the heartbeat, or the reason why it is invalid
      */
-    static Either<String, UpstreamBeat> read(String name, byte[] document) {
+    static Either<String, UpstreamBeat> parse(String name, byte[] document) {
         JsonNode root;
         try {
             root = JSON.readTree(document);
@@ -46,57 +46,58 @@
         if (root == null || !root.isObject()) {
             return Either.left("the heartbeat is no JSON object");
         }
-        return problem(name, root)
+        return validationError(name, root)
                 .<Either<String, UpstreamBeat>>map(Either::left)
-                .orElseGet(() -> Either.right(beat(name, root)));
+                .orElseGet(() -> Either.right(toMessage(name, root)));
     }
 
-    private static Optional<String> problem(String name, JsonNode root) {
+    private static Optional<String> validationError(String name, JsonNode root) {
         if (name.isEmpty()) {
             return Optional.of("the heartbeat names no upstream");
         }
-        for (String text : List.of("service", "address", "zone", "state")) {
-            if (!root.path(text).isTextual() || root.path(text).textValue().isEmpty()) {
-                return Optional.of("'" + text + "' must be a text");
+        for (String field : List.of("service", "address", "zone", "state")) {
+            if (!root.path(field).isTextual() || root.path(field).textValue().isEmpty()) {
+                return Optional.of("'" + field + "' must be a text");
             }
         }
-        for (String number : List.of("sequence", "slots")) {
-            if (!isWhole(root.path(number))) {
-                return Optional.of("'" + number + "' must be a whole number");
+        for (String field : List.of("sequence", "slots")) {
+            if (!isNonNegativeLong(root.path(field))) {
+                return Optional.of("'" + field + "' must be a whole number");
             }
         }
-        // Where upstreams take a new name with each start they don't say when it was.
-        if (root.has("born") && !isWhole(root.path("born"))) {
+        // Upstreams that take a new name at each start omit their start time.
+        if (root.has("born") && !isNonNegativeLong(root.path("born"))) {
             return Optional.of("'born' must be a whole number");
         }
-        if (!isAddress(root.path("address").textValue())) {
+        if (!isHostAndPort(root.path("address").textValue())) {
             return Optional.of("'address' must be an IP address and a port");
         }
-        if (!Set.of(READY, DRAINING).contains(root.path("state").textValue())) {
+        if (!Set.of(STATE_READY, STATE_DRAINING).contains(root.path("state").textValue())) {
             return Optional.of("'state' is unknown");
         }
         if (root.has("stage")
-                && !Set.of(PREFILL, DECODE).contains(root.path("stage").asText())) {
+                && !Set.of(STAGE_PREFILL, STAGE_DECODE)
+                        .contains(root.path("stage").asText())) {
             return Optional.of("'stage' is unknown");
         }
         return Optional.empty();
     }
 
-    private static boolean isWhole(JsonNode node) {
+    private static boolean isNonNegativeLong(JsonNode node) {
         return node.isIntegralNumber() && node.canConvertToLong() && node.longValue() >= 0;
     }
 
-    private static boolean isAddress(String text) {
+    private static boolean isHostAndPort(String text) {
         try {
             HostPort address = new HostPort(text);
-            return !address.getHost().isEmpty() && address.getPort() > 0 && address.getPort() <= HIGHEST_PORT;
+            return !address.getHost().isEmpty() && address.getPort() > 0 && address.getPort() <= MAX_PORT;
         } catch (IllegalArgumentException e) {
-            // It is reported as a heartbeat that is refused.
+            // The caller rejects the heartbeat and logs the reason.
             return false;
         }
     }
 
-    private static UpstreamBeat beat(String name, JsonNode root) {
+    private static UpstreamBeat toMessage(String name, JsonNode root) {
         UpstreamBeat.Builder beat = UpstreamBeat.newBuilder()
                 .setName(name)
                 .setBornMs(root.path("born").asLong(0))
@@ -104,7 +105,7 @@
                 .setAddress(root.path("address").textValue())
                 .setZone(root.path("zone").textValue())
                 .setSequence(root.path("sequence").longValue())
-                .setLeaving(DRAINING.equals(root.path("state").textValue()))
+                .setLeaving(STATE_DRAINING.equals(root.path("state").textValue()))
                 .setSlots(Math.max(1, root.path("slots").intValue()))
                 .setColdMs(root.path("coldLeftMs").asInt(0))
                 .setRole(role(root.path("stage").asText("")));
@@ -114,8 +115,8 @@
 
     private static Role role(String stage) {
         return switch (stage) {
-            case PREFILL -> Role.ROLE_PREFILL;
-            case DECODE -> Role.ROLE_DECODE;
+            case STAGE_PREFILL -> Role.ROLE_PREFILL;
+            case STAGE_DECODE -> Role.ROLE_DECODE;
             default -> Role.ROLE_MIXED;
         };
     }
--- a/src/main/java/org/cuminshelf/platform/PlatformCommand.java
+++ b/src/main/java/org/cuminshelf/platform/PlatformCommand.java
@@ -22,7 +22,7 @@
 import org.cuminshelf.tools.UsageException;
 import org.tinylog.Logger;
 
-/** Runs a process on the users' platform, by the settings file that it names. */
+/** Runs one process on the operators' platform with the settings file named by {@link BootSettings#PATH_VARIABLE}. */
 public final class PlatformCommand implements Command {
 
     private static final String ROLE = "role";
@@ -30,13 +30,13 @@
     private static final String CONTROL = "control";
     private static final String WARM_UP = "warm-up";
     private static final String METRICS_PORT = "metricsPort";
-    private static final int DISK_FAILED = 74;
-    private static final int MOST_PORT = 65_535;
+    private static final int EXIT_DISK_FAILED = 74;
+    private static final int MAX_PORT = 65_535;
 
     private PlatformCommand() {}
 
     /**
-     * Makes the command.
+     * Creates the command.
      *
      * @return the command
      */
@@ -51,19 +51,19 @@
 
     @Override
     public String summary() {
-        return "run a process on the users' platform, by the settings file named in " + BootSettings.VARIABLE;
+        return "run a process on the operators' platform with the settings file named in " + BootSettings.PATH_VARIABLE;
     }
 
     @Override
     public void describe(Subparser parser) {
         parser.addArgument(ROLE)
                 .choices(ENTRY, CONTROL, WARM_UP)
-                .help("what the process is; warm-up serves one request by both on loopback and ends");
+                .help("role of the process; warm-up serves one request through both roles on loopback and exits");
         parser.addArgument("--metrics-port")
                 .dest(METRICS_PORT)
                 .type(Integer.class)
-                .choices(Arguments.range(1, MOST_PORT))
-                .help("port of the own address for metrics; the last of the ports for messages if left out");
+                .choices(Arguments.range(1, MAX_PORT))
+                .help("metrics port; the last internal port by default");
     }
 
     @Override
@@ -72,18 +72,18 @@
             WarmUp.run();
             return 0;
         }
-        BootSettings read = BootSettings.read();
+        BootSettings settings = BootSettings.read();
         BootSettings boot = Optional.ofNullable(flags.getInt(METRICS_PORT))
-                .map(read::withMetricsPort)
-                .orElse(read);
+                .map(settings::withMetricsPort)
+                .orElse(settings);
         if (flags.getString(ROLE).equals(CONTROL)) {
-            return Serving.until(List.of(control(boot)));
+            return Serving.until(List.of(startControl(boot)));
         }
-        DirectEntryProcess entry = entry(boot);
-        return Serving.until(List.of(entry), () -> reload(entry));
+        DirectEntryProcess entry = startEntry(boot);
+        return Serving.until(List.of(entry), () -> reloadSeeds(entry));
     }
 
-    private static void reload(DirectEntryProcess entry) {
+    private static void reloadSeeds(DirectEntryProcess entry) {
         try {
             entry.replaceSeeds(BootSettings.read().seeds());
         } catch (IOException e) {
@@ -91,9 +91,9 @@
         }
     }
 
-    private static CommonSettings common(BootSettings boot) {
+    private static CommonSettings commonSettings(BootSettings boot) {
         return new CommonSettings(
-                boot.messages(),
+                boot.messageAddress(),
                 boot.region(),
                 boot.zone(),
                 boot.vm(),
@@ -101,49 +101,49 @@
                 Optional.empty(),
                 Optional.empty(),
                 Optional.empty(),
-                boot.graceMillis());
+                boot.stopGraceMillis());
     }
 
-    static DirectEntryProcess entry(BootSettings boot) throws IOException, UsageException {
-        Address callers =
-                boot.callers().orElseThrow(() -> new UsageException("the settings name no address for callers"));
+    static DirectEntryProcess startEntry(BootSettings boot) throws IOException, UsageException {
+        Address callerAddress = boot.callerAddress()
+                .orElseThrow(() -> new UsageException("the settings file has no 'listen.front' address"));
         DirectEntryProcess.Options options = new DirectEntryProcess.Options(
                 new DirectSettings(
                         boot.region(),
                         boot.zone(),
                         boot.vm(),
                         boot.seeds(),
-                        boot.repeats(),
+                        boot.retryLimits(),
                         boot.duties().usageWindowMillis()),
-                callers,
-                boot.readiness(),
-                Optional.of(boot.metrics()),
+                callerAddress,
+                boot.readinessAddress(),
+                Optional.of(boot.metricsAddress()),
                 new PlatformProtocol(),
-                document -> RouteConfigParser.read(document).toJavaOptional());
-        return DirectEntryProcess.start(common(boot), options);
+                document -> RouteConfigParser.parse(document).toJavaOptional());
+        return DirectEntryProcess.start(commonSettings(boot), options);
     }
 
-    static ServingProcess control(BootSettings boot) throws IOException, UsageException {
-        Address address =
-                boot.control().orElseThrow(() -> new UsageException("the settings name no address for control"));
-        Path folder = boot.dataFolder().orElseThrow(() -> new UsageException("the settings name no data folder"));
+    static ServingProcess startControl(BootSettings boot) throws IOException, UsageException {
+        Address controlAddress = boot.controlAddress()
+                .orElseThrow(() -> new UsageException("the settings file has no 'listen.control' address"));
+        Path folder = boot.dataFolder().orElseThrow(() -> new UsageException("the settings file has no 'dataDir'"));
         ReplicaSettings group = new ReplicaSettings(
                 ControlSettings.GLOBAL_GROUP,
-                boot.messages(),
+                boot.messageAddress(),
                 boot.seeds(),
                 true,
-                boot.firstStart() ? MembershipPolicy.OPEN : MembershipPolicy.JOIN_ONLY);
+                boot.bootstrap() ? MembershipPolicy.OPEN : MembershipPolicy.JOIN_ONLY);
         ControlSettings settings = new ControlSettings(
                 boot.region(),
                 List.of(group),
-                document -> RouteConfigParser.read(document).fold(Optional::of, fine -> Optional.empty()),
-                boot.duties().forControl());
-        ControlProcess.Options options =
-                new ControlProcess.Options(settings, folder, address, Optional.empty(), new HashSet<>(), false, true);
+                document -> RouteConfigParser.parse(document).fold(Optional::of, valid -> Optional.empty()),
+                boot.duties().toDutySettings());
+        ControlProcess.Options options = new ControlProcess.Options(
+                settings, folder, controlAddress, Optional.empty(), new HashSet<>(), false, true);
         return ControlProcess.start(
-                common(boot),
+                commonSettings(boot),
                 options,
-                PlatformControlInterface.at(address, boot),
-                () -> Runtime.getRuntime().halt(DISK_FAILED));
+                PlatformControlInterface.opener(controlAddress, boot),
+                () -> Runtime.getRuntime().halt(EXIT_DISK_FAILED));
     }
 }
--- a/src/main/java/org/cuminshelf/platform/PlatformControlInterface.java
+++ b/src/main/java/org/cuminshelf/platform/PlatformControlInterface.java
@@ -32,53 +32,57 @@
 import org.eclipse.jetty.http.HttpHeader;
 import org.tinylog.Logger;
 
-/** The calls of upstreams and operators to a control process. */
+/**
+ * HTTP interface of a control process for upstreams and operators. It forwards heartbeats and administration requests
+ * to the core, and sends role changes and usage reports on the core's behalf.
+ */
 final class PlatformControlInterface implements ControlEndpoint, CallerHandler {
 
-    private static final String CONFIG = "/cuminshelf/config";
-    private static final String INSTANCES = "/cuminshelf/instances/";
+    private static final String CONFIG_PATH = "/cuminshelf/config";
+    private static final String INSTANCES_PREFIX = "/cuminshelf/instances/";
     private static final String AUTHOR = "operator";
-    /** Calls of our own, under the path of the product's administration interface, so that its commands work. */
-    private static final String ADMIN = "/admin/";
+    /** Path prefix of the administration interface, so that the project's own commands work here too. */
+    private static final String ADMIN_PREFIX = "/admin/";
 
-    private static final String QUARANTINE = ADMIN + QuarantineJson.LIST_PATH;
-    private static final String QUARANTINE_RELEASE = ADMIN + QuarantineJson.RELEASE_PATH;
+    private static final String QUARANTINE_PATH = ADMIN_PREFIX + QuarantineJson.LIST_PATH;
+    private static final String QUARANTINE_RELEASE_PATH = ADMIN_PREFIX + QuarantineJson.RELEASE_PATH;
 
     private final ReentrantLock lock = new ReentrantLock();
     private final Consumer<Envelope.Builder> core;
-    private final Map<Long, CallerExchange> waiting = new HashMap<>();
+    private final Map<Long, CallerExchange> exchangesByRequest = new HashMap<>();
     private final CallerListener listener;
     private final UpstreamConnections upstreams;
     private final String vm;
     private final MetricsServer metrics;
-    private final RejectedHeartbeats refused;
-    private final Optional<UsageReportClient> duties;
-    private long nextQuestion = 1;
+    private final RejectedHeartbeats rejectedHeartbeats;
+    private final Optional<UsageReportClient> usageReports;
+    private long nextRequestId = 1;
 
     private PlatformControlInterface(
             Consumer<Envelope.Builder> core,
             BootSettings boot,
             Address address,
             MetricsServer metrics,
-            RejectedHeartbeats refused)
+            RejectedHeartbeats rejectedHeartbeats)
             throws IOException {
         this.core = core;
         this.vm = boot.vm();
         this.metrics = metrics;
-        this.refused = refused;
+        this.rejectedHeartbeats = rejectedHeartbeats;
         this.upstreams = UpstreamConnections.start(lock);
-        this.duties =
-                boot.duties().platform().map(platform -> new UsageReportClient(upstreams, platform, boot.vm(), core));
+        this.usageReports = boot.duties()
+                .platformAddress()
+                .map(platform -> new UsageReportClient(upstreams, platform, boot.vm(), core));
         this.listener = CallerListener.start(address, lock, this, () -> CallerLimits.DEFAULT);
     }
 
-    /** Opens the interface of a VM at an address, as a control process asks for it. */
-    static ControlEndpoint.Opener at(Address address, BootSettings boot) {
+    /** Returns an opener that starts this interface at an address. */
+    static ControlEndpoint.Opener opener(Address address, BootSettings boot) {
         return (core, config, ready, registry) -> new PlatformControlInterface(
                 core,
                 boot,
                 address,
-                MetricsServer.open(boot.metrics(), registry),
+                MetricsServer.open(boot.metricsAddress(), registry),
                 RejectedHeartbeats.register(registry, System::nanoTime));
     }
 
@@ -86,41 +90,41 @@
     public void onRequest(ReceivedRequest request, CallerExchange exchange) {
         String path = request.path();
         String method = request.method();
-        if (path.equals(CONFIG) && method.equals("PUT")) {
+        if (path.equals(CONFIG_PATH) && method.equals("PUT")) {
             onConfig(request, exchange);
-        } else if (path.equals(CONFIG) && method.equals("GET")) {
-            ask(
+        } else if (path.equals(CONFIG_PATH) && method.equals("GET")) {
+            submit(
                     exchange,
                     AdminRequest.newBuilder()
                             .setConfigRead(ConfigRead.newBuilder().setConfirmed(true)));
-        } else if (path.startsWith(INSTANCES) && method.equals("PUT")) {
-            onBeat(path.substring(INSTANCES.length()), request, exchange);
-        } else if (path.startsWith(INSTANCES) && method.equals("DELETE")) {
-            String id = path.substring(INSTANCES.length());
+        } else if (path.startsWith(INSTANCES_PREFIX) && method.equals("PUT")) {
+            onHeartbeat(path.substring(INSTANCES_PREFIX.length()), request, exchange);
+        } else if (path.startsWith(INSTANCES_PREFIX) && method.equals("DELETE")) {
+            String id = path.substring(INSTANCES_PREFIX.length());
             Logger.info("control: event=upstream-gone id={}", id);
-            tell(UpstreamBeat.newBuilder().setName(id).setDeleted(true).build());
-            answer(exchange, 200, "{}");
-        } else if (path.equals(QUARANTINE) && method.equals("GET")) {
-            ask(exchange, QuarantineJson.listRequest());
-        } else if (path.equals(QUARANTINE_RELEASE) && method.equals("POST")) {
+            forward(UpstreamBeat.newBuilder().setName(id).setDeleted(true).build());
+            respond(exchange, 200, "{}");
+        } else if (path.equals(QUARANTINE_PATH) && method.equals("GET")) {
+            submit(exchange, QuarantineJson.listRequest());
+        } else if (path.equals(QUARANTINE_RELEASE_PATH) && method.equals("POST")) {
             QuarantineJson.releaseRequest(request.body(), Optional.empty())
-                    .peek(release -> ask(exchange, release))
-                    .peekLeft(wrong -> answer(exchange, 400, problem(wrong)));
+                    .peek(release -> submit(exchange, release))
+                    .peekLeft(reason -> respond(exchange, 400, errorBody(reason)));
         } else {
-            answer(exchange, 404, problem("there is no such call"));
+            respond(exchange, 404, errorBody("there is no such call"));
         }
     }
 
     private void onConfig(ReceivedRequest request, CallerExchange exchange) {
-        RouteConfigParser.read(request.body())
-                .peek(table -> ask(exchange, apply(request, table)))
-                .peekLeft(wrong -> {
-                    Logger.info("control: event=config-refused bytes={} reason=\"{}\"", request.body().length, wrong);
-                    answer(exchange, 400, problem(wrong));
+        RouteConfigParser.parse(request.body())
+                .peek(table -> submit(exchange, applyRequest(request, table)))
+                .peekLeft(reason -> {
+                    Logger.info("control: event=config-refused bytes={} reason=\"{}\"", request.body().length, reason);
+                    respond(exchange, 400, errorBody(reason));
                 });
     }
 
-    private static AdminRequest.Builder apply(ReceivedRequest request, RouteTable table) {
+    private static AdminRequest.Builder applyRequest(ReceivedRequest request, RouteTable table) {
         return AdminRequest.newBuilder()
                 .setConfigApply(ConfigApply.newBuilder()
                         .setDeclaredVersion(table.version())
@@ -129,26 +133,26 @@
                         .setAuthor(AUTHOR));
     }
 
-    private void onBeat(String id, ReceivedRequest request, CallerExchange exchange) {
-        HeartbeatParser.read(id, request.body())
+    private void onHeartbeat(String id, ReceivedRequest request, CallerExchange exchange) {
+        HeartbeatParser.parse(id, request.body())
                 .peek(beat -> {
-                    tell(beat);
-                    answer(exchange, 200, "{}");
+                    forward(beat);
+                    respond(exchange, 200, "{}");
                 })
-                .peekLeft(wrong -> {
-                    refused.note(id, wrong);
-                    answer(exchange, 400, problem(wrong));
+                .peekLeft(reason -> {
+                    rejectedHeartbeats.record(id, reason);
+                    respond(exchange, 400, errorBody(reason));
                 });
     }
 
-    private void tell(UpstreamBeat beat) {
+    private void forward(UpstreamBeat beat) {
         core.accept(Envelope.newBuilder().setUpstreamBeat(beat));
     }
 
-    private void ask(CallerExchange exchange, AdminRequest.Builder request) {
-        long question = nextQuestion++;
-        waiting.put(question, exchange);
-        core.accept(Envelope.newBuilder().setAdminRequest(request.setQuestion(question)));
+    private void submit(CallerExchange exchange, AdminRequest.Builder request) {
+        long requestId = nextRequestId++;
+        exchangesByRequest.put(requestId, exchange);
+        core.accept(Envelope.newBuilder().setAdminRequest(request.setQuestion(requestId)));
     }
 
     @Override
@@ -156,71 +160,74 @@
         lock.lock();
         try {
             if (message.hasSendDirectOrder()) {
-                order(message.getSendDirectOrder());
+                sendOrder(message.getSendDirectOrder());
                 return;
             }
             if (message.hasSendUsageReport()) {
-                duties.ifPresent(calls -> calls.report(message.getSendUsageReport()));
+                usageReports.ifPresent(client -> client.send(message.getSendUsageReport()));
                 return;
             }
             if (message.hasGiveUpUsageReport()) {
-                duties.ifPresent(UsageReportClient::giveUp);
+                usageReports.ifPresent(UsageReportClient::abandon);
                 return;
             }
             AdminAnswer answer = message.getAdminAnswer();
-            CallerExchange exchange = waiting.remove(answer.getQuestion());
+            CallerExchange exchange = exchangesByRequest.remove(answer.getQuestion());
             if (exchange != null) {
-                answer(exchange, answer);
+                respond(exchange, answer);
             }
         } finally {
             lock.unlock();
         }
     }
 
-    private void order(DirectOrder order) {
+    private void sendOrder(DirectOrder order) {
         upstreams.send(
                 Address.of(order.getAddress()),
                 order.getUpstream(),
-                RoleChangeRequest.write(order, vm),
-                new RoleChangeRequest.Answer(order.getNumber(), core));
+                RoleChangeRequest.create(order, vm),
+                new RoleChangeRequest.ResponseHandler(order.getNumber(), core));
     }
 
-    private static void answer(CallerExchange exchange, AdminAnswer answer) {
+    private static void respond(CallerExchange exchange, AdminAnswer answer) {
         switch (answer.getResult()) {
             case ADMIN_DONE -> {
                 if (answer.getListsQuarantine()) {
-                    answer(exchange, 200, QuarantineJson.of(answer).toString());
+                    respond(exchange, 200, QuarantineJson.of(answer).toString());
                     return;
                 }
-                boolean read = !answer.getConfig().isEmpty();
-                boolean none = answer.getVersion() == 0;
-                if (read) {
-                    exchange.respond(200, json(), answer.getConfig().asReadOnlyByteBuffer());
+                boolean hasConfig = !answer.getConfig().isEmpty();
+                boolean noneAccepted = answer.getVersion() == 0;
+                if (hasConfig) {
+                    exchange.respond(200, jsonHeaders(), answer.getConfig().asReadOnlyByteBuffer());
                 } else {
-                    answer(exchange, none ? 503 : 200, none ? problem("no configuration was accepted yet") : "{}");
+                    respond(
+                            exchange,
+                            noneAccepted ? 503 : 200,
+                            noneAccepted ? errorBody("no configuration was accepted yet") : "{}");
                 }
             }
-            case ADMIN_UNKNOWN -> answer(exchange, 404, problem(answer.getDetail()));
-            case ADMIN_BAD -> answer(exchange, 400, problem(answer.getDetail()));
-            default -> answer(exchange, 503, problem(answer.getDetail()));
+            case ADMIN_UNKNOWN -> respond(exchange, 404, errorBody(answer.getDetail()));
+            case ADMIN_BAD -> respond(exchange, 400, errorBody(answer.getDetail()));
+            default -> respond(exchange, 503, errorBody(answer.getDetail()));
         }
     }
 
-    private static void answer(CallerExchange exchange, int status, String body) {
-        exchange.respond(status, json(), ByteBuffer.wrap(body.getBytes(StandardCharsets.UTF_8)));
+    private static void respond(CallerExchange exchange, int status, String body) {
+        exchange.respond(status, jsonHeaders(), ByteBuffer.wrap(body.getBytes(StandardCharsets.UTF_8)));
     }
 
-    private static HttpFields json() {
+    private static HttpFields jsonHeaders() {
         return HttpFields.build().put(HttpHeader.CONTENT_TYPE, "application/json");
     }
 
-    private static String problem(String text) {
-        return "{\"error\":\"" + text.replace('"', '\'').replace('\\', '/') + "\"}";
+    private static String errorBody(String message) {
+        return "{\"error\":\"" + message.replace('"', '\'').replace('\\', '/') + "\"}";
     }
 
     @Override
     public void onDisconnect(CallerExchange exchange) {
-        waiting.values().remove(exchange);
+        exchangesByRequest.values().remove(exchange);
     }
 
     @Override
--- a/src/main/java/org/cuminshelf/platform/PlatformDutySettings.java
+++ b/src/main/java/org/cuminshelf/platform/PlatformDutySettings.java
@@ -9,54 +9,56 @@
 import org.cuminshelf.core.Address;
 
 /**
- * What the settings say of calls to the platform that are the duty of one node at a time.
+ * Settings of the platform's duties: calls to the platform that only one VM at a time may make.
  *
- * @param platform          where the platform takes them
- * @param leaseMillis       time within which two nodes may not take turns ({@code leaseMs} there)
- * @param usageWindowMillis length of the windows of usage; nothing where usage is no duty
- * @param usageLateMillis   time after the end of a window by which its usage is to be reported
- * @param callsPerSecond    such calls that the platform takes a second from all nodes together ({@code dutyPerS} there)
+ * @param platformAddress     address of the platform; empty if it accepts no such calls
+ * @param leaseMillis         minimum time in milliseconds between the calls of two different VMs (JSON field
+ *                            {@code leaseMs})
+ * @param usageWindowMillis   length of a usage window in milliseconds; empty if usage is not reported
+ * @param usageDeadlineMillis time in milliseconds after the end of a window by which its usage must be reported
+ * @param maxCallsPerSecond   calls per second that the platform accepts from all VMs together (JSON field
+ *                            {@code dutyPerS}); empty if unlimited
  */
 record PlatformDutySettings(
-        Optional<Address> platform,
+        Optional<Address> platformAddress,
         long leaseMillis,
         OptionalLong usageWindowMillis,
-        long usageLateMillis,
-        OptionalDouble callsPerSecond) {
+        long usageDeadlineMillis,
+        OptionalDouble maxCallsPerSecond) {
 
-    private static final String USAGE = "usage_report";
+    private static final String USAGE_REPORT = "usage_report";
     private static final double MILLIS_PER_SECOND = 1_000;
     private static final long DEFAULT_LEASE_MILLIS = 3_000;
-    private static final double DEFAULT_LATE_SECONDS = 10;
+    private static final double DEFAULT_USAGE_DEADLINE_SECONDS = 10;
 
-    /** Reads them; what isn't stated, or isn't of its type, is no duty. */
-    static PlatformDutySettings of(JsonNode settings) {
+    /** Reads the settings. A duty that is missing or has a field of the wrong type is left out. */
+    static PlatformDutySettings parse(JsonNode settings) {
         JsonNode cloud = settings.path("cloud");
         JsonNode bounds = settings.path("bounds");
-        Optional<Address> platform =
+        Optional<Address> platformAddress =
                 Optional.ofNullable(cloud.path("address").textValue()).map(Address::of);
         boolean reportsUsage = StreamSupport.stream(cloud.path("duties").spliterator(), false)
-                .anyMatch(duty -> USAGE.equals(duty.textValue()));
+                .anyMatch(duty -> USAGE_REPORT.equals(duty.textValue()));
         double windowSeconds = bounds.path("usageWindowS").asDouble(0);
-        boolean counted = platform.isPresent() && reportsUsage && windowSeconds > 0;
+        boolean usageReported = platformAddress.isPresent() && reportsUsage && windowSeconds > 0;
         return new PlatformDutySettings(
-                platform,
+                platformAddress,
                 bounds.path("leaseMs").asLong(DEFAULT_LEASE_MILLIS),
-                counted ? OptionalLong.of((long) (windowSeconds * MILLIS_PER_SECOND)) : OptionalLong.empty(),
-                (long) (bounds.path("usageLateS").asDouble(DEFAULT_LATE_SECONDS) * MILLIS_PER_SECOND),
-                callsPerSecond(cloud.path("dutyPerS")));
+                usageReported ? OptionalLong.of((long) (windowSeconds * MILLIS_PER_SECOND)) : OptionalLong.empty(),
+                (long) (bounds.path("usageLateS").asDouble(DEFAULT_USAGE_DEADLINE_SECONDS) * MILLIS_PER_SECOND),
+                maxCallsPerSecond(cloud.path("dutyPerS")));
     }
 
-    private static OptionalDouble callsPerSecond(JsonNode stated) {
-        double number = stated.asDouble(0);
-        return stated.isNumber() && number > 0 ? OptionalDouble.of(number) : OptionalDouble.empty();
+    private static OptionalDouble maxCallsPerSecond(JsonNode value) {
+        double limit = value.asDouble(0);
+        return value.isNumber() && limit > 0 ? OptionalDouble.of(limit) : OptionalDouble.empty();
     }
 
-    /** The same for control. */
-    DutySettings forControl() {
+    /** Converts to the settings of the control core. */
+    DutySettings toDutySettings() {
         return new DutySettings(
                 leaseMillis,
-                usageWindowMillis.isPresent() ? OptionalLong.of(usageLateMillis) : OptionalLong.empty(),
-                callsPerSecond);
+                usageWindowMillis.isPresent() ? OptionalLong.of(usageDeadlineMillis) : OptionalLong.empty(),
+                maxCallsPerSecond);
     }
 }
--- a/src/main/java/org/cuminshelf/platform/PlatformHeaders.java
+++ b/src/main/java/org/cuminshelf/platform/PlatformHeaders.java
@@ -2,56 +2,56 @@
 
 import java.util.Set;
 
-/** The platform's headers. */
+/** Names of the platform's HTTP headers. */
 final class PlatformHeaders {
 
-    /** Names a request of a caller; each try of a caller has its own. Upstreams echo it. */
+    /** Identifier of a caller's request; the caller uses a new one for each of its retries. Upstreams echo it. */
     static final String REQUEST_ID = "X-Cuminshelf-Request-Id";
-    /** Milliseconds of patience left, a duration and not a time. */
+    /** Time left for the response in milliseconds: a duration, not a point in time. */
     static final String DEADLINE = "X-Cuminshelf-Deadline-Ms";
-    /** The parts of a prompt in order, as ID:TOKENS. */
-    static final String PROMPT_PARTS = "X-Cuminshelf-Prompt-Prefix";
-    /** Tokens of the prompt and most tokens of the output; no usage yet, in spite of the name. */
-    static final String TOKENS = "X-Cuminshelf-Token-Usage";
+    /** Segments of a prompt in order, each as ID:TOKENS, separated by commas. */
+    static final String PROMPT_SEGMENTS = "X-Cuminshelf-Prompt-Prefix";
+    /** Token count of the prompt and maximum of the output; a request header, in spite of its name. */
+    static final String TOKEN_COUNTS = "X-Cuminshelf-Token-Usage";
 
     static final String MODEL = "X-Cuminshelf-Model";
-    /** What the caller expects of output tokens. */
+    /** Number of output tokens that the caller expects. */
     static final String LENGTH_HINT = "X-Cuminshelf-Length-Hint";
-    /** The last event that the receiver of a stream holds. */
-    static final String LAST_EVENT = "Last-Event-Id";
-    /** The key of the caller's organisation, on deployments that have keys; upstreams never get it. */
-    static final String CALLER_KEY = "X-Cuminshelf-Credential";
-    /** The name of the organisation in which a request runs, for its upstream. */
+    /** Id of the last event of a stream that the caller received; the stream resumes after it. */
+    static final String LAST_EVENT_ID = "Last-Event-Id";
+    /** API key of the caller's organisation, in deployments with keys; never forwarded to upstreams. */
+    static final String API_KEY = "X-Cuminshelf-Credential";
+    /** Name of the organisation for which the upstream runs the request. */
     static final String ORGANISATION = "X-Cuminshelf-Tenant";
-    /** Marks an answer as that of a run. */
-    static final String SEAL = "X-Cuminshelf-Response-Seal";
-    /** Identity of the start of an upstream that is to answer. */
-    static final String EXPECTED_START = "X-Cuminshelf-Expect-Instance";
-    /** Identity of the start of an upstream that answered. */
-    static final String ANSWERING_START = "X-Cuminshelf-Instance-Id";
-    /** Present where the upstream states that the request did not run. */
+    /** Present on a response that the upstream produced by executing the request. */
+    static final String RESPONSE_SEAL = "X-Cuminshelf-Response-Seal";
+    /** Id of the upstream instance that must handle the request; each start of an upstream is a new instance. */
+    static final String EXPECTED_INSTANCE = "X-Cuminshelf-Expect-Instance";
+    /** Id of the upstream instance that responded. */
+    static final String RESPONDING_INSTANCE = "X-Cuminshelf-Instance-Id";
+    /** Present if the upstream guarantees that it did not execute the request. */
     static final String NOT_EXECUTED = "X-Cuminshelf-Not-Executed";
 
-    /** Requests a second that the answering upstream takes from all VMs together, a decimal number. */
+    /** Requests per second that the responding upstream accepts from all VMs together, as a decimal number. */
     static final String RATE_LIMIT = "Server-Limit";
 
-    /** Present where the answering upstream says that it leaves. */
+    /** Has the value 1 if the responding upstream is shutting down. */
     static final String LEAVING = "Server-Leaving";
 
-    /** Place in the engine's queue, 0 to 9. */
+    /** Priority in the engine's queue: 0 (first) to 9 (last). */
     static final String PRIORITY = "X-Cuminshelf-Request-Priority";
-    /** With the value {@link #PREFILL}: take in the prompt only. */
+    /** With the value {@link #STAGE_PREFILL}: process the prompt only. */
     static final String STAGE = "X-Cuminshelf-Stage";
 
-    static final String PREFILL = "prefill";
-    /** IP:PORT/HANDLE of the KV cache to fetch. */
-    static final String CACHE_SOURCE = "X-Cuminshelf-Kv-Source";
+    static final String STAGE_PREFILL = "prefill";
+    /** KV cache to fetch, as IP:PORT/HANDLE. */
+    static final String KV_CACHE_SOURCE = "X-Cuminshelf-Kv-Source";
 
-    /** IP:PORT of another engine from which shared parts of the prompt are fetched. */
-    static final String PART_SOURCE = "Kv-Fetch";
+    /** Address (IP:PORT) of another engine from which the KV cache of shared prompt segments is fetched. */
+    static final String PREFIX_SOURCE = "Kv-Fetch";
 
-    /** Headers that are for the system or that only it sets; what a caller sends in them is not passed on. */
-    static final Set<String> NOT_PASSED_ON = Set.of(
+    /** Headers, in lower case, that only this system reads or sets; a caller's values are not forwarded. */
+    static final Set<String> NOT_FORWARDED = Set.of(
             "x-cuminshelf-credential",
             "x-cuminshelf-tenant",
             "x-cuminshelf-deadline-ms",
--- a/src/main/java/org/cuminshelf/platform/PlatformProtocol.java
+++ b/src/main/java/org/cuminshelf/platform/PlatformProtocol.java
@@ -31,82 +31,84 @@
 import org.eclipse.jetty.http.HttpHeader;
 import org.tinylog.Logger;
 
-/** How the platform's callers and upstreams write requests and answers. */
+/** Translates between the platform's HTTP headers and the project's types, for requests and for responses. */
 final class PlatformProtocol implements UpstreamProtocol {
 
     private static final ObjectMapper JSON = new ObjectMapper();
-    /** An upstream's refusal of a request that expects another start, version or role. */
-    private static final int MISDIRECTED = 421;
+    /** The upstream is another instance, version or role than the request expects, and did not execute it. */
+    private static final int STATUS_MISDIRECTED = 421;
 
-    /** A number of at least 0 that a double holds. */
+    /** A decimal number of at least 0 that fits a double. */
     private static final Pattern DECIMAL = Pattern.compile("[0-9]{1,15}(\\.[0-9]{1,15})?");
 
-    /** Characters of an unreadable header that the log shows. */
-    private static final int MOST_SHOWN = 60;
+    /** Length at which a malformed header is cut off in the log. */
+    private static final int MAX_LOGGED_CHARACTERS = 60;
 
-    private static final int UNAVAILABLE = 503;
-    /** A day; a longer rest ends with the upstream. */
-    private static final double LONGEST_REST_SECONDS = 86_400;
+    private static final int STATUS_UNAVAILABLE = 503;
+    /** One day. */
+    private static final double MAX_BACKOFF_SECONDS = 86_400;
 
     private static final double MILLIS_PER_SECOND = 1_000;
 
-    private static final byte[] NOTHING = new byte[0];
+    private static final byte[] EMPTY_BODY = new byte[0];
 
     @Override
     public CallIntent readIntent(ReceivedRequest request) {
         HttpFields headers = request.headers();
         return new CallIntent(
                 Optional.ofNullable(headers.get(PlatformHeaders.REQUEST_ID)).orElse(""),
-                number(headers, PlatformHeaders.DEADLINE),
-                generation(headers),
-                number(headers, PlatformHeaders.LAST_EVENT),
-                keys(headers));
+                longValue(headers, PlatformHeaders.DEADLINE),
+                generationShape(headers),
+                longValue(headers, PlatformHeaders.LAST_EVENT_ID),
+                apiKeys(headers));
     }
 
-    private static RequestApiKeys keys(HttpFields headers) {
-        List<String> sent = headers.getValuesList(PlatformHeaders.CALLER_KEY);
-        return sent.isEmpty()
+    private static RequestApiKeys apiKeys(HttpFields headers) {
+        List<String> keys = headers.getValuesList(PlatformHeaders.API_KEY);
+        return keys.isEmpty()
                 ? RequestApiKeys.none()
-                : new RequestApiKeys(sent.stream().map(ApiKeyDigest::of).toList());
+                : new RequestApiKeys(keys.stream().map(ApiKeyDigest::of).toList());
     }
 
-    private static Optional<GenerationShape> generation(HttpFields headers) {
-        String tokens = headers.get(PlatformHeaders.TOKENS);
-        if (tokens == null) {
+    private static Optional<GenerationShape> generationShape(HttpFields headers) {
+        String header = headers.get(PlatformHeaders.TOKEN_COUNTS);
+        if (header == null) {
             return Optional.empty();
         }
-        String[] counts = tokens.split(",");
+        String[] counts = header.split(",");
         try {
-            int prompt = Integer.parseInt(counts[0].trim());
-            int most = counts.length > 1 ? Integer.parseInt(counts[1].trim()) : 0;
-            int expected = (int) number(headers, PlatformHeaders.LENGTH_HINT).orElse(most);
+            int promptTokens = Integer.parseInt(counts[0].trim());
+            int maxOutputTokens = counts.length > 1 ? Integer.parseInt(counts[1].trim()) : 0;
+            int expectedTokens =
+                    (int) longValue(headers, PlatformHeaders.LENGTH_HINT).orElse(maxOutputTokens);
             String model =
                     Optional.ofNullable(headers.get(PlatformHeaders.MODEL)).orElse("");
-            return Optional.of(
-                    new GenerationShape(model, prompt, expected, parts(headers.get(PlatformHeaders.PROMPT_PARTS))));
+            return Optional.of(new GenerationShape(
+                    model, promptTokens, expectedTokens, promptSegments(headers.get(PlatformHeaders.PROMPT_SEGMENTS))));
         } catch (NumberFormatException e) {
-            Logger.info("platform: event=unreadable-header header={} value=\"{}\"", PlatformHeaders.TOKENS, tokens);
+            Logger.info(
+                    "platform: event=unreadable-header header={} value=\"{}\"", PlatformHeaders.TOKEN_COUNTS, header);
             return Optional.empty();
         }
     }
 
-    private static List<PromptSegment> parts(String header) {
-        List<PromptSegment> parts = new ArrayList<>();
+    private static List<PromptSegment> promptSegments(String header) {
+        List<PromptSegment> segments = new ArrayList<>();
         if (header == null) {
-            return parts;
+            return segments;
         }
         for (String entry : header.split(",")) {
             int colon = entry.indexOf(':');
             if (colon > 0) {
-                parts.add(new PromptSegment(
+                segments.add(new PromptSegment(
                         entry.substring(0, colon).trim(),
                         Integer.parseInt(entry.substring(colon + 1).trim())));
             }
         }
-        return parts;
+        return segments;
     }
 
-    private static OptionalLong number(HttpFields headers, String name) {
+    private static OptionalLong longValue(HttpFields headers, String name) {
         String value = headers.get(name);
         if (value == null) {
             return OptionalLong.empty();
@@ -121,80 +123,85 @@
 
     @Override
     public UpstreamRequest attemptRequest(ReceivedRequest request, AttemptPlan plan) {
-        Set<String> named = namedByConnection(request.headers());
+        Set<String> connectionOptions = connectionOptions(request.headers());
         HttpFields.Mutable headers = HttpFields.build();
         for (HttpField field : request.headers()) {
             String name = field.getName().toLowerCase(Locale.ROOT);
-            boolean kept = !HopByHopHeaders.contains(field) && !PlatformHeaders.NOT_PASSED_ON.contains(name);
-            if (kept && !named.contains(name)) {
+            boolean forwarded = !HopByHopHeaders.contains(field) && !PlatformHeaders.NOT_FORWARDED.contains(name);
+            if (forwarded && !connectionOptions.contains(name)) {
                 headers.add(field);
             }
         }
         headers.put(PlatformHeaders.DEADLINE, String.valueOf(plan.remainingMillis()));
-        headers.put(PlatformHeaders.EXPECTED_START, plan.upstream());
+        headers.put(PlatformHeaders.EXPECTED_INSTANCE, plan.upstream());
         plan.organisation().ifPresent(name -> headers.put(PlatformHeaders.ORGANISATION, name));
-        if (request.headers().contains(PlatformHeaders.TOKENS)) {
+        if (request.headers().contains(PlatformHeaders.TOKEN_COUNTS)) {
             headers.put(PlatformHeaders.PRIORITY, String.valueOf(plan.priority()));
         }
         if (plan.prefillOnly()) {
-            headers.put(PlatformHeaders.STAGE, PlatformHeaders.PREFILL);
+            headers.put(PlatformHeaders.STAGE, PlatformHeaders.STAGE_PREFILL);
         }
         plan.cache()
-                .ifPresent(cache -> headers.put(PlatformHeaders.CACHE_SOURCE, cache.engine() + "/" + cache.handle()));
-        plan.prefixSource().ifPresent(engine -> headers.put(PlatformHeaders.PART_SOURCE, engine.value()));
-        plan.resumeAfter().ifPresent(event -> headers.put(PlatformHeaders.LAST_EVENT, String.valueOf(event)));
+                .ifPresent(
+                        cache -> headers.put(PlatformHeaders.KV_CACHE_SOURCE, cache.engine() + "/" + cache.handle()));
+        plan.prefixSource().ifPresent(engine -> headers.put(PlatformHeaders.PREFIX_SOURCE, engine.value()));
+        plan.resumeAfter().ifPresent(event -> headers.put(PlatformHeaders.LAST_EVENT_ID, String.valueOf(event)));
         return new UpstreamRequest(request.method(), request.target(), headers, request.body());
     }
 
-    /** Headers that the caller's Connection header names concern its own connection only. */
-    private static Set<String> namedByConnection(HttpFields headers) {
-        Set<String> named = new HashSet<>();
-        headers.getCSV(HttpHeader.CONNECTION, false).forEach(name -> named.add(name.toLowerCase(Locale.ROOT)));
-        return named;
+    /**
+     * Returns, in lower case, the headers named in the Connection header; they apply to the caller's connection only.
+     */
+    private static Set<String> connectionOptions(HttpFields headers) {
+        Set<String> options = new HashSet<>();
+        headers.getCSV(HttpHeader.CONNECTION, false).forEach(name -> options.add(name.toLowerCase(Locale.ROOT)));
+        return options;
     }
 
     @Override
     public UpstreamRequest releaseRequest(KvCacheHandle handle) {
         HttpFields headers =
                 HttpFields.build().put(HttpHeader.HOST, handle.engine().value());
-        return new UpstreamRequest("DELETE", "/cuminshelf/kv-handle/" + handle.handle(), headers, NOTHING);
+        return new UpstreamRequest("DELETE", "/cuminshelf/kv-handle/" + handle.handle(), headers, EMPTY_BODY);
     }
 
     @Override
     public ResponseMetadata readMetadata(int status, HttpFields headers) {
         return new ResponseMetadata(
                 Optional.ofNullable(headers.get(PlatformHeaders.REQUEST_ID)),
-                status == MISDIRECTED || headers.contains(PlatformHeaders.NOT_EXECUTED),
-                Optional.ofNullable(headers.get(PlatformHeaders.ANSWERING_START)),
-                headers.contains(PlatformHeaders.SEAL),
+                status == STATUS_MISDIRECTED || headers.contains(PlatformHeaders.NOT_EXECUTED),
+                Optional.ofNullable(headers.get(PlatformHeaders.RESPONDING_INSTANCE)),
+                headers.contains(PlatformHeaders.RESPONSE_SEAL),
                 new BackpressureSignals(
-                        limit(headers), rest(status, headers), "1".equals(headers.get(PlatformHeaders.LEAVING))));
+                        advertisedLimit(headers),
+                        backoff(status, headers),
+                        "1".equals(headers.get(PlatformHeaders.LEAVING))));
     }
 
-    /** Only a refusal asks for rest; elsewhere the header means something else, or nothing. */
-    private static Optional<Duration> rest(int status, HttpFields headers) {
-        String stated = headers.get(HttpHeader.RETRY_AFTER);
-        if (status != UNAVAILABLE || stated == null) {
+    /** Reads Retry-After from a 503 response; with other statuses the header does not ask for backoff. */
+    private static Optional<Duration> backoff(int status, HttpFields headers) {
+        String value = headers.get(HttpHeader.RETRY_AFTER);
+        if (status != STATUS_UNAVAILABLE || value == null) {
             return Optional.empty();
         }
-        if (!DECIMAL.matcher(stated).matches()) {
-            Logger.info("platform: event=unreadable-header header={} value=\"{}\"", HttpHeader.RETRY_AFTER, stated);
+        if (!DECIMAL.matcher(value).matches()) {
+            Logger.info("platform: event=unreadable-header header={} value=\"{}\"", HttpHeader.RETRY_AFTER, value);
             return Optional.empty();
         }
-        double seconds = Math.min(LONGEST_REST_SECONDS, Double.parseDouble(stated));
+        double seconds = Math.min(MAX_BACKOFF_SECONDS, Double.parseDouble(value));
         return Optional.of(Duration.ofMillis((long) Math.ceil(seconds * MILLIS_PER_SECOND)));
     }
 
-    private static AdvertisedLimit limit(HttpFields headers) {
-        List<String> stated = headers.getValuesList(PlatformHeaders.RATE_LIMIT);
-        if (stated.isEmpty()) {
+    private static AdvertisedLimit advertisedLimit(HttpFields headers) {
+        List<String> values = headers.getValuesList(PlatformHeaders.RATE_LIMIT);
+        if (values.isEmpty()) {
             return new AdvertisedLimit.Unlimited();
         }
-        if (stated.size() == 1 && DECIMAL.matcher(stated.getFirst()).matches()) {
-            return new AdvertisedLimit.PerSecond(Double.parseDouble(stated.getFirst()));
+        if (values.size() == 1 && DECIMAL.matcher(values.getFirst()).matches()) {
+            return new AdvertisedLimit.PerSecond(Double.parseDouble(values.getFirst()));
         }
-        String text = stated.toString();
-        return new AdvertisedLimit.Malformed(text.substring(0, Math.min(text.length(), MOST_SHOWN)));
+        String text = values.toString();
+        return new AdvertisedLimit.Malformed(text.substring(0, Math.min(text.length(), MAX_LOGGED_CHARACTERS)));
     }
 
     @Override
--- a/src/main/java/org/cuminshelf/platform/RejectedHeartbeats.java
+++ b/src/main/java/org/cuminshelf/platform/RejectedHeartbeats.java
@@ -7,61 +7,61 @@
 import org.tinylog.Logger;
 
 /**
- * Counts and logs heartbeats that can't be read. Whoever sends them sends them again and again, so that the lines are
- * bounded; the counter tells of all of them.
+ * Counts and logs invalid heartbeats. A faulty sender repeats them, so the log lines are limited; the counter includes
+ * all of them.
  */
 final class RejectedHeartbeats {
 
-    /** Lines a second: enough to see who sends them. */
-    private static final int MOST_LINES = 2;
-    /** Characters of a name that are logged; those of upstreams are shorter. */
-    private static final int MOST_CHARACTERS = 64;
+    /** Enough to identify the sender. */
+    private static final int MAX_LINES_PER_SECOND = 2;
+    /** Length at which a logged name is cut off; valid upstream names are shorter. */
+    private static final int MAX_LOGGED_CHARACTERS = 64;
 
-    private final Counter count;
+    private final Counter counter;
     private final LongSupplier clock;
-    private long second = Long.MIN_VALUE;
-    private int lines;
+    private long currentSecond = Long.MIN_VALUE;
+    private int linesThisSecond;
 
-    private RejectedHeartbeats(Counter count, LongSupplier clock) {
-        this.count = count;
+    private RejectedHeartbeats(Counter counter, LongSupplier clock) {
+        this.counter = counter;
         this.clock = clock;
     }
 
     /**
-     * Registers the counter.
+     * Creates an instance and registers its counter.
      *
-     * @param registry where it is served from
-     * @param clock    monotonic nanoseconds
-     * @return the notes
+     * @param registry registry for the counter
+     * @param clock    monotonic clock in nanoseconds
+     * @return the instance
      */
     static RejectedHeartbeats register(PrometheusRegistry registry, LongSupplier clock) {
-        Counter count = Counter.builder()
+        Counter counter = Counter.builder()
                 .name("cuminshelf_heartbeats_refused")
                 .help("Heartbeats of upstreams that could not be read.")
                 .register(registry);
-        return new RejectedHeartbeats(count, clock);
+        return new RejectedHeartbeats(counter, clock);
     }
 
     /**
-     * Notes a heartbeat that was refused.
+     * Counts a rejected heartbeat and logs it unless this second's limit of lines is reached.
      *
-     * @param name  the name under which it came
-     * @param wrong what is wrong with it
-     * @return whether a line was written
+     * @param name   the upstream name in the request
+     * @param reason why the heartbeat is invalid
+     * @return whether a line was logged
      */
-    boolean note(String name, String wrong) {
-        count.inc();
+    boolean record(String name, String reason) {
+        counter.inc();
         long now = TimeUnit.NANOSECONDS.toSeconds(clock.getAsLong());
-        if (now != second) {
-            second = now;
-            lines = 0;
+        if (now != currentSecond) {
+            currentSecond = now;
+            linesThisSecond = 0;
         }
-        if (lines >= MOST_LINES) {
+        if (linesThisSecond >= MAX_LINES_PER_SECOND) {
             return false;
         }
-        lines++;
-        String shown = name.length() > MOST_CHARACTERS ? name.substring(0, MOST_CHARACTERS) : name;
-        Logger.info("control: event=heartbeat-refused name={} reason=\"{}\"", shown, wrong);
+        linesThisSecond++;
+        String loggedName = name.length() > MAX_LOGGED_CHARACTERS ? name.substring(0, MAX_LOGGED_CHARACTERS) : name;
+        Logger.info("control: event=heartbeat-refused name={} reason=\"{}\"", loggedName, reason);
         return true;
     }
 }
--- a/src/main/java/org/cuminshelf/platform/RoleChangeRequest.java
+++ b/src/main/java/org/cuminshelf/platform/RoleChangeRequest.java
@@ -15,55 +15,60 @@
 import org.eclipse.jetty.http.HttpFields;
 import org.eclipse.jetty.http.HttpHeader;
 
-/** An order to an engine. */
+/** The request that changes the role of an engine: a POST with a JSON body. */
 final class RoleChangeRequest {
 
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final String PATH = "/cuminshelf/order";
-    private static final int HOLDS_ALREADY = 200;
-    private static final int CARRIED_OUT = 202;
+    private static final int STATUS_ALREADY_IN_ROLE = 200;
+    private static final int STATUS_ACCEPTED = 202;
 
     private RoleChangeRequest() {}
 
-    /** Writes an order of a VM; the platform calls the one who gives orders their holder. */
-    static UpstreamRequest write(DirectOrder order, String vm) {
+    /**
+     * Creates the request.
+     *
+     * @param order the role change
+     * @param vm    name of the VM that sends it (JSON field {@code holder})
+     */
+    static UpstreamRequest create(DirectOrder order, String vm) {
         ObjectNode body = JSON.createObjectNode()
                 .put("op", "stage")
-                .put("stage", order.getRole() == Role.ROLE_PREFILL ? PlatformHeaders.PREFILL : "decode")
+                .put("stage", order.getRole() == Role.ROLE_PREFILL ? PlatformHeaders.STAGE_PREFILL : "decode")
                 .put("holder", vm)
                 .put("fence", order.getNumber());
         HttpFields headers = HttpFields.build()
                 .put(HttpHeader.HOST, order.getAddress())
                 .put(HttpHeader.CONTENT_TYPE, "application/json")
-                .put(PlatformHeaders.EXPECTED_START, order.getUpstream());
+                .put(PlatformHeaders.EXPECTED_INSTANCE, order.getUpstream());
         return new UpstreamRequest("POST", PATH, headers, body.toString().getBytes(StandardCharsets.UTF_8));
     }
 
-    /** Takes the engine's answer. */
-    static final class Answer implements UpstreamHandler {
+    /** Reports the engine's response, or the failure to get one, to the core. */
+    static final class ResponseHandler implements UpstreamHandler {
 
         private final long number;
         private final Consumer<Envelope.Builder> core;
         private int status;
 
-        Answer(long number, Consumer<Envelope.Builder> core) {
+        ResponseHandler(long number, Consumer<Envelope.Builder> core) {
             this.number = number;
             this.core = core;
         }
 
         @Override
-        public void onHead(int answered, HttpFields headers) {
-            status = answered;
+        public void onHead(int responseStatus, HttpFields headers) {
+            status = responseStatus;
         }
 
         @Override
         public void onBody(ByteBuffer bytes) {
-            // The status says all.
+            // Only the status matters.
         }
 
         @Override
         public void onComplete() {
-            boolean accepted = status == CARRIED_OUT || status == HOLDS_ALREADY;
+            boolean accepted = status == STATUS_ACCEPTED || status == STATUS_ALREADY_IN_ROLE;
             report(accepted, accepted ? Cause.CAUSE_NONE : Cause.ORDER_PENDING);
         }
 
--- a/src/main/java/org/cuminshelf/platform/RouteConfigParser.java
+++ b/src/main/java/org/cuminshelf/platform/RouteConfigParser.java
@@ -26,20 +26,24 @@
 import org.cuminshelf.routes.RoutedService;
 import org.cuminshelf.routes.WeightedService;
 
-/** The configuration as the platform's operators write it. */
+/** Parses and validates the JSON route configuration that the platform's operators upload. */
 final class RouteConfigParser {
 
     private static final ObjectMapper JSON = JsonMapper.builder()
             .enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS)
             .enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION)
             .build();
-    /** Timeout of a route that states none. */
-    private static final long DEFAULT_TIMEOUT_MILLIS = 60_000;
+    private static final long DEFAULT_ROUTE_TIMEOUT_MILLIS = 60_000;
 
     private RouteConfigParser() {}
 
-    /** Reads and checks a configuration; the text says what is wrong with it. */
-    static Either<String, RouteTable> read(byte[] document) {
+    /**
+     * Parses and validates a configuration.
+     *
+     * @param document the JSON document
+     * @return the route table, or the reason why the document is invalid; the reason never contains an API key
+     */
+    static Either<String, RouteTable> parse(byte[] document) {
         try {
             JsonNode root = JSON.readTree(document);
             if (root == null || !root.isObject()) {
@@ -52,15 +56,18 @@
             Optional<String> problem = table.validationError();
             return problem.isPresent() ? Either.left(problem.get()) : Either.right(table);
         } catch (JsonProcessingException e) {
-            return Either.left("the configuration can't be read: " + place(e));
+            return Either.left("the configuration can't be read: " + errorPosition(e));
         } catch (IOException e) {
             return Either.left(e.getMessage());
         }
     }
 
-    /** Where a document can't be read. The reader's own message quotes the document, which holds keys of callers. */
-    private static String place(JsonProcessingException problem) {
-        return Optional.ofNullable(problem.getLocation())
+    /**
+     * Describes the position of a syntax error. Jackson's own message is not used: it quotes the document, with API
+     * keys.
+     */
+    private static String errorPosition(JsonProcessingException error) {
+        return Optional.ofNullable(error.getLocation())
                 .map(location -> "no sound JSON at line " + location.getLineNr() + ", column " + location.getColumnNr())
                 .orElse("no sound JSON");
     }
@@ -83,10 +90,10 @@
                 routes,
                 services,
                 organisations(root.path("tenants")),
-                limits(root.path("limits")));
+                callerLimits(root.path("limits")));
     }
 
-    /** The organisations, which the platform calls tenants; a configuration without that list asks for no keys. */
+    /** Reads the organisations, which the platform calls tenants. Without that list no API keys are required. */
     private static Organisations organisations(JsonNode list) throws IOException {
         if (list.isMissingNode() || list.isNull()) {
             return Organisations.unrestricted();
@@ -114,21 +121,21 @@
             }
             keys.add(ApiKeyDigest.of(key.textValue()));
         }
-        boolean ranked = node.hasNonNull("priority");
-        OptionalInt priority = ranked ? OptionalInt.of((int) number(node, "priority", 0)) : OptionalInt.empty();
+        boolean hasPriority = node.hasNonNull("priority");
+        OptionalInt priority = hasPriority ? OptionalInt.of((int) number(node, "priority", 0)) : OptionalInt.empty();
         return new Organisation(name, keys, priority);
     }
 
     private static RoutedService service(JsonNode node) throws IOException {
         JsonNode engine = node.path("engine");
-        Optional<EngineCapacity> limits = engine.isObject()
+        Optional<EngineCapacity> capacity = engine.isObject()
                 ? Optional.of(new EngineCapacity(
                         engine.path("slots").asInt(1),
                         engine.path("kvCapacityTokens").asLong(0),
                         engine.path("stride").asInt(1),
                         engine.path("kvTokenBytes").asDouble(0)))
                 : Optional.empty();
-        return new RoutedService(text(node, "name"), node.path("maxConns").asInt(Integer.MAX_VALUE), limits);
+        return new RoutedService(text(node, "name"), node.path("maxConns").asInt(Integer.MAX_VALUE), capacity);
     }
 
     private static Route route(JsonNode node) throws IOException {
@@ -139,12 +146,12 @@
         if (services.isEmpty()) {
             services.add(new WeightedService(text(node, "service"), 1));
         }
-        long timeout = number(node, "timeoutMs", DEFAULT_TIMEOUT_MILLIS);
+        long timeout = number(node, "timeoutMs", DEFAULT_ROUTE_TIMEOUT_MILLIS);
         return new Route(
                 node.path("name").asText(""),
                 text(node, "host").toLowerCase(Locale.ROOT),
                 text(node, "pathPrefix"),
-                kind(text(node, "routeKind")),
+                requestKind(text(node, "routeKind")),
                 timeout,
                 number(node, "targetLatencyMs", timeout),
                 (int) number(node, "priority", 0),
@@ -155,22 +162,22 @@
                 node.path("public").asBoolean(false));
     }
 
-    private static RequestKind kind(String word) throws IOException {
-        return switch (word) {
+    private static RequestKind requestKind(String value) throws IOException {
+        return switch (value) {
             case "idempotent" -> RequestKind.IDEMPOTENT;
             case "non_idempotent" -> RequestKind.NON_IDEMPOTENT;
             case "stream" -> RequestKind.STREAM;
-            default -> throw new IOException("'routeKind' is " + word + ", which is no known kind");
+            default -> throw new IOException("'routeKind' is " + value + ", which is no known kind");
         };
     }
 
-    private static CallerLimits limits(JsonNode node) throws IOException {
-        CallerLimits usual = CallerLimits.DEFAULT;
+    private static CallerLimits callerLimits(JsonNode node) throws IOException {
+        CallerLimits defaults = CallerLimits.DEFAULT;
         return new CallerLimits(
-                (int) number(node, "maxHeaderBytes", usual.maxHeaderBytes()),
-                (int) number(node, "maxBodyBytes", usual.maxBodyBytes()),
-                number(node, "headerTimeoutMs", usual.headerTimeoutMillis()),
-                number(node, "idleTimeoutMs", usual.idleTimeoutMillis()));
+                (int) number(node, "maxHeaderBytes", defaults.maxHeaderBytes()),
+                (int) number(node, "maxBodyBytes", defaults.maxBodyBytes()),
+                number(node, "headerTimeoutMs", defaults.headerTimeoutMillis()),
+                number(node, "idleTimeoutMs", defaults.idleTimeoutMillis()));
     }
 
     private static String text(JsonNode node, String name) throws IOException {
@@ -181,10 +188,10 @@
         return value;
     }
 
-    private static long number(JsonNode node, String name, long absent) throws IOException {
+    private static long number(JsonNode node, String name, long defaultValue) throws IOException {
         JsonNode value = node.path(name);
         if (value.isMissingNode()) {
-            return absent;
+            return defaultValue;
         }
         if (!value.isNumber()) {
             throw new IOException("'" + name + "' must be a number");
--- a/src/main/java/org/cuminshelf/platform/UsageReportClient.java
+++ b/src/main/java/org/cuminshelf/platform/UsageReportClient.java
@@ -16,111 +16,115 @@
 import org.tinylog.Logger;
 
 /**
- * Calls to the platform that are the duty of one process at a time; control decides which and when.
+ * Sends usage reports to the platform. Only one process at a time may do so; the control core decides which one and
+ * when.
  *
- * <p>Failure it guards against: this process stands still, or its way is cut, between the decision and the write, and
- * the call arrives after one of the next holder. Each call has a connection of its own, opened first. It is written
- * only while it is allowed by the monotonic clock, and if that clock kept pace with the time of day since, as it does
- * not while a VM is suspended. What is given up is thrown away, also where it waits in the socket.
+ * <p>If this process is paused or loses its network between the decision and the write, its report must not arrive
+ * after one from the next holder of the lease. Each report therefore has its own connection, which is opened first. The
+ * report is written only before its deadline on the monotonic clock, and only if that clock has not drifted from the
+ * time of day since the decision, as it does while a VM is suspended. An abandoned report's connection is reset, so
+ * that bytes still in the socket's buffer are discarded.
  */
 final class UsageReportClient {
 
-    /** Difference between the clocks' paces that shows that the VM stood still. */
-    private static final long STOOD_STILL_MILLIS = 100;
+    /** Drift between the monotonic clock and the time of day from which the VM is taken to have been suspended. */
+    private static final long SUSPENDED_DRIFT_MILLIS = 100;
 
-    private static final String CONNECTION = "duty-";
-    private static final int ACKNOWLEDGED = 200;
+    private static final String CONNECTION_NAME_PREFIX = "duty-";
+    private static final int HTTP_OK = 200;
 
     private final UpstreamConnections connections;
-    private final Address platform;
+    private final Address platformAddress;
     private final String vm;
     private final Consumer<Envelope.Builder> core;
-    private Optional<Call> current = Optional.empty();
-    private long calls;
+    private Optional<PendingReport> current = Optional.empty();
+    private long sentReports;
 
-    UsageReportClient(UpstreamConnections connections, Address platform, String vm, Consumer<Envelope.Builder> core) {
+    UsageReportClient(
+            UpstreamConnections connections, Address platformAddress, String vm, Consumer<Envelope.Builder> core) {
         this.connections = connections;
-        this.platform = platform;
+        this.platformAddress = platformAddress;
         this.vm = vm;
         this.core = core;
     }
 
-    /** Sends a report, in place of any that is under way. Under the connections' lock. */
-    void report(UsageReport report) {
-        giveUp();
-        Call call = new Call(report, CONNECTION + calls++);
-        current = Optional.of(call);
-        connections.probe(platform, call.connection, call::connected);
+    /** Sends a report and abandons the previous one if it is still pending. The connections' lock must be held. */
+    void send(UsageReport report) {
+        abandon();
+        PendingReport next = new PendingReport(report, CONNECTION_NAME_PREFIX + sentReports++);
+        current = Optional.of(next);
+        connections.probe(platformAddress, next.connection, next::onProbed);
     }
 
-    /** Gives up what is under way. Under the connections' lock. */
-    void giveUp() {
-        current.ifPresent(Call::giveUp);
+    /** Abandons the pending report, if any. The connections' lock must be held. */
+    void abandon() {
+        current.ifPresent(PendingReport::abandon);
         current = Optional.empty();
     }
 
-    private static long paceMillis() {
+    /** Returns the time of day less the monotonic clock; only the change between two results is meaningful. */
+    private static long clockOffsetMillis() {
         return System.currentTimeMillis() - TimeUnit.NANOSECONDS.toMillis(System.nanoTime());
     }
 
-    /** One report under way. */
-    private final class Call implements UpstreamHandler {
+    /** A report that has been neither answered nor abandoned yet. */
+    private final class PendingReport implements UpstreamHandler {
 
         private final UsageReport report;
         private final String connection;
-        private final long decidedPace = paceMillis();
+        private final long offsetAtDecisionMillis = clockOffsetMillis();
         private Optional<UpstreamExchange> exchange = Optional.empty();
-        private boolean givenUp;
+        private boolean abandoned;
         private int status;
 
-        private Call(UsageReport report, String connection) {
+        private PendingReport(UsageReport report, String connection) {
             this.report = report;
             this.connection = connection;
         }
 
-        private void connected(Reachability seen) {
-            if (seen == Reachability.LISTENING && !givenUp && mayWrite()) {
-                exchange = Optional.of(
-                        connections.send(platform, connection, UsageReportRequest.write(report, platform, vm), this));
+        private void onProbed(Reachability reachability) {
+            if (reachability == Reachability.LISTENING && !abandoned && isWriteAllowed()) {
+                exchange = Optional.of(connections.send(
+                        platformAddress, connection, UsageReportRequest.create(report, platformAddress, vm), this));
                 return;
             }
-            connections.closeIdle(platform, connection);
-            end(false, seen == Reachability.LISTENING ? "no longer allowed" : "no connection");
+            connections.closeIdle(platformAddress, connection);
+            finish(false, reachability == Reachability.LISTENING ? "no longer allowed" : "no connection");
         }
 
-        private boolean mayWrite() {
+        private boolean isWriteAllowed() {
             return System.nanoTime() < report.getWriteUntilNs()
-                    && Math.abs(paceMillis() - decidedPace) < STOOD_STILL_MILLIS;
+                    && Math.abs(clockOffsetMillis() - offsetAtDecisionMillis) < SUSPENDED_DRIFT_MILLIS;
         }
 
-        private void giveUp() {
-            givenUp = true;
+        private void abandon() {
+            abandoned = true;
             exchange.ifPresent(UpstreamExchange::cancelAndReset);
         }
 
         @Override
-        public void onHead(int answered, HttpFields headers) {
-            status = answered;
+        public void onHead(int responseStatus, HttpFields headers) {
+            status = responseStatus;
         }
 
         @Override
         public void onBody(ByteBuffer bytes) {
-            // The status says all.
+            // Only the status matters.
         }
 
         @Override
         public void onComplete() {
-            connections.closeIdle(platform, connection);
-            end(status == ACKNOWLEDGED, "answered");
+            connections.closeIdle(platformAddress, connection);
+            finish(status == HTTP_OK, "answered");
         }
 
         @Override
         public void onFailed(boolean sent, String reason) {
-            end(false, reason);
+            finish(false, reason);
         }
 
-        private void end(boolean accepted, String reason) {
-            if (givenUp) {
+        private void finish(boolean accepted, String reason) {
+            if (abandoned) {
                 Logger.info("control: event=duty-call id={} outcome=given-up", connection);
                 return;
             }
--- a/src/main/java/org/cuminshelf/platform/UsageReportRequest.java
+++ b/src/main/java/org/cuminshelf/platform/UsageReportRequest.java
@@ -9,29 +9,35 @@
 import org.eclipse.jetty.http.HttpFields;
 import org.eclipse.jetty.http.HttpHeader;
 
-/** A report of usage to the platform. */
+/** The request that reports usage to the platform: a POST with a JSON body. */
 final class UsageReportRequest {
 
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final String PATH = "/usage";
-    /** The name of the VM that does the duty. */
-    private static final String HOLDER = "X-Cuminshelf-Duty-Holder";
-    /** Rises with the holder; the platform calls it a token, but it is a number. */
-    private static final String NUMBER = "X-Cuminshelf-Fence-Token";
+    /** Header with the name of the VM that sends the report. */
+    private static final String DUTY_HOLDER_HEADER = "X-Cuminshelf-Duty-Holder";
+    /** Header with the fencing number, which increases with each new holder; the platform calls it a token. */
+    private static final String FENCE_TOKEN_HEADER = "X-Cuminshelf-Fence-Token";
 
     private UsageReportRequest() {}
 
-    /** Writes a report of a VM. The same report has the same body each time, as the platform compares them. */
-    static UpstreamRequest write(UsageReport report, Address platform, String vm) {
+    /**
+     * Creates the request. Equal reports have equal bodies, since the platform compares them.
+     *
+     * @param report          the report
+     * @param platformAddress address of the platform
+     * @param vm              name of the VM that sends the report
+     */
+    static UpstreamRequest create(UsageReport report, Address platformAddress, String vm) {
         ObjectNode body =
                 JSON.createObjectNode().put("windowSeq", report.getUsage().getWindow());
         ObjectNode counts = body.putObject("counts");
         report.getUsage().getCountsList().forEach(row -> counts.put(row.getOrganisation(), row.getCount()));
         HttpFields headers = HttpFields.build()
-                .put(HttpHeader.HOST, platform.value())
+                .put(HttpHeader.HOST, platformAddress.value())
                 .put(HttpHeader.CONTENT_TYPE, "application/json")
-                .put(HOLDER, vm)
-                .put(NUMBER, report.getNumber());
+                .put(DUTY_HOLDER_HEADER, vm)
+                .put(FENCE_TOKEN_HEADER, report.getNumber());
         return new UpstreamRequest("POST", PATH, headers, body.toString().getBytes(StandardCharsets.UTF_8));
     }
 }
--- a/src/main/java/org/cuminshelf/platform/WarmUp.java
+++ b/src/main/java/org/cuminshelf/platform/WarmUp.java
@@ -15,14 +15,15 @@
 import org.tinylog.Logger;
 
 /**
- * Serves one request by both roles on loopback and ends, while the build records the classes that were loaded. A
- * process that starts from that record is up sooner: on 0.57 of a core classes are most of a start.
+ * Serves one request through an entry and a control process on loopback and exits, while the build records the loaded
+ * classes for class data sharing. A process that starts from that archive is ready sooner: on 0.57 of a core, class
+ * loading takes most of the startup time.
  */
 final class WarmUp {
 
     private static final String HOST = "127.0.0.1";
-    private static final int TRIES = 200;
-    private static final long PAUSE_MILLIS = 25;
+    private static final int MAX_ATTEMPTS = 200;
+    private static final long RETRY_DELAY_MILLIS = 25;
     private static final String CONFIG =
             "{\"version\":1,\"routes\":[{\"name\":\"r\",\"host\":\"h\",\"pathPrefix\":\"/\","
                 + "\"routeKind\":\"stream\",\"timeoutMs\":2000,\"service\":\"s\"}],"
@@ -30,25 +31,29 @@
 
     private WarmUp() {}
 
-    /** Serves one request. */
+    /**
+     * Serves one request.
+     *
+     * @throws Exception if a step does not succeed within its attempts
+     */
     static void run() throws Exception {
         Path folder = Files.createTempDirectory("cuminshelf-warm-up");
         int[] ports = freePorts(7);
         try (ServerSocket upstream = new ServerSocket(0, 10, InetAddress.getByName(HOST))) {
-            Thread answers = new Thread(() -> answer(upstream), "warm-up upstream");
-            answers.setDaemon(true);
-            answers.start();
+            Thread upstreamThread = new Thread(() -> serveUpstream(upstream), "warm-up upstream");
+            upstreamThread.setDaemon(true);
+            upstreamThread.start();
             List<ServingProcess> processes = List.of(
-                    PlatformCommand.control(settings(folder, ports[0], ports[1], ports[0], ports[2], ports[2])),
-                    PlatformCommand.entry(settings(folder, ports[3], ports[4], ports[0], ports[5], ports[6])));
-            until(ports[2], "PUT /cuminshelf/config", CONFIG, "200");
-            String beat = "{\"service\":\"s\",\"address\":\"" + HOST + ":" + upstream.getLocalPort()
+                    PlatformCommand.startControl(settings(folder, ports[0], ports[1], ports[0], ports[2], ports[2])),
+                    PlatformCommand.startEntry(settings(folder, ports[3], ports[4], ports[0], ports[5], ports[6])));
+            retryUntil(ports[2], "PUT /cuminshelf/config", CONFIG, "200");
+            String heartbeat = "{\"service\":\"s\",\"address\":\"" + HOST + ":" + upstream.getLocalPort()
                     + "\",\"zone\":\"z\",\"slots\":4,\"state\":\"ready\",\"stage\":\"decode\","
                     + "\"sequence\":1,\"born\":1}";
-            until(ports[2], "PUT /cuminshelf/instances/i-1", beat, "200");
-            until(ports[6], "GET /", "", "200");
-            until(ports[5], "POST /a", "", "id: 1");
-            until(ports[4], "GET /metrics", "", "cuminshelf_decisions");
+            retryUntil(ports[2], "PUT /cuminshelf/instances/i-1", heartbeat, "200");
+            retryUntil(ports[6], "GET /", "", "200");
+            retryUntil(ports[5], "POST /a", "", "id: 1");
+            retryUntil(ports[4], "GET /metrics", "", "cuminshelf_decisions");
             processes.forEach(ServingProcess::close);
         } finally {
             delete(folder);
@@ -66,42 +71,44 @@
         return BootSettings.read(file).withSeedPort(seed);
     }
 
-    /** Sends a request again until its answer holds a text. */
-    private static void until(int port, String call, String body, String wanted) throws Exception {
-        String request = call + " HTTP/1.1\r\nHost: h\r\nConnection: close\r\n" + PlatformHeaders.REQUEST_ID + ": w\r\n"
-                + PlatformHeaders.TOKENS + ": 10,10\r\n" + PlatformHeaders.PROMPT_PARTS
-                + ": a:5,b:5\r\nContent-Length: "
-                + body.length() + "\r\n\r\n" + body;
-        for (int attempt = 0; attempt < TRIES; attempt++) {
+    /** Repeats a request until its response contains a text. */
+    private static void retryUntil(int port, String requestLine, String body, String expected) throws Exception {
+        String request =
+                requestLine + " HTTP/1.1\r\nHost: h\r\nConnection: close\r\n" + PlatformHeaders.REQUEST_ID + ": w\r\n"
+                        + PlatformHeaders.TOKEN_COUNTS + ": 10,10\r\n" + PlatformHeaders.PROMPT_SEGMENTS
+                        + ": a:5,b:5\r\nContent-Length: "
+                        + body.length() + "\r\n\r\n" + body;
+        for (int attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
             try (Socket socket = new Socket(HOST, port)) {
                 socket.getOutputStream().write(request.getBytes(StandardCharsets.UTF_8));
-                String answer = new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-                if (answer.contains(wanted)) {
+                String response = new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+                if (response.contains(expected)) {
                     return;
                 }
             } catch (IOException e) {
                 Logger.debug("platform: event=warm-up outcome=\"not yet\" reason=\"{}\"", e.getMessage());
             }
-            Thread.sleep(PAUSE_MILLIS);
+            Thread.sleep(RETRY_DELAY_MILLIS);
         }
-        throw new IOException("the warm-up got no answer to " + call);
+        throw new IOException("the warm-up got no expected response to " + requestLine);
     }
 
-    /** An upstream that answers each request with one event. */
-    private static void answer(ServerSocket server) {
+    /** Answers each request with a stream of one event until the socket is closed. */
+    private static void serveUpstream(ServerSocket server) {
         try {
             while (true) {
                 try (Socket socket = server.accept()) {
                     readHead(socket.getInputStream());
                     String event = "id: 1\ndata: a\n\n";
                     socket.getOutputStream()
-                            .write(("HTTP/1.1 200 OK\r\n" + PlatformHeaders.SEAL + ": s\r\nKeep-Alive: timeout=1\r\n"
+                            .write(("HTTP/1.1 200 OK\r\n" + PlatformHeaders.RESPONSE_SEAL
+                                            + ": s\r\nKeep-Alive: timeout=1\r\n"
                                             + "Transfer-Encoding: chunked\r\n\r\n"
                                             + Integer.toHexString(event.length()) + "\r\n" + event + "\r\n0\r\n\r\n")
                                     .getBytes(StandardCharsets.UTF_8));
                 }
             }
-        } catch (IOException end) {
+        } catch (IOException closed) {
             Logger.debug("platform: event=warm-up outcome=\"upstream closed\"");
         }
     }
@@ -117,12 +124,12 @@
 
     private static int[] freePorts(int count) throws IOException {
         int[] ports = new int[count];
-        ServerSocket[] held = new ServerSocket[count];
+        ServerSocket[] sockets = new ServerSocket[count];
         for (int index = 0; index < count; index++) {
-            held[index] = new ServerSocket(0, 1, InetAddress.getByName(HOST));
-            ports[index] = held[index].getLocalPort();
+            sockets[index] = new ServerSocket(0, 1, InetAddress.getByName(HOST));
+            ports[index] = sockets[index].getLocalPort();
         }
-        for (ServerSocket socket : held) {
+        for (ServerSocket socket : sockets) {
             socket.close();
         }
         return ports;
--- a/src/main/java/org/cuminshelf/platform/package-info.java
+++ b/src/main/java/org/cuminshelf/platform/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The users' platform: its settings file, its headers, documents and calls, each decoded once into the product's own
- * types. It translates and decides nothing; no other package knows the platform's names.
+ * Adapter to the operators' platform: its settings file, HTTP headers, JSON documents and control requests, each
+ * decoded once into the project's own types. It makes no decisions, and no other package contains the platform's names.
  */
 package org.cuminshelf.platform;
--- a/src/test/java/org/cuminshelf/platform/BootSettingsTest.java
+++ b/src/test/java/org/cuminshelf/platform/BootSettingsTest.java
@@ -31,42 +31,42 @@
     }
 
     @Example
-    void seedsAreReachedAtTheFirstInternalPort() throws IOException {
+    void seedsAreContactedAtTheFirstInternalPort() throws IOException {
         BootSettings boot = read(FILE);
         assertThat(boot.seeds()).containsExactly(Address.of("10.0.0.9:7000"));
-        assertThat(boot.messages()).isEqualTo(Address.of("10.0.0.1:7000"));
-        assertThat(boot.metrics()).isEqualTo(Address.of("10.0.0.1:7015"));
-        assertThat(boot.withMetricsPort(9464).metrics()).isEqualTo(Address.of("10.0.0.1:9464"));
+        assertThat(boot.messageAddress()).isEqualTo(Address.of("10.0.0.1:7000"));
+        assertThat(boot.metricsAddress()).isEqualTo(Address.of("10.0.0.1:7015"));
+        assertThat(boot.withMetricsPort(9464).metricsAddress()).isEqualTo(Address.of("10.0.0.1:9464"));
         assertThat(boot.withMetricsPort(9464).seeds()).isEqualTo(boot.seeds());
-        assertThat(boot.graceMillis()).isEqualTo(8_000);
-        assertThat(boot.repeats().allowance()).isEqualTo(58);
-        assertThat(boot.control()).isEmpty();
+        assertThat(boot.stopGraceMillis()).isEqualTo(8_000);
+        assertThat(boot.retryLimits().allowance()).isEqualTo(58);
+        assertThat(boot.controlAddress()).isEmpty();
     }
 
     @Example
-    void usageIsADutyOnlyWhereAPlatformTakesItAndItsWindowIsStated() throws IOException {
+    void usageIsReportedOnlyIfThePlatformAcceptsItAndItsWindowIsSet() throws IOException {
         String bounds = "\"bounds\":{\"usageWindowS\":5,\"usageLateS\":10,\"leaseMs\":2500,";
-        String duties = FILE.replace("\"bounds\":{", bounds)
+        String settings = FILE.replace("\"bounds\":{", bounds)
                 .replace(
                         "\"unknown\":{}",
                         "\"cloud\":{\"address\":\"10.9.0.1:80\",\"dutyPerS\":2.5,"
                                 + "\"duties\":[\"autoscale\",\"usage_report\"]}");
-        PlatformDutySettings terms = read(duties).duties();
-        assertThat(terms.platform()).hasValue(Address.of("10.9.0.1:80"));
-        assertThat(terms.usageWindowMillis()).hasValue(5_000);
-        assertThat(terms.forControl())
+        PlatformDutySettings duties = read(settings).duties();
+        assertThat(duties.platformAddress()).hasValue(Address.of("10.9.0.1:80"));
+        assertThat(duties.usageWindowMillis()).hasValue(5_000);
+        assertThat(duties.toDutySettings())
                 .isEqualTo(new DutySettings(2_500, OptionalLong.of(10_000), OptionalDouble.of(2.5)));
-        assertThat(read(duties.replace("usage_report", "another")).duties().usageWindowMillis())
+        assertThat(read(settings.replace("usage_report", "another")).duties().usageWindowMillis())
                 .isEmpty();
-        assertThat(read(duties.replace("\"usageWindowS\":5", "\"usageWindowS\":\"x\""))
+        assertThat(read(settings.replace("\"usageWindowS\":5", "\"usageWindowS\":\"x\""))
                         .duties()
                         .usageWindowMillis())
                 .isEmpty();
-        assertThat(read(FILE).duties().forControl().usageDeadlineMillis()).isEmpty();
+        assertThat(read(FILE).duties().toDutySettings().usageDeadlineMillis()).isEmpty();
     }
 
     @Example
-    void aFileThatLacksWhatIsNeededIsRefusedByName() {
+    void aFileWithoutARequiredFieldIsRejectedWithTheFieldsName() {
         assertThatThrownBy(() -> read(FILE.replace("\"ip\"", "\"pi\"")))
                 .isInstanceOf(IOException.class)
                 .hasMessageContaining("'ip' is missing");
@@ -74,7 +74,7 @@
     }
 
     @Example
-    void aFileThatIsNoObjectOrNotThereIsRefused() {
+    void aFileThatIsMissingOrNotAnObjectIsRejected() {
         assertThatThrownBy(() -> read("[]")).hasMessageContaining("no JSON object");
         assertThatThrownBy(() -> read("{\"node\":")).isInstanceOf(IOException.class);
         assertThatThrownBy(() -> BootSettings.read(Path.of("/nowhere/boot.json")))
--- a/src/test/java/org/cuminshelf/platform/GracefulStopTest.java
+++ b/src/test/java/org/cuminshelf/platform/GracefulStopTest.java
@@ -14,11 +14,11 @@
 import net.jqwik.api.lifecycle.AfterProperty;
 import net.jqwik.api.lifecycle.BeforeProperty;
 
-/** Both roles of the users' platform as they run, on loopback, with an upstream that takes its time. */
+/** Graceful stop of a running entry on loopback, with a slow upstream. */
 class GracefulStopTest {
 
-    private static final long UPSTREAM_TAKES = 1_200;
-    private static final long UPSTREAM_TAKES_LONG = 4_500;
+    private static final long RESPONSE_DELAY_MILLIS = 1_200;
+    private static final long LONG_RESPONSE_DELAY_MILLIS = 4_500;
     private static final String CONFIG =
             "{\"version\":3,\"routes\":[{\"name\":\"r\",\"host\":\"h\",\"pathPrefix\":\"/\","
                     + "\"routeKind\":\"non_idempotent\",\"timeoutMs\":5000,\"service\":\"s\"}],"
@@ -26,65 +26,70 @@
 
     private ServerSocket upstream;
     private LoopbackPlatform platform;
-    /** A graceful stop closes the entry itself. */
-    private volatile boolean stopped;
+    /** Set once the entry has closed itself by a graceful stop. */
+    private volatile boolean entryStopped;
 
     @BeforeProperty
     void start() throws Exception {
         upstream = new ServerSocket(0, 10, InetAddress.getByName(LoopbackPlatform.HOST));
-        Thread answers = new Thread(this::answerSlowly);
-        answers.setDaemon(true);
-        answers.start();
+        Thread upstreamThread = new Thread(this::serveUpstream);
+        upstreamThread.setDaemon(true);
+        upstreamThread.start();
         platform = new LoopbackPlatform(CONFIG);
-        platform.announce("i-1", upstream.getLocalPort());
-        platform.until(LoopbackPlatform.READINESS, "GET /", "", "200");
+        platform.sendHeartbeat("i-1", upstream.getLocalPort());
+        platform.retryUntil(LoopbackPlatform.READINESS, "GET /", "", "200");
     }
 
     @AfterProperty
     void stop() throws IOException {
-        platform.close(stopped);
+        platform.close(entryStopped);
         upstream.close();
     }
 
     /*
-     * A publisher's request is cut by a planned restart: the entry was told to stop while an upstream worked on it. The
-     * entry must say that it isn't ready, still take a request of a caller that has not noticed, and end only after
-     * both were answered.
+     * A planned restart aborted a request on which an upstream was still working. A stopping entry must fail its
+     * readiness check, still accept requests until the load balancer has noticed, and exit only after all of them are
+     * answered.
      */
     @Example
-    void aPlannedStopCutsNoRequestNorOneThatComesWhileTheBalancerHasNotNoticed() throws Exception {
-        platform.until(LoopbackPlatform.CALLERS, "POST /warm", "", "done");
-        CompletableFuture<String> before = ask();
+    void aPlannedStopAbortsNoRequestAndAcceptsNewOnesUntilTheLoadBalancerHasNoticed() throws Exception {
+        platform.retryUntil(LoopbackPlatform.CALLERS, "POST /warm", "", "done");
+        CompletableFuture<String> sentBefore = callAsync();
         Thread.sleep(300);
         CompletableFuture<Boolean> stop = CompletableFuture.supplyAsync(this::stopEntry);
         Thread.sleep(300);
         assertThat(platform.call(LoopbackPlatform.READINESS, "GET /", "")).startsWith("HTTP/1.1 503");
-        CompletableFuture<String> during = ask();
-        assertThat(before.get(10, TimeUnit.SECONDS)).startsWith("HTTP/1.1 200").endsWith("done");
-        assertThat(during.get(10, TimeUnit.SECONDS)).startsWith("HTTP/1.1 200").contains("Connection: close");
+        CompletableFuture<String> sentDuring = callAsync();
+        assertThat(sentBefore.get(10, TimeUnit.SECONDS))
+                .startsWith("HTTP/1.1 200")
+                .endsWith("done");
+        assertThat(sentDuring.get(10, TimeUnit.SECONDS))
+                .startsWith("HTTP/1.1 200")
+                .contains("Connection: close");
         assertThat(stop.get(15, TimeUnit.SECONDS)).isTrue();
     }
 
     /*
-     * A request is cut by a planned restart though it was sent seconds after the stop was asked for: the entry went on
-     * taking connections as long as any request was open, and each that it took kept it open for the next, until its
-     * time was up. Once the balancer has had its time, nothing new is taken, and what is open has the rest.
+     * A planned restart aborted a request that was sent seconds after the stop was requested: the entry accepted
+     * connections as long as any request was open, and each new request kept it accepting until its grace period was
+     * over. After the time allowed for the load balancer to notice, the entry must refuse new requests and use the rest
+     * of the grace period to finish the open ones.
      */
     @Example
-    void onceTheBalancerHasHadItsTimeNothingNewIsTakenWhileWhatIsOpenIsFinished() throws Exception {
-        platform.until(LoopbackPlatform.CALLERS, "POST /warm", "", "done");
-        CompletableFuture<String> open = CompletableFuture.supplyAsync(() -> ask("POST /long"));
+    void newRequestsAreRefusedAndOpenOnesFinishedAfterTheLoadBalancersNoticePeriod() throws Exception {
+        platform.retryUntil(LoopbackPlatform.CALLERS, "POST /warm", "", "done");
+        CompletableFuture<String> open = CompletableFuture.supplyAsync(() -> call("POST /long"));
         Thread.sleep(300);
         CompletableFuture<Boolean> stop = CompletableFuture.supplyAsync(this::stopEntry);
         Thread.sleep(3_200);
-        // Refused, reset or closed unread: a caller sees in each that nothing of its request was taken.
-        assertThat(ask("POST /late")).doesNotContain("HTTP/1.1");
+        // Refused, reset or closed unread: each shows the caller that its request was not accepted.
+        assertThat(call("POST /late")).doesNotContain("HTTP/1.1");
         assertThat(open.get(10, TimeUnit.SECONDS)).startsWith("HTTP/1.1 200").endsWith("done");
         assertThat(stop.get(10, TimeUnit.SECONDS)).isTrue();
     }
 
     private boolean stopEntry() {
-        stopped = true;
+        entryStopped = true;
         try {
             return platform.entry.stopGracefully();
         } catch (InterruptedException e) {
@@ -93,40 +98,40 @@
         }
     }
 
-    private CompletableFuture<String> ask() {
-        return CompletableFuture.supplyAsync(() -> ask("POST /a"));
+    private CompletableFuture<String> callAsync() {
+        return CompletableFuture.supplyAsync(() -> call("POST /a"));
     }
 
-    private String ask(String call) {
+    private String call(String requestLine) {
         try {
-            return platform.call(LoopbackPlatform.CALLERS, call, "");
+            return platform.call(LoopbackPlatform.CALLERS, requestLine, "");
         } catch (IOException e) {
             return "broken: " + e.getMessage();
         }
     }
 
-    private void answerSlowly() {
+    private void serveUpstream() {
         try {
             while (true) {
                 Socket socket = upstream.accept();
-                Thread.ofVirtual().start(() -> answerOne(socket));
+                Thread.ofVirtual().start(() -> respond(socket));
             }
         } catch (IOException end) {
-            // The test is over.
+            // The test has closed the socket.
         }
     }
 
-    private static void answerOne(Socket socket) {
+    private static void respond(Socket socket) {
         try (socket) {
             InputStream in = socket.getInputStream();
             StringBuilder head = new StringBuilder();
             while (head.indexOf("\r\n\r\n") < 0) {
                 head.append((char) in.read());
             }
-            Thread.sleep(head.indexOf("/long") > 0 ? UPSTREAM_TAKES_LONG : UPSTREAM_TAKES);
-            String answer = "HTTP/1.1 200 OK\r\nConnection: close\r\n" + PlatformHeaders.SEAL
+            Thread.sleep(head.indexOf("/long") > 0 ? LONG_RESPONSE_DELAY_MILLIS : RESPONSE_DELAY_MILLIS);
+            String response = "HTTP/1.1 200 OK\r\nConnection: close\r\n" + PlatformHeaders.RESPONSE_SEAL
                     + ": s\r\nContent-Length: 4\r\n\r\ndone";
-            socket.getOutputStream().write(answer.getBytes(StandardCharsets.UTF_8));
+            socket.getOutputStream().write(response.getBytes(StandardCharsets.UTF_8));
         } catch (IOException | InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/src/test/java/org/cuminshelf/platform/HeartbeatParserTest.java
+++ b/src/test/java/org/cuminshelf/platform/HeartbeatParserTest.java
@@ -23,20 +23,20 @@
 import org.cuminshelf.message.Role;
 import org.cuminshelf.message.UpstreamBeat;
 
-/** Heartbeats of upstreams, good and bad. */
+/** Valid and invalid heartbeats of upstreams. */
 class HeartbeatParserTest {
 
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final String PLAIN = "{\"service\":\"s\",\"address\":\"10.0.0.1:80\",\"zone\":\"z\","
+    private static final String HEARTBEAT = "{\"service\":\"s\",\"address\":\"10.0.0.1:80\",\"zone\":\"z\","
             + "\"slots\":6,\"state\":\"ready\",\"sequence\":4,\"born\":1786708249123}";
 
-    private static Either<String, UpstreamBeat> read(String document) {
-        return HeartbeatParser.read("i-1", document.getBytes(StandardCharsets.UTF_8));
+    private static Either<String, UpstreamBeat> parse(String document) {
+        return HeartbeatParser.parse("i-1", document.getBytes(StandardCharsets.UTF_8));
     }
 
     @Example
-    void aHeartbeatIsReadAndWhatIsUnknownIsIgnored() {
-        UpstreamBeat beat = read("{\"service\":\"s\",\"address\":\"10.0.0.1:80\",\"zone\":\"z\",\"version\":\"v1\","
+    void aHeartbeatIsParsedAndUnknownFieldsAreIgnored() {
+        UpstreamBeat beat = parse("{\"service\":\"s\",\"address\":\"10.0.0.1:80\",\"zone\":\"z\",\"version\":\"v1\","
                         + "\"slots\":64,\"state\":\"draining\",\"coldLeftMs\":5,\"stage\":\"decode\","
                         + "\"models\":[{\"name\":\"m\",\"version\":1,\"adapters\":[]}],\"sequence\":4,"
                         + "\"born\":1786708249123,\"later\":{}}")
@@ -52,31 +52,32 @@
 
     @Example
     void aPlainServiceHasNoRole() {
-        UpstreamBeat beat = read(PLAIN).get();
+        UpstreamBeat beat = parse(HEARTBEAT).get();
         assertThat(beat.getRole()).isEqualTo(Role.ROLE_MIXED);
         assertThat(beat.getLeaving()).isFalse();
     }
 
     @Example
-    void whatIsNoHeartbeatIsRefusedWithTheReason() {
-        assertThat(read("{\"service\":").getLeft()).contains("no JSON");
-        assertThat(read("[]").getLeft()).contains("no JSON object");
-        assertThat(read("{\"service\":\"s\"}").getLeft()).contains("'address' must be a text");
-        assertThat(read("").getLeft()).contains("heartbeat");
+    void aDocumentThatIsNotAHeartbeatIsRejectedWithAReason() {
+        assertThat(parse("{\"service\":").getLeft()).contains("no JSON");
+        assertThat(parse("[]").getLeft()).contains("no JSON object");
+        assertThat(parse("{\"service\":\"s\"}").getLeft()).contains("'address' must be a text");
+        assertThat(parse("").getLeft()).contains("heartbeat");
     }
 
     /*
-     * Requests are lost at an address where nobody listens: a heartbeat of another program was taken as far as it could
-     * be read. One field is missing, or of another type, or says what nobody knows: none of it counts.
+     * Requests were sent to an address where nobody listens, because the valid fields of another program's heartbeat
+     * were used. A heartbeat with one field missing, of a wrong type or with an unknown value must be rejected as a
+     * whole.
      */
     @Property(tries = 300, seed = "51")
-    void aHeartbeatWithOneSpoiledFieldNamesNoUpstream(
-            @ForAll("fields") String field, @ForAll("spoiled") Optional<JsonNode> value) throws IOException {
+    void aHeartbeatWithOneInvalidFieldIsRejected(
+            @ForAll("fields") String field, @ForAll("invalidValues") Optional<JsonNode> value) throws IOException {
         Assume.that(!field.equals("born") || value.isPresent());
-        ObjectNode document = (ObjectNode) JSON.readTree(PLAIN);
+        ObjectNode document = (ObjectNode) JSON.readTree(HEARTBEAT);
         document.remove(field);
         value.ifPresent(other -> document.set(field, other));
-        assertThat(read(document.toString()).isLeft()).isTrue();
+        assertThat(parse(document.toString()).isLeft()).isTrue();
     }
 
     @Provide
@@ -85,7 +86,7 @@
     }
 
     @Provide
-    Arbitrary<Optional<JsonNode>> spoiled() {
+    Arbitrary<Optional<JsonNode>> invalidValues() {
         JsonNodeFactory nodes = JsonNodeFactory.instance;
         return Arbitraries.of(
                 Optional.empty(),
@@ -100,38 +101,40 @@
     }
 
     @Example
-    void anUpstreamThatTakesANewNameWithEachStartNeedNotSayWhenItWas() {
-        UpstreamBeat beat = read(PLAIN.replace(",\"born\":1786708249123", "")).get();
+    void anUpstreamThatTakesANewNameAtEachStartMayOmitItsStartTime() {
+        UpstreamBeat beat =
+                parse(HEARTBEAT.replace(",\"born\":1786708249123", "")).get();
         assertThat(beat.getBornMs()).isZero();
     }
 
     @Example
-    void anUnknownStateOrRoleIsRefused() {
-        assertThat(read(PLAIN.replace("ready", "resting")).getLeft()).contains("'state'");
-        assertThat(read(PLAIN.replace("}", ",\"stage\":\"sleep\"}")).getLeft()).contains("'stage'");
-        assertThat(read(PLAIN.replace("}", ",\"stage\":7}")).getLeft()).contains("'stage'");
+    void anUnknownStateOrRoleIsRejected() {
+        assertThat(parse(HEARTBEAT.replace("ready", "resting")).getLeft()).contains("'state'");
+        assertThat(parse(HEARTBEAT.replace("}", ",\"stage\":\"sleep\"}")).getLeft())
+                .contains("'stage'");
+        assertThat(parse(HEARTBEAT.replace("}", ",\"stage\":7}")).getLeft()).contains("'stage'");
     }
 
     @Property(tries = 300, seed = "52")
-    void bytesThatCannotBeReadAreRefused(@ForAll byte[] bytes) {
-        assertThat(HeartbeatParser.read("i-1", bytes).isLeft()).isTrue();
+    void arbitraryBytesAreRejected(@ForAll byte[] bytes) {
+        assertThat(HeartbeatParser.parse("i-1", bytes).isLeft()).isTrue();
     }
 
     @Property(tries = 200, seed = "53")
-    void aHeartbeatThatWasCutIsRefused(@ForAll @IntRange(max = 100) int length) {
-        assertThat(read(PLAIN.substring(0, length)).isLeft()).isTrue();
+    void aTruncatedHeartbeatIsRejected(@ForAll @IntRange(max = 100) int length) {
+        assertThat(parse(HEARTBEAT.substring(0, length)).isLeft()).isTrue();
     }
 
     @Example
-    void linesOnRefusedHeartbeatsAreBounded() {
+    void logLinesAboutRejectedHeartbeatsAreLimited() {
         long[] now = {0};
-        RejectedHeartbeats refused = RejectedHeartbeats.register(new PrometheusRegistry(), () -> now[0]);
+        RejectedHeartbeats rejected = RejectedHeartbeats.register(new PrometheusRegistry(), () -> now[0]);
         int lines = 0;
         for (int index = 0; index < 100; index++) {
-            lines += refused.note("x".repeat(10_000), "it is no JSON") ? 1 : 0;
+            lines += rejected.record("x".repeat(10_000), "it is no JSON") ? 1 : 0;
         }
         assertThat(lines).isEqualTo(2);
         now[0] += 1_000_000_000L;
-        assertThat(refused.note("x", "it is no JSON")).isTrue();
+        assertThat(rejected.record("x", "it is no JSON")).isTrue();
     }
 }
--- a/src/test/java/org/cuminshelf/platform/LoopbackPlatform.java
+++ b/src/test/java/org/cuminshelf/platform/LoopbackPlatform.java
@@ -17,17 +17,17 @@
 import org.cuminshelf.process.DirectEntryProcess;
 import org.cuminshelf.process.ServingProcess;
 
-/** Both roles of the users' platform as they run, on free ports of loopback. */
+/** A running entry and control process of the operators' platform, on free loopback ports. */
 final class LoopbackPlatform {
 
     static final String HOST = "127.0.0.1";
-    /** Places of the ports by use. */
+    /** Index of a port in {@link #ports}, by use. */
     static final int CONTROL = 2;
 
     static final int METRICS = 4;
     static final int CALLERS = 5;
     static final int READINESS = 6;
-    private static final int TRIES = 400;
+    private static final int MAX_ATTEMPTS = 400;
 
     private final List<Integer> ports = new ArrayList<>();
     private final Path folder;
@@ -36,19 +36,19 @@
 
     LoopbackPlatform(String config) throws Exception {
         folder = Files.createTempDirectory("loopback-platform");
-        takePorts(7);
-        control = PlatformCommand.control(settings(0, 1, CONTROL, CONTROL));
-        entry = PlatformCommand.entry(settings(3, 4, CALLERS, READINESS));
-        until(CONTROL, "PUT /cuminshelf/config", config, "200");
+        reserveFreePorts(7);
+        control = PlatformCommand.startControl(settings(0, 1, CONTROL, CONTROL));
+        entry = PlatformCommand.startEntry(settings(3, 4, CALLERS, READINESS));
+        retryUntil(CONTROL, "PUT /cuminshelf/config", config, "200");
     }
 
-    int port(int place) {
-        return ports.get(place);
+    int port(int index) {
+        return ports.get(index);
     }
 
-    /** Announces an upstream of the service {@code s}. */
-    void announce(String id, int port) throws Exception {
-        until(
+    /** Sends a heartbeat of a new upstream of the service {@code s}. */
+    void sendHeartbeat(String id, int port) throws Exception {
+        retryUntil(
                 CONTROL,
                 "PUT /cuminshelf/instances/" + id,
                 "{\"service\":\"s\",\"address\":\"" + HOST + ":" + port
@@ -56,35 +56,35 @@
                 "200");
     }
 
-    /** Sends a call again until its answer holds a text. */
-    void until(int place, String call, String body, String wanted) throws Exception {
-        String answer = "";
-        for (int attempt = 0; attempt < TRIES && !answer.contains(wanted); attempt++) {
+    /** Repeats a request until its response contains a text. */
+    void retryUntil(int index, String requestLine, String body, String expected) throws Exception {
+        String response = "";
+        for (int attempt = 0; attempt < MAX_ATTEMPTS && !response.contains(expected); attempt++) {
             Thread.sleep(25);
             try {
-                answer = call(place, call, body);
+                response = call(index, requestLine, body);
             } catch (IOException e) {
-                answer = "not yet: " + e.getMessage();
+                response = "not yet: " + e.getMessage();
             }
         }
-        assertThat(answer).contains(wanted);
+        assertThat(response).contains(expected);
     }
 
-    String call(int place, String call, String body) throws IOException {
-        return call(place, call, body, "");
+    String call(int index, String requestLine, String body) throws IOException {
+        return call(index, requestLine, body, "");
     }
 
-    /** Sends a call with header lines of its own. */
-    String call(int place, String call, String body, String headers) throws IOException {
-        String request = call + " HTTP/1.1\r\nHost: h\r\nConnection: close\r\n" + headers + PlatformHeaders.REQUEST_ID
-                + ": w\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
-        try (Socket socket = new Socket(HOST, ports.get(place))) {
+    /** Sends a request with additional header lines and returns the whole response. */
+    String call(int index, String requestLine, String body, String headers) throws IOException {
+        String request = requestLine + " HTTP/1.1\r\nHost: h\r\nConnection: close\r\n" + headers
+                + PlatformHeaders.REQUEST_ID + ": w\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
+        try (Socket socket = new Socket(HOST, ports.get(index))) {
             socket.getOutputStream().write(request.getBytes(StandardCharsets.UTF_8));
             return new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
         }
     }
 
-    /** Reads the head of a request that a stand-in for an upstream got; empty at the end of the stream. */
+    /** Reads the head of a request; empty at the end of the stream. */
     static String readHead(InputStream in) throws IOException {
         StringBuilder head = new StringBuilder();
         int next = in.read();
@@ -104,21 +104,21 @@
         return BootSettings.read(file).withSeedPort(ports.get(0));
     }
 
-    private void takePorts(int count) throws IOException {
-        List<ServerSocket> held = new ArrayList<>();
+    private void reserveFreePorts(int count) throws IOException {
+        List<ServerSocket> sockets = new ArrayList<>();
         for (int index = 0; index < count; index++) {
             ServerSocket socket = new ServerSocket(0, 1, InetAddress.getByName(HOST));
-            held.add(socket);
+            sockets.add(socket);
             ports.add(socket.getLocalPort());
         }
-        for (ServerSocket socket : held) {
+        for (ServerSocket socket : sockets) {
             socket.close();
         }
     }
 
-    /** Ends both, the entry unless it ended itself. */
-    void close(boolean entryEnded) throws IOException {
-        if (!entryEnded) {
+    /** Closes both processes, except an entry that has already stopped. */
+    void close(boolean entryStopped) throws IOException {
+        if (!entryStopped) {
             entry.close();
         }
         control.close();
--- a/src/test/java/org/cuminshelf/platform/OrganisationsOnLoopbackTest.java
+++ b/src/test/java/org/cuminshelf/platform/OrganisationsOnLoopbackTest.java
@@ -15,18 +15,18 @@
 import net.jqwik.api.lifecycle.AfterProperty;
 import net.jqwik.api.lifecycle.BeforeProperty;
 
-/** Keys of organisations against both roles of the users' platform as they run, over real sockets. */
+/** API keys of organisations, against running processes of the operators' platform over real sockets. */
 class OrganisationsOnLoopbackTest {
 
     private static final String KEY = "key-of-acme-31415";
-    private static final String OTHER_KEY = "key-of-nobody-27182";
-    private static final String DONE =
-            "HTTP/1.1 200 OK\r\nConnection: close\r\n" + PlatformHeaders.SEAL + ": s\r\nContent-Length: 4\r\n\r\ndone";
-    private static final long LOG_PATIENCE_MILLIS = 5_000;
+    private static final String UNKNOWN_KEY = "key-of-nobody-27182";
+    private static final String OK_RESPONSE = "HTTP/1.1 200 OK\r\nConnection: close\r\n" + PlatformHeaders.RESPONSE_SEAL
+            + ": s\r\nContent-Length: 4\r\n\r\ndone";
+    private static final long LOG_TIMEOUT_MILLIS = 5_000;
 
     private final PrintStream console = System.out;
-    private final ByteArrayOutputStream printed = new ByteArrayOutputStream();
-    private final Queue<String> received = new ConcurrentLinkedQueue<>();
+    private final ByteArrayOutputStream consoleOutput = new ByteArrayOutputStream();
+    private final Queue<String> receivedHeads = new ConcurrentLinkedQueue<>();
     private LoopbackPlatform platform;
     private ServerSocket upstream;
 
@@ -39,12 +39,12 @@
 
     @BeforeProperty
     void start() throws Exception {
-        System.setOut(new PrintStream(printed, true, StandardCharsets.UTF_8));
+        System.setOut(new PrintStream(consoleOutput, true, StandardCharsets.UTF_8));
         platform = new LoopbackPlatform(config(3, KEY));
         upstream = new ServerSocket(0, 10, InetAddress.getByName(LoopbackPlatform.HOST));
-        Thread.ofVirtual().start(this::answer);
-        platform.announce("i-1", upstream.getLocalPort());
-        platform.until(LoopbackPlatform.READINESS, "GET /", "", "200");
+        Thread.ofVirtual().start(this::serveUpstream);
+        platform.sendHeartbeat("i-1", upstream.getLocalPort());
+        platform.retryUntil(LoopbackPlatform.READINESS, "GET /", "", "200");
     }
 
     @AfterProperty
@@ -54,59 +54,63 @@
         platform.close(false);
     }
 
-    private void answer() {
+    private void serveUpstream() {
         try {
             while (true) {
                 try (Socket socket = upstream.accept()) {
-                    received.add(LoopbackPlatform.readHead(socket.getInputStream()));
-                    socket.getOutputStream().write(DONE.getBytes(StandardCharsets.UTF_8));
+                    receivedHeads.add(LoopbackPlatform.readHead(socket.getInputStream()));
+                    socket.getOutputStream().write(OK_RESPONSE.getBytes(StandardCharsets.UTF_8));
                 }
             }
         } catch (IOException end) {
-            // The test is over.
+            // The test has closed the socket.
         }
     }
 
-    private String ask(String key) throws IOException {
-        return platform.call(LoopbackPlatform.CALLERS, "GET /a", "", PlatformHeaders.CALLER_KEY + ": " + key + "\r\n");
+    private String call(String key) throws IOException {
+        return platform.call(LoopbackPlatform.CALLERS, "GET /a", "", PlatformHeaders.API_KEY + ": " + key + "\r\n");
     }
 
-    private void untilAnswered(String key, String wanted) throws Exception {
-        String answer = "";
-        for (int attempt = 0; attempt < 400 && !answer.contains(wanted); attempt++) {
+    private void retryUntil(String key, String expected) throws Exception {
+        String response = "";
+        for (int attempt = 0; attempt < 400 && !response.contains(expected); attempt++) {
             Thread.sleep(25);
-            answer = ask(key);
+            response = call(key);
         }
-        assertThat(answer).contains(wanted);
+        assertThat(response).contains(expected);
     }
 
-    private String log() throws InterruptedException {
-        long end = System.nanoTime() + LOG_PATIENCE_MILLIS * 1_000_000;
-        while (!printed.toString(StandardCharsets.UTF_8).contains("unknown-key") && System.nanoTime() < end) {
+    private String awaitLog() throws InterruptedException {
+        long deadlineNanos = System.nanoTime() + LOG_TIMEOUT_MILLIS * 1_000_000;
+        while (!consoleOutput.toString(StandardCharsets.UTF_8).contains("unknown-key")
+                && System.nanoTime() < deadlineNanos) {
             Thread.sleep(20);
         }
-        return printed.toString(StandardCharsets.UTF_8);
+        return consoleOutput.toString(StandardCharsets.UTF_8);
     }
 
     /*
-     * Whoever reads logs, metrics or what upstreams get can ask in the name of an organisation. The key must stand
-     * nowhere but in the configuration: not where it is served, refused, taken away, nor in a configuration that is
-     * refused because it can't be read.
+     * Anyone who finds an API key in logs, metrics or upstream requests can send requests as its organisation. A key
+     * must appear nowhere outside the configuration: not when it is accepted, refused or removed, and not when a
+     * configuration that contains it is rejected as malformed.
      */
     @Example
-    void aKeyStandsInNoLogNoMetricNoAnswerAndReachesNoUpstream() throws Exception {
-        untilAnswered(KEY, "done");
-        assertThat(ask(OTHER_KEY)).contains("HTTP/1.1 401");
-        String broken = config(4, OTHER_KEY).replace("\"" + OTHER_KEY + "\"", OTHER_KEY);
+    void aKeyAppearsInNoLogMetricOrResponseAndReachesNoUpstream() throws Exception {
+        retryUntil(KEY, "done");
+        assertThat(call(UNKNOWN_KEY)).contains("HTTP/1.1 401");
+        String broken = config(4, UNKNOWN_KEY).replace("\"" + UNKNOWN_KEY + "\"", UNKNOWN_KEY);
         assertThat(platform.call(LoopbackPlatform.CONTROL, "PUT /cuminshelf/config", broken))
                 .contains("HTTP/1.1 400")
-                .doesNotContain(OTHER_KEY);
-        platform.until(LoopbackPlatform.CONTROL, "PUT /cuminshelf/config", config(5, OTHER_KEY), "200");
-        untilAnswered(KEY, "HTTP/1.1 401");
-        untilAnswered(OTHER_KEY, "done");
-        assertThat(received).allSatisfy(head -> assertThat(head).contains(PlatformHeaders.ORGANISATION + ": acme\r\n"));
-        String seen = log() + String.join("", received) + platform.call(LoopbackPlatform.METRICS, "GET /metrics", "");
-        assertThat(seen).contains("unknown-key").contains("organisation=\"acme\"");
-        assertThat(seen).doesNotContain(KEY).doesNotContain(OTHER_KEY);
+                .doesNotContain(UNKNOWN_KEY);
+        platform.retryUntil(LoopbackPlatform.CONTROL, "PUT /cuminshelf/config", config(5, UNKNOWN_KEY), "200");
+        retryUntil(KEY, "HTTP/1.1 401");
+        retryUntil(UNKNOWN_KEY, "done");
+        assertThat(receivedHeads)
+                .allSatisfy(head -> assertThat(head).contains(PlatformHeaders.ORGANISATION + ": acme\r\n"));
+        String outputs = awaitLog()
+                + String.join("", receivedHeads)
+                + platform.call(LoopbackPlatform.METRICS, "GET /metrics", "");
+        assertThat(outputs).contains("unknown-key").contains("organisation=\"acme\"");
+        assertThat(outputs).doesNotContain(KEY).doesNotContain(UNKNOWN_KEY);
     }
 }
--- a/src/test/java/org/cuminshelf/platform/PlatformNamesTest.java
+++ b/src/test/java/org/cuminshelf/platform/PlatformNamesTest.java
@@ -11,27 +11,27 @@
 import java.util.stream.Stream;
 import net.jqwik.api.Example;
 
-/** The platform's names stay in its package, so that another platform is another package and nothing else. */
+/** The platform's names appear in its package only, so that another platform needs only another package. */
 class PlatformNamesTest {
 
     private static final Path SOURCES = Path.of("src/main/java/org/cuminshelf");
-    private static final Pattern NAMES = Pattern.compile(
+    private static final Pattern PLATFORM_NAMES = Pattern.compile(
             "X-Cuminshelf-|Server-Limit|Server-Leaving|/cuminshelf/|heartbeatAddr|routeKind|kvHandle|trafficSplit"
                     + "|CUMINSHELF_BOOT|internalPorts");
 
     @Example
-    void noOtherPackageHoldsANameOfThePlatform() throws IOException {
-        List<String> found = new ArrayList<>();
+    void noOtherPackageContainsANameOfThePlatform() throws IOException {
+        List<String> offendingFiles = new ArrayList<>();
         try (Stream<Path> files = Files.walk(SOURCES)) {
             for (Path file :
                     files.filter(path -> path.toString().endsWith(".java")).toList()) {
-                String folder = file.getParent().getFileName().toString();
-                boolean own = folder.equals("platform") || folder.equals("message");
-                if (!own && NAMES.matcher(Files.readString(file)).find()) {
-                    found.add(file.toString());
+                String packageName = file.getParent().getFileName().toString();
+                boolean allowed = packageName.equals("platform") || packageName.equals("message");
+                if (!allowed && PLATFORM_NAMES.matcher(Files.readString(file)).find()) {
+                    offendingFiles.add(file.toString());
                 }
             }
         }
-        assertThat(found).isEmpty();
+        assertThat(offendingFiles).isEmpty();
     }
 }
--- a/src/test/java/org/cuminshelf/platform/PlatformProtocolTest.java
+++ b/src/test/java/org/cuminshelf/platform/PlatformProtocolTest.java
@@ -19,7 +19,7 @@
 import org.cuminshelf.organisations.ApiKeyDigest;
 import org.eclipse.jetty.http.HttpFields;
 
-/** The platform's headers on their way in and out. */
+/** Translation of the platform's headers in requests and responses. */
 class PlatformProtocolTest {
 
     private final PlatformProtocol protocol = new PlatformProtocol();
@@ -32,28 +32,28 @@
         return new ReceivedRequest("POST", "/a/b?c=%20d", fields.asImmutable(), new byte[] {1});
     }
 
-    private static AttemptPlan plan(boolean prefill, Optional<KvCacheHandle> cache) {
+    private static AttemptPlan plan(boolean prefillOnly, Optional<KvCacheHandle> cache) {
         return new AttemptPlan(
                 "i-1",
                 Optional.of("acme"),
                 750,
                 3,
-                prefill,
+                prefillOnly,
                 cache,
                 Optional.of(Address.of("10.1.0.9:80")),
                 OptionalLong.of(12));
     }
 
     @Example
-    void whatACallerAsksForIsRead() {
+    void theIntentOfARequestIsRead() {
         CallIntent intent = protocol.readIntent(request(
                 PlatformHeaders.REQUEST_ID,
                 "x",
                 PlatformHeaders.DEADLINE,
                 "8000",
-                PlatformHeaders.TOKENS,
+                PlatformHeaders.TOKEN_COUNTS,
                 "1460,80",
-                PlatformHeaders.PROMPT_PARTS,
+                PlatformHeaders.PROMPT_SEGMENTS,
                 "5c:800,91:410,e4:250"));
         assertThat(intent.id()).isEqualTo("x");
         assertThat(intent.deadlineMillis()).hasValue(8000);
@@ -62,20 +62,25 @@
     }
 
     @Example
-    void headersThatCanNotBeReadAreTakenForAbsent() {
+    void malformedHeadersCountAsAbsent() {
         CallIntent intent = protocol.readIntent(request(
-                PlatformHeaders.DEADLINE, "soon", PlatformHeaders.TOKENS, "many", PlatformHeaders.LAST_EVENT, ""));
+                PlatformHeaders.DEADLINE,
+                "soon",
+                PlatformHeaders.TOKEN_COUNTS,
+                "many",
+                PlatformHeaders.LAST_EVENT_ID,
+                ""));
         assertThat(intent.deadlineMillis()).isEmpty();
         assertThat(intent.generation()).isEmpty();
         assertThat(intent.resumeAfter()).isEmpty();
     }
 
     /*
-     * A caller goes on from the memory of someone else's request, or holds places for nobody: it sent the headers that
-     * are the system's to set. Cause: headers passed on unseen.
+     * A caller could resume from the KV cache of another caller's request, or reserve capacity without using it, if
+     * headers that only this system may set were forwarded from its request.
      */
     @Example
-    void whatOnlyTheSystemSetsIsNotTakenFromACaller() {
+    void headersReservedForTheSystemAreNotForwardedFromACaller() {
         UpstreamRequest sent = protocol.attemptRequest(
                 request(
                         "x-cuminshelf-kv-source",
@@ -112,23 +117,23 @@
         assertThat(sent.headers().get(PlatformHeaders.STAGE)).isNull();
         assertThat(sent.headers().get("X-Kept")).isEqualTo("2");
         assertThat(sent.headers().get(PlatformHeaders.DEADLINE)).isEqualTo("750");
-        assertThat(sent.headers().get(PlatformHeaders.EXPECTED_START)).isEqualTo("i-1");
-        assertThat(sent.headers().get(PlatformHeaders.LAST_EVENT)).isEqualTo("12");
+        assertThat(sent.headers().get(PlatformHeaders.EXPECTED_INSTANCE)).isEqualTo("i-1");
+        assertThat(sent.headers().get(PlatformHeaders.LAST_EVENT_ID)).isEqualTo("12");
         assertThat(sent.target()).isEqualTo("/a/b?c=%20d");
     }
 
     /*
-     * Whoever runs or watches an upstream can ask in the name of its callers: it is given their keys. Cause: a header
-     * that is for the system only is passed on like any other. And a caller runs in the name of another organisation,
-     * as it sends that name itself.
+     * Anyone who operates or observes an upstream could send requests as one of its callers' organisations if API keys
+     * were forwarded to it, and a caller could run requests as another organisation if the name it sends were
+     * forwarded.
      */
     @Example
-    void anUpstreamGetsTheNameOfTheOrganisationAndNeverAKey() {
+    void anUpstreamReceivesTheOrganisationsNameAndNeverAKey() {
         UpstreamRequest sent = protocol.attemptRequest(
                 request(
-                        PlatformHeaders.CALLER_KEY,
+                        PlatformHeaders.API_KEY,
                         "secret-1",
-                        PlatformHeaders.CALLER_KEY.toUpperCase(Locale.ROOT),
+                        PlatformHeaders.API_KEY.toUpperCase(Locale.ROOT),
                         "secret-2",
                         PlatformHeaders.ORGANISATION,
                         "forged-1",
@@ -139,31 +144,30 @@
         assertThat(sent.headers().getValuesList(PlatformHeaders.ORGANISATION)).containsExactly("acme");
     }
 
-    /* On a public route a request runs in nobody's name. Its caller must not be able to choose one. */
+    /* On a public route a request belongs to no organisation, and its caller must not be able to name one. */
     @Example
-    void inNobodysNameMeansThatNoNameIsSent() {
-        AttemptPlan nobodys = new AttemptPlan(
+    void aRequestWithoutOrganisationIsSentWithoutItsHeader() {
+        AttemptPlan plan = new AttemptPlan(
                 "i-1", Optional.empty(), 750, 3, false, Optional.empty(), Optional.empty(), OptionalLong.empty());
-        UpstreamRequest sent = protocol.attemptRequest(request(PlatformHeaders.ORGANISATION, "forged"), nobodys);
+        UpstreamRequest sent = protocol.attemptRequest(request(PlatformHeaders.ORGANISATION, "forged"), plan);
         assertThat(sent.headers().contains(PlatformHeaders.ORGANISATION)).isFalse();
     }
 
     @Example
-    void whatIsReadOfARequestShowsNoKey() {
-        CallIntent intent = protocol.readIntent(request(PlatformHeaders.CALLER_KEY, "secret"));
+    void theIntentOfARequestRevealsNoKey() {
+        CallIntent intent = protocol.readIntent(request(PlatformHeaders.API_KEY, "secret"));
         assertThat(intent.keys().single()).hasValue(ApiKeyDigest.of("secret"));
         assertThat(intent.toString()).doesNotContain("secret");
-        CallIntent twice =
-                protocol.readIntent(request(PlatformHeaders.CALLER_KEY, "a", PlatformHeaders.CALLER_KEY, "b"));
-        assertThat(twice.keys().single()).isEmpty();
+        CallIntent twoKeys = protocol.readIntent(request(PlatformHeaders.API_KEY, "a", PlatformHeaders.API_KEY, "b"));
+        assertThat(twoKeys.keys().single()).isEmpty();
     }
 
     @Example
-    void aCacheIsNamedByItsEngineAndHandle() {
+    void aKvCacheIsIdentifiedByItsEngineAndHandle() {
         KvCacheHandle cache = new KvCacheHandle(Address.of("10.0.0.1:80"), "k");
         assertThat(protocol.attemptRequest(request(), plan(false, Optional.of(cache)))
                         .headers()
-                        .get(PlatformHeaders.CACHE_SOURCE))
+                        .get(PlatformHeaders.KV_CACHE_SOURCE))
                 .isEqualTo("10.0.0.1:80/k");
         assertThat(protocol.releaseRequest(cache).target()).isEqualTo("/cuminshelf/kv-handle/k");
         assertThat(protocol.readCacheHandle("{\"kvHandle\":\"k\"}".getBytes())).hasValue("k");
@@ -171,26 +175,26 @@
     }
 
     @Example
-    void aRefusalThatStatesItDidNotRunIsToldFromOneThatDoesNot() {
+    void onlyARefusalThatStatesNonExecutionCountsAsNotExecuted() {
         ResponseMetadata stated = protocol.readMetadata(503, HttpFields.build().put(PlatformHeaders.NOT_EXECUTED, "1"));
-        ResponseMetadata silent = protocol.readMetadata(503, HttpFields.EMPTY);
-        ResponseMetadata other =
-                protocol.readMetadata(421, HttpFields.build().put(PlatformHeaders.ANSWERING_START, "i-2"));
+        ResponseMetadata unstated = protocol.readMetadata(503, HttpFields.EMPTY);
+        ResponseMetadata otherInstance =
+                protocol.readMetadata(421, HttpFields.build().put(PlatformHeaders.RESPONDING_INSTANCE, "i-2"));
         assertThat(stated.notExecuted()).isTrue();
-        assertThat(silent.notExecuted()).isFalse();
-        assertThat(other.upstreamName()).hasValue("i-2");
+        assertThat(unstated.notExecuted()).isFalse();
+        assertThat(otherInstance.upstreamName()).hasValue("i-2");
     }
 
-    private AdvertisedLimit limit(String... stated) {
+    private AdvertisedLimit limit(String... values) {
         HttpFields.Mutable headers = HttpFields.build();
-        for (String value : stated) {
+        for (String value : values) {
             headers.add(PlatformHeaders.RATE_LIMIT, value);
         }
         return protocol.readMetadata(200, headers).backpressure().limit();
     }
 
     @Example
-    void theLimitOfAnUpstreamIsRead() {
+    void anAdvertisedLimitIsParsed() {
         assertThat(limit()).isEqualTo(new AdvertisedLimit.Unlimited());
         assertThat(limit("6")).isEqualTo(new AdvertisedLimit.PerSecond(6));
         assertThat(limit("5.1")).isEqualTo(new AdvertisedLimit.PerSecond(5.1));
@@ -198,34 +202,34 @@
         assertThat(limit("1000000000000")).isEqualTo(new AdvertisedLimit.PerSecond(1e12));
     }
 
-    /** Guards against an upstream in need that is taken for one without a limit, as its limit can't be read. */
+    /** An overloaded upstream whose limit is malformed must not be treated as unlimited. */
     @Example
-    void aLimitThatCanNotBeReadIsToldFromNone() {
+    void aMalformedLimitIsNotTreatedAsUnlimited() {
         for (String value : List.of("", "many", "-1", "NaN", "Infinity", "1e12", "0x10", "5,1", "9".repeat(400))) {
             assertThat(limit(value)).as(value).isInstanceOf(AdvertisedLimit.Malformed.class);
         }
         assertThat(limit("5", "6")).isEqualTo(new AdvertisedLimit.Malformed("[5, 6]"));
     }
 
-    private Optional<Duration> rest(int status, String stated) {
-        return protocol.readMetadata(status, HttpFields.build().put("Retry-After", stated))
+    private Optional<Duration> backoff(int status, String retryAfter) {
+        return protocol.readMetadata(status, HttpFields.build().put("Retry-After", retryAfter))
                 .backpressure()
                 .backoff();
     }
 
     @Example
-    void theRestThatARefusalAsksForIsRead() {
-        assertThat(rest(503, "3")).contains(Duration.ofSeconds(3));
-        assertThat(rest(503, "0.2504")).contains(Duration.ofMillis(251));
-        assertThat(rest(503, "999999999999")).contains(Duration.ofDays(1));
-        assertThat(rest(200, "3")).isEmpty();
+    void theBackoffOfARefusalIsParsed() {
+        assertThat(backoff(503, "3")).contains(Duration.ofSeconds(3));
+        assertThat(backoff(503, "0.2504")).contains(Duration.ofMillis(251));
+        assertThat(backoff(503, "999999999999")).contains(Duration.ofDays(1));
+        assertThat(backoff(200, "3")).isEmpty();
         for (String value : List.of("", "-1", "soon", "NaN", "Wed, 21 Oct 2026 07:28:00 GMT")) {
-            assertThat(rest(503, value)).as(value).isEmpty();
+            assertThat(backoff(503, value)).as(value).isEmpty();
         }
     }
 
     @Example
-    void thatAnUpstreamLeavesIsRead() {
+    void theShutdownSignalOfAnUpstreamIsParsed() {
         HttpFields leaving = HttpFields.build().put(PlatformHeaders.LEAVING, "1");
         assertThat(protocol.readMetadata(200, leaving).backpressure().leaving()).isTrue();
         assertThat(protocol.readMetadata(200, HttpFields.EMPTY).backpressure().leaving())
--- a/src/test/java/org/cuminshelf/platform/RouteConfigParserTest.java
+++ b/src/test/java/org/cuminshelf/platform/RouteConfigParserTest.java
@@ -13,7 +13,7 @@
 import org.cuminshelf.routes.RouteTable;
 import org.cuminshelf.routes.RoutedService;
 
-/** The configurations of the platform's operators, good and bad. */
+/** Valid and invalid configurations of the platform's operators. */
 class RouteConfigParserTest {
 
     private static final String ROUTE = "{\"name\":\"r\",\"host\":\"H.example\",\"pathPrefix\":\"/a/\","
@@ -26,18 +26,18 @@
                 + "\"limits\":{\"maxHeaderBytes\":100,\"idleTimeoutMs\":15000},\"later\":1}";
     }
 
-    private static Either<String, RouteTable> read(String document) {
-        return RouteConfigParser.read(document.getBytes(StandardCharsets.UTF_8));
+    private static Either<String, RouteTable> parse(String document) {
+        return RouteConfigParser.parse(document.getBytes(StandardCharsets.UTF_8));
     }
 
-    private static String wrong(String document) {
-        return read(document).getLeft();
+    private static String error(String document) {
+        return parse(document).getLeft();
     }
 
     @Example
-    void aGoodOneIsReadAndItsLongestPrefixWins() {
+    void aValidDocumentIsParsedAndItsLongestPrefixWins() {
         String longer = ROUTE.replace("\"/a/\"", "\"/a/b/\"").replace("\"r\"", "\"r2\"");
-        RouteTable table = read(document("7", ROUTE + "," + longer, SERVICE)).get();
+        RouteTable table = parse(document("7", ROUTE + "," + longer, SERVICE)).get();
         assertThat(table.version()).isEqualTo(7);
         assertThat(table.route("h.example:80", "/a/b/c").orElseThrow().name()).isEqualTo("r2");
         assertThat(table.route("h.example", "/a/c").orElseThrow().name()).isEqualTo("r");
@@ -46,58 +46,58 @@
     }
 
     @Example
-    void whatIsCutShortIsRefused() {
+    void aTruncatedDocumentIsRejected() {
         String whole = document("7", ROUTE, SERVICE);
-        assertThat(wrong(whole.substring(0, whole.length() - 9))).contains("can't be read");
+        assertThat(error(whole.substring(0, whole.length() - 9))).contains("can't be read");
     }
 
     @Example
-    void whatFollowsTheDocumentIsRefused() {
-        assertThat(wrong(document("7", ROUTE, SERVICE) + "{}")).contains("can't be read");
+    void trailingContentIsRejected() {
+        assertThat(error(document("7", ROUTE, SERVICE) + "{}")).contains("can't be read");
     }
 
     @Example
-    void aRouteToAnUnknownServiceIsRefused() {
-        assertThat(wrong(document("7", ROUTE, ""))).contains("unknown service s");
+    void aRouteToAnUnknownServiceIsRejected() {
+        assertThat(error(document("7", ROUTE, ""))).contains("unknown service s");
     }
 
     @Example
-    void twoRoutesAtOnePlaceAreRefused() {
-        assertThat(wrong(document("7", ROUTE + "," + ROUTE, SERVICE))).contains("same host and path prefix");
+    void twoRoutesWithTheSameHostAndPathPrefixAreRejected() {
+        assertThat(error(document("7", ROUTE + "," + ROUTE, SERVICE))).contains("same host and path prefix");
     }
 
     @Example
-    void weightsThatAddUpToNothingAreRefused() {
+    void weightsThatAddUpToZeroAreRejected() {
         String split = ROUTE.replace("\"service\":\"s\"", "\"trafficSplit\":[{\"service\":\"s\",\"weight\":0}]");
-        assertThat(wrong(document("7", split, SERVICE))).contains("add up to 0");
+        assertThat(error(document("7", split, SERVICE))).contains("add up to 0");
     }
 
     /*
-     * Every prompt is refused, or a process ends with a division by nothing: the figures stated of a service's engines
-     * are absurd. Such a figure counts as not stated.
+     * Impossible engine capacities, such as 0 slots, would refuse every prompt or crash a process with a division by
+     * zero. Such a value counts as missing.
      */
     @Example
-    void absurdFiguresOfEnginesCountAsNotStated() {
+    void impossibleEngineCapacitiesCountAsMissing() {
         String engine = "{\"slots\":0,\"kvCapacityTokens\":-5,\"stride\":0,\"kvTokenBytes\":-1}";
-        EngineCapacity limits = limits("{\"name\":\"s\",\"engine\":" + engine + "}");
-        assertThat(limits).isEqualTo(new EngineCapacity(1, 0, 1, 0));
-        assertThat(limits("{\"name\":\"s\",\"engine\":{}}")).isEqualTo(limits);
+        EngineCapacity capacity = capacity("{\"name\":\"s\",\"engine\":" + engine + "}");
+        assertThat(capacity).isEqualTo(new EngineCapacity(1, 0, 1, 0));
+        assertThat(capacity("{\"name\":\"s\",\"engine\":{}}")).isEqualTo(capacity);
         String words = "{\"slots\":\"x\",\"kvCapacityTokens\":null,\"stride\":[],\"kvTokenBytes\":{}}";
-        assertThat(limits("{\"name\":\"s\",\"engine\":" + words + "}")).isEqualTo(limits);
+        assertThat(capacity("{\"name\":\"s\",\"engine\":" + words + "}")).isEqualTo(capacity);
     }
 
     @Example
-    void whatIsStatedOfEnginesAndPausesIsRead() {
+    void engineCapacityAndMaximumEventGapAreParsed() {
         String engine = "{\"slots\":64,\"kvCapacityTokens\":900,\"stride\":5,\"kvTokenBytes\":35136.0}";
-        assertThat(limits("{\"name\":\"s\",\"engine\":" + engine + "}"))
+        assertThat(capacity("{\"name\":\"s\",\"engine\":" + engine + "}"))
                 .isEqualTo(new EngineCapacity(64, 900, 5, 35_136));
         String route = ROUTE.replace("\"name\"", "\"gapAimMs\":250,\"name\"");
-        RouteTable table = read(document("7", route, SERVICE)).get();
+        RouteTable table = parse(document("7", route, SERVICE)).get();
         assertThat(table.routes().getFirst().maxEventGapMillis()).isEqualTo(250);
     }
 
-    private static EngineCapacity limits(String service) {
-        return read(document("7", ROUTE, service))
+    private static EngineCapacity capacity(String service) {
+        return parse(document("7", ROUTE, service))
                 .get()
                 .service("s")
                 .flatMap(RoutedService::engine)
@@ -105,14 +105,14 @@
     }
 
     @Example
-    void aTimeoutOfNothingIsRefused() {
-        assertThat(wrong(document("7", ROUTE.replace("6000", "0"), SERVICE))).contains("timeout");
+    void aTimeoutOfZeroIsRejected() {
+        assertThat(error(document("7", ROUTE.replace("6000", "0"), SERVICE))).contains("timeout");
     }
 
     @Example
-    void aVersionThatIsNoNumberIsRefused() {
-        assertThat(wrong(document("\"x\"", ROUTE, SERVICE))).contains("version");
-        assertThat(wrong(document("0", ROUTE, SERVICE))).contains("version");
+    void aVersionThatIsNotAPositiveNumberIsRejected() {
+        assertThat(error(document("\"x\"", ROUTE, SERVICE))).contains("version");
+        assertThat(error(document("0", ROUTE, SERVICE))).contains("version");
     }
 
     private static String withOrganisations(String list) {
@@ -120,7 +120,10 @@
     }
 
     private static AccessDecision access(String document, String key) {
-        return read(document).get().organisations().authorise(new RequestApiKeys(List.of(ApiKeyDigest.of(key))), false);
+        return parse(document)
+                .get()
+                .organisations()
+                .authorise(new RequestApiKeys(List.of(ApiKeyDigest.of(key))), false);
     }
 
     @Example
@@ -140,41 +143,41 @@
         assertThat(access(withOrganisations("[]"), "k4")).isInstanceOf(AccessDecision.Denied.class);
     }
 
-    /* What is wrong with an organisation is told to the operator and logged: with its name, never with a key. */
+    /* The reason is returned to the operator and logged: it may name the organisation, but must never contain a key. */
     @Example
-    void organisationsThatCannotBeToldApartAreRefusedWithoutShowingAKey() {
-        assertThat(wrong(withOrganisations(
+    void ambiguousOrInvalidOrganisationsAreRejectedWithoutRevealingAKey() {
+        assertThat(error(withOrganisations(
                         "[{\"name\":\"a\",\"apiKeys\":[\"secret\"]},{\"name\":\"b\",\"apiKeys\":[\"x\",\"secret\"]}]")))
                 .contains("a and b hold the same key")
                 .doesNotContain("secret");
-        assertThat(wrong(withOrganisations("[{\"name\":\"a\"},{\"name\":\"a\"}]")))
+        assertThat(error(withOrganisations("[{\"name\":\"a\"},{\"name\":\"a\"}]")))
                 .contains("named a");
-        assertThat(wrong(withOrganisations("[{\"name\":\" \"}]"))).contains("empty name");
-        assertThat(wrong(withOrganisations("[{\"name\":\"a\",\"apiKeys\":[7]}]")))
+        assertThat(error(withOrganisations("[{\"name\":\" \"}]"))).contains("empty name");
+        assertThat(error(withOrganisations("[{\"name\":\"a\",\"apiKeys\":[7]}]")))
                 .contains("a key of a");
-        assertThat(wrong(withOrganisations("[{\"name\":\"a\",\"apiKeys\":\"secret\"}]")))
+        assertThat(error(withOrganisations("[{\"name\":\"a\",\"apiKeys\":\"secret\"}]")))
                 .contains("'apiKeys' of a")
                 .doesNotContain("secret");
-        assertThat(wrong(withOrganisations("[{\"name\":\"a\",\"apiKeys\":[secret]}]")))
+        assertThat(error(withOrganisations("[{\"name\":\"a\",\"apiKeys\":[secret]}]")))
                 .contains("can't be read")
                 .doesNotContain("secret");
-        assertThat(wrong(withOrganisations("{}"))).contains("'tenants' must be a list");
+        assertThat(error(withOrganisations("{}"))).contains("'tenants' must be a list");
     }
 
     @Example
-    void oneOrganisationMayNameAKeyTwice() {
-        assertThat(read(withOrganisations("[{\"name\":\"a\",\"apiKeys\":[\"k\",\"k\"]}]"))
+    void oneOrganisationMayListAKeyTwice() {
+        assertThat(parse(withOrganisations("[{\"name\":\"a\",\"apiKeys\":[\"k\",\"k\"]}]"))
                         .isRight())
                 .isTrue();
     }
 
     @Example
-    void requestsAreSplitByWeightAndNoneGoesToAWeightOfNothing() {
+    void requestsAreSplitByWeightAndNoneGoesToAServiceOfWeightZero() {
         String split = ROUTE.replace(
                 "\"service\":\"s\"",
                 "\"trafficSplit\":[{\"service\":\"s\",\"weight\":1},{\"service\":\"t\",\"weight\":0}]");
         RouteTable table =
-                read(document("7", split, SERVICE + ",{\"name\":\"t\"}")).get();
+                parse(document("7", split, SERVICE + ",{\"name\":\"t\"}")).get();
         for (long choice = -5; choice < 5; choice++) {
             assertThat(table.routes().getFirst().chooseService(choice)).isEqualTo("s");
         }
--- a/src/test/java/org/cuminshelf/platform/UsageReportClientTest.java
+++ b/src/test/java/org/cuminshelf/platform/UsageReportClientTest.java
@@ -24,23 +24,23 @@
 import org.cuminshelf.message.UsageReported;
 import org.cuminshelf.message.UsageWindow;
 
-/** Reports of usage on their way to the platform, over loopback. */
+/** Usage reports sent to a stand-in for the platform over loopback. */
 class UsageReportClientTest {
 
-    private static final long PATIENCE_SECONDS = 10;
+    private static final long TIMEOUT_SECONDS = 10;
 
     private final ReentrantLock lock = new ReentrantLock();
     private final BlockingQueue<UsageReported> outcomes = new LinkedBlockingQueue<>();
     private ServerSocket platform;
     private UpstreamConnections connections;
-    private UsageReportClient calls;
+    private UsageReportClient client;
 
     @BeforeTry
     void open() throws IOException {
         platform = new ServerSocket(0, 5, InetAddress.getLoopbackAddress());
-        platform.setSoTimeout((int) TimeUnit.SECONDS.toMillis(PATIENCE_SECONDS));
+        platform.setSoTimeout((int) TimeUnit.SECONDS.toMillis(TIMEOUT_SECONDS));
         connections = UpstreamConnections.start(lock);
-        calls = new UsageReportClient(
+        client = new UsageReportClient(
                 connections,
                 Address.of("127.0.0.1:" + platform.getLocalPort()),
                 "vm-1",
@@ -53,10 +53,10 @@
         platform.close();
     }
 
-    private static UsageReport report(long allowedMillis) {
+    private static UsageReport report(long leaseMillis) {
         return UsageReport.newBuilder()
                 .setNumber(12)
-                .setWriteUntilNs(System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(allowedMillis))
+                .setWriteUntilNs(System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(leaseMillis))
                 .setUsage(UsageWindow.newBuilder()
                         .setWindow(353)
                         .addCounts(OrganisationCount.newBuilder()
@@ -75,7 +75,7 @@
     }
 
     private UsageReported outcome() throws InterruptedException {
-        return outcomes.poll(PATIENCE_SECONDS, TimeUnit.SECONDS);
+        return outcomes.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
     }
 
     private static String read(Socket socket) throws IOException {
@@ -90,8 +90,8 @@
     }
 
     @Example
-    void aReportSaysWhoReportsUnderWhichNumberAndEndsWithTheAcknowledgement() throws Exception {
-        locked(() -> calls.report(report(5_000)));
+    void aReportNamesItsSenderAndFencingNumberAndIsAcceptedOnAcknowledgement() throws Exception {
+        locked(() -> client.send(report(5_000)));
         try (Socket socket = platform.accept()) {
             assertThat(read(socket))
                     .startsWith("POST /usage HTTP/1.1\r\n")
@@ -104,8 +104,8 @@
     }
 
     @Example
-    void aBusyPlatformIsNoAcknowledgement() throws Exception {
-        locked(() -> calls.report(report(5_000)));
+    void aBusyPlatformDoesNotAcknowledge() throws Exception {
+        locked(() -> client.send(report(5_000)));
         try (Socket socket = platform.accept()) {
             read(socket);
             socket.getOutputStream().write("HTTP/1.1 429 Busy\r\nContent-Length: 0\r\n\r\n".getBytes());
@@ -116,12 +116,12 @@
     }
 
     /*
-     * Two holders report at the same time: the first stood still after it had decided to report, its successor took
-     * over, and the first wakes and writes. The lease under which it decided is over by then.
+     * Two holders reported at the same time: the first was paused after it had decided to report, the second took over,
+     * and the first resumed and wrote after its lease had expired.
      */
     @Example
-    void nothingIsWrittenOnceTheLeaseIsOver() throws Exception {
-        locked(() -> calls.report(report(-1)));
+    void nothingIsWrittenAfterTheLeaseHasExpired() throws Exception {
+        locked(() -> client.send(report(-1)));
         try (Socket socket = platform.accept()) {
             assertThat(outcome().getReason()).isEqualTo("no longer allowed");
             assertThat(read(socket)).isEmpty();
@@ -129,15 +129,15 @@
     }
 
     /*
-     * A report waits in the socket of a process that is cut off, and arrives after the cut, when another process
-     * reports: its connection was closed in the usual way, by which what was written is still delivered.
+     * A report stayed in the socket buffer of a process without network, and arrived once the network was back, when
+     * another process was already reporting: a normal close still delivers buffered bytes, a reset discards them.
      */
     @Example
-    void whatIsGivenUpIsReset() throws Exception {
-        locked(() -> calls.report(report(5_000)));
+    void theConnectionOfAnAbandonedReportIsReset() throws Exception {
+        locked(() -> client.send(report(5_000)));
         try (Socket socket = platform.accept()) {
             read(socket);
-            locked(calls::giveUp);
+            locked(client::abandon);
             assertThatThrownBy(() -> socket.getInputStream().read()).isInstanceOf(SocketException.class);
             assertThat(outcomes).isEmpty();
         }
