--- a/src/main/java/org/cuminshelf/config/ConfigFolder.java
+++ b/src/main/java/org/cuminshelf/config/ConfigFolder.java
@@ -16,12 +16,12 @@
 import java.util.stream.Stream;
 
 /**
- * A folder of small YAML files, merged in the order of their names: maps are merged deeply, lists and plain values of
- * a later file replace those of an earlier one, and an explicit null removes a key.
+ * A folder of YAML files that are merged in the order of their names. Maps are merged recursively, lists and scalars of
+ * a later file replace those of an earlier one, and an explicit null removes a key. Hidden files are ignored.
  */
 public final class ConfigFolder {
 
-    private static final long LARGEST_FILE = 1L << 20;
+    private static final long MAX_FILE_BYTES = 1L << 20;
 
     private final Path folder;
 
@@ -30,34 +30,34 @@
     }
 
     /**
-     * Names a folder; nothing is read yet.
+     * Creates an instance without reading the folder.
      *
-     * @param folder the folder
-     * @return the folder
+     * @param folder path of the folder
+     * @return the instance
      */
     public static ConfigFolder at(Path folder) {
         return new ConfigFolder(folder);
     }
 
     /**
-     * Reads and merges the files.
+     * Reads and merges the files without validating their keys and values.
      *
-     * @return the merged tree, or everything that kept files from being read
+     * @return the merged tree, or all problems that prevented files from being read
      */
     public Either<List<ConfigProblem>, MergedConfig> merge() {
         List<ConfigProblem> problems = new ArrayList<>();
         ObjectNode tree = ConfigMapper.json().createObjectNode();
         SortedMap<String, String> origins = new TreeMap<>();
         for (Path file : files(problems)) {
-            read(file, problems).ifPresent(node -> mergeInto(tree, node, "", name(file), origins));
+            readFile(file, problems).ifPresent(node -> mergeInto(tree, node, "", name(file), origins));
         }
         return problems.isEmpty() ? Either.right(new MergedConfig(tree, origins)) : Either.left(problems);
     }
 
     /**
-     * Reads, merges, binds and checks.
+     * Reads and merges the files, binds them to {@link FleetConfig} and validates it.
      *
-     * @return the merged tree, known to be right, or everything wrong with it
+     * @return the merged tree, or the problems that make it invalid
      */
     public Either<List<ConfigProblem>, MergedConfig> mergeAndValidate() {
         return merge().flatMap(merged -> merged.bind().map(config -> merged));
@@ -84,9 +84,9 @@
         }
     }
 
-    private static java.util.Optional<ObjectNode> read(Path file, List<ConfigProblem> problems) {
+    private static java.util.Optional<ObjectNode> readFile(Path file, List<ConfigProblem> problems) {
         try {
-            if (Files.size(file) > LARGEST_FILE) {
+            if (Files.size(file) > MAX_FILE_BYTES) {
                 problems.add(new ConfigProblem(name(file), "", "", "larger than 1 MiB; split it"));
                 return java.util.Optional.empty();
             }
@@ -99,10 +99,11 @@
             }
             problems.add(new ConfigProblem(name(file), "", "", "the file must hold keys with values"));
         } catch (JsonProcessingException e) {
-            JsonLocation at = e.getLocation();
-            String where = at == null ? "" : "line " + at.getLineNr() + ", column " + at.getColumnNr();
+            JsonLocation location = e.getLocation();
+            String position =
+                    location == null ? "" : "line " + location.getLineNr() + ", column " + location.getColumnNr();
             problems.add(new ConfigProblem(
-                    name(file), where, "", "not readable as YAML: " + firstLine(e.getOriginalMessage())));
+                    name(file), position, "", "not readable as YAML: " + firstLine(e.getOriginalMessage())));
         } catch (IOException e) {
             problems.add(new ConfigProblem(name(file), "", "", "can't be read: " + e.getMessage()));
         }
@@ -116,11 +117,11 @@
             JsonNode value = field.getValue();
             if (value.isNull()) {
                 target.remove(field.getKey());
-                forget(origins, key);
+                removeOrigins(origins, key);
             } else if (value instanceof ObjectNode object) {
                 if (!(target.get(field.getKey()) instanceof ObjectNode)) {
                     target.putObject(field.getKey());
-                    forget(origins, key);
+                    removeOrigins(origins, key);
                 }
                 if (object.isEmpty()) {
                     origins.putIfAbsent(key, file);
@@ -128,14 +129,14 @@
                 mergeInto((ObjectNode) target.get(field.getKey()), object, key, file, origins);
             } else {
                 target.set(field.getKey(), value);
-                forget(origins, key);
+                removeOrigins(origins, key);
                 origins.put(key, file);
             }
         }
     }
 
-    private static void forget(SortedMap<String, String> origins, String key) {
-        origins.keySet().removeIf(known -> known.equals(key) || known.startsWith(key + "."));
+    private static void removeOrigins(SortedMap<String, String> origins, String key) {
+        origins.keySet().removeIf(other -> other.equals(key) || other.startsWith(key + "."));
     }
 
     private static boolean isYaml(Path path) {
--- a/src/main/java/org/cuminshelf/config/ConfigMapper.java
+++ b/src/main/java/org/cuminshelf/config/ConfigMapper.java
@@ -19,7 +19,7 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** The readers and writers of configuration text. */
+/** Jackson mappers for configuration. Both reject duplicate keys and use durations such as {@code 780ms}. */
 final class ConfigMapper {
 
     private static final Pattern DURATION = Pattern.compile("(\\d{1,12})(ms|s|m|h|d)");
@@ -30,21 +30,21 @@
 
     private ConfigMapper() {}
 
-    /** The canonical form: JSON with keys in order. */
+    /** Returns the mapper of the canonical form: JSON with sorted map keys. */
     static ObjectMapper json() {
         return JSON;
     }
 
-    /** The form operators write. */
+    /** Returns the mapper of the YAML that operators write; it reads empty strings as null. */
     static ObjectMapper yaml() {
         return YAML;
     }
 
     private static ObjectMapper configure(ObjectMapper mapper) {
         SimpleModule module = new SimpleModule();
-        module.addDeserializer(Duration.class, new DurationReader());
-        module.addDeserializer(OffsetDateTime.class, new StartReader());
-        module.addSerializer(Duration.class, new DurationWriter());
+        module.addDeserializer(Duration.class, new DurationDeserializer());
+        module.addDeserializer(OffsetDateTime.class, new OffsetDateTimeDeserializer());
+        module.addSerializer(Duration.class, new DurationSerializer());
         return mapper.registerModule(new Jdk8Module())
                 .registerModule(module)
                 .enable(DeserializationFeature.FAIL_ON_READING_DUP_TREE_KEY)
@@ -53,11 +53,11 @@
                 .enable(SerializationFeature.ORDER_MAP_ENTRIES_BY_KEYS);
     }
 
-    private static final class DurationReader extends StdDeserializer<Duration> {
+    private static final class DurationDeserializer extends StdDeserializer<Duration> {
 
         private static final long serialVersionUID = 1L;
 
-        private DurationReader() {
+        private DurationDeserializer() {
             super(Duration.class);
         }
 
@@ -80,7 +80,7 @@
         }
     }
 
-    private static final class DurationWriter extends JsonSerializer<Duration> {
+    private static final class DurationSerializer extends JsonSerializer<Duration> {
         @Override
         public void serialize(Duration value, com.fasterxml.jackson.core.JsonGenerator out, SerializerProvider provider)
                 throws IOException {
@@ -88,11 +88,11 @@
         }
     }
 
-    private static final class StartReader extends StdDeserializer<OffsetDateTime> {
+    private static final class OffsetDateTimeDeserializer extends StdDeserializer<OffsetDateTime> {
 
         private static final long serialVersionUID = 1L;
 
-        private StartReader() {
+        private OffsetDateTimeDeserializer() {
             super(OffsetDateTime.class);
         }
 
--- a/src/main/java/org/cuminshelf/config/ConfigProblem.java
+++ b/src/main/java/org/cuminshelf/config/ConfigProblem.java
@@ -1,12 +1,13 @@
 package org.cuminshelf.config;
 
 /**
- * One thing wrong with a configuration, said so that an operator can mend it.
+ * A problem in a configuration, described so that an operator can fix it.
  *
- * @param file  the file, or the folder where no single file is at fault
- * @param key   the key with dots between its parts, or empty
- * @param value the value as written, or empty
- * @param cure  what to do
+ * @param file  file that contains it, or the folder if it concerns no single file
+ * @param key   path of the key with dots between its parts, or the position of a syntax error; empty if it concerns
+ *              neither
+ * @param value value as written; empty if it concerns no value
+ * @param cure  how to fix it
  */
 public record ConfigProblem(String file, String key, String value, String cure) {
 
--- a/src/main/java/org/cuminshelf/config/EventConfig.java
+++ b/src/main/java/org/cuminshelf/config/EventConfig.java
@@ -6,15 +6,15 @@
 import java.util.Optional;
 
 /**
- * A live event that opens at a fixed hour.
+ * A scheduled event for which capacity is prepared in advance.
  *
- * @param start    when it opens
- * @param services plain services it needs
- * @param models   models it needs
- * @param adapters adapters it needs
+ * @param start    start time of the event
+ * @param services plain services (without a model) that it uses
+ * @param models   models that it uses
+ * @param adapters adapters that it uses
  * @param priority priority of its calls, 0 to 9
- * @param engines  engines it needs with its models and adapters loaded
- * @param prefill  the share of prefill work expected, 0 to 1
+ * @param engines  number of engines that it needs with its models and adapters loaded
+ * @param prefill  expected fraction of prefill work, 0 to 1
  */
 public record EventConfig(
         @JsonProperty(value = "start", required = true) OffsetDateTime start,
--- a/src/main/java/org/cuminshelf/config/FleetConfig.java
+++ b/src/main/java/org/cuminshelf/config/FleetConfig.java
@@ -13,14 +13,14 @@
 import java.util.regex.Pattern;
 
 /**
- * The whole configuration of a fleet, typed and checked.
+ * The whole configuration of a fleet.
  *
- * @param services      plain services by name
+ * @param services      plain services (without a model) by name
  * @param models        models by name
- * @param events        events by name
- * @param organisations limits by organisation
- * @param planning      how roles are planned
- * @param teams         operators' teams by name
+ * @param events        scheduled events by name
+ * @param organisations limits by organisation name
+ * @param planning      planning of engine roles
+ * @param teams         operator teams by name
  */
 public record FleetConfig(
         SortedMap<String, ServiceConfig> services,
@@ -30,23 +30,23 @@
         PlanningConfig planning,
         SortedMap<String, TeamConfig> teams) {
 
-    /** Name under which the limits of organisations without their own stand. */
+    /** Key of the limits for organisations without an entry of their own. */
     public static final String DEFAULT_ORGANISATION = "default";
 
-    private static final int HIGHEST_PRIORITY = 9;
-    private static final Pattern SHA256 = Pattern.compile("[0-9a-f]{64}");
-    private static final PlanningConfig NO_PLANNING = new PlanningConfig(
+    private static final int MAX_PRIORITY = 9;
+    private static final Pattern SHA256_HEX = Pattern.compile("[0-9a-f]{64}");
+    private static final PlanningConfig DEFAULT_PLANNING = new PlanningConfig(
             Optional.empty(), Optional.empty(), Optional.empty(), Optional.empty(), Optional.empty(), Optional.empty());
 
     /**
-     * Fills in what is absent.
+     * Creates a configuration. Absent maps become empty ones, and absent planning the default.
      *
-     * @param services      plain services by name
-     * @param models        models by name
-     * @param events        events by name
-     * @param organisations limits by organisation
-     * @param planning      how roles are planned
-     * @param teams         operators' teams by name
+     * @param services      plain services (without a model) by name, or null
+     * @param models        models by name, or null
+     * @param events        scheduled events by name, or null
+     * @param organisations limits by organisation name, or null
+     * @param planning      planning of engine roles, or null
+     * @param teams         operator teams by name, or null
      */
     public FleetConfig(
             @JsonProperty("services") SortedMap<String, ServiceConfig> services,
@@ -59,12 +59,12 @@
         this.models = models == null ? new TreeMap<>() : models;
         this.events = events == null ? new TreeMap<>() : events;
         this.organisations = organisations == null ? new TreeMap<>() : organisations;
-        this.planning = planning == null ? NO_PLANNING : planning;
+        this.planning = planning == null ? DEFAULT_PLANNING : planning;
         this.teams = teams == null ? new TreeMap<>() : teams;
     }
 
     /**
-     * The configuration before any was accepted: nothing is served.
+     * Returns the configuration in force before any was accepted: no service and no model.
      *
      * @return the empty configuration
      */
@@ -73,10 +73,10 @@
     }
 
     /**
-     * Reads a configuration from its canonical form, as it is accepted and spread.
+     * Parses and validates a configuration in the canonical form, in which it is accepted and distributed.
      *
-     * @param canonical JSON in UTF-8
-     * @return the configuration, or what is wrong with it
+     * @param canonical JSON in UTF-8; empty for the empty configuration
+     * @return the configuration, or the first problem that makes it invalid
      */
     public static Either<String, FleetConfig> parse(byte[] canonical) {
         if (canonical.length == 0) {
@@ -96,10 +96,10 @@
     }
 
     /**
-     * The limits of an organisation, its own or the default.
+     * Returns the limits of an organisation: its own, or else those of {@link #DEFAULT_ORGANISATION}.
      *
-     * @param name the organisation
-     * @return the limits, or nothing where neither stands
+     * @param name name of the organisation
+     * @return the limits; empty if there are neither
      */
     public Optional<OrganisationConfig> organisation(String name) {
         OrganisationConfig own = organisations.get(name);
@@ -107,88 +107,89 @@
     }
 
     /**
-     * Finds what the types alone can't: references to names that don't exist and values out of range.
+     * Finds problems that binding to the types does not: references to unknown names, and values out of range.
      *
-     * @param origins file by key, to name the file at fault; may be empty
-     * @return the problems
+     * @param origins file by key, to name the file of each problem; may be empty
+     * @return the problems; empty if the configuration is valid
      */
     public List<ConfigProblem> validate(Map<String, String> origins) {
-        ProblemList list = new ProblemList(origins);
-        events.forEach((name, event) -> checkEvent(list, "events." + name, event));
-        organisations.forEach((name, limits) -> checkOrganisation(list, "organisations." + name, limits));
-        teams.forEach((name, team) -> list.require(
-                SHA256.matcher(team.keySha256()).matches(),
+        ProblemCollector problems = new ProblemCollector(origins);
+        events.forEach((name, event) -> checkEvent(problems, "events." + name, event));
+        organisations.forEach((name, limits) -> checkOrganisation(problems, "organisations." + name, limits));
+        teams.forEach((name, team) -> problems.require(
+                SHA256_HEX.matcher(team.keySha256()).matches(),
                 "teams." + name + ".key-sha256",
                 team.keySha256(),
                 "write the SHA-256 of the key as 64 lower-case hexadecimal digits"));
         planning.roleChangeWeight()
-                .ifPresent(weight ->
-                        list.require(weight >= 0, "planning.role-change-weight", weight, "give a number of 0 or more"));
-        models.forEach((name, model) -> checkModel(list, "models." + name, model));
-        return list.problems;
+                .ifPresent(weight -> problems.require(
+                        weight >= 0, "planning.role-change-weight", weight, "give a number of 0 or more"));
+        models.forEach((name, model) -> checkModel(problems, "models." + name, model));
+        return problems.list;
     }
 
-    private void checkEvent(ProblemList list, String key, EventConfig event) {
+    private void checkEvent(ProblemCollector problems, String key, EventConfig event) {
         for (String service : event.services().orElse(List.of())) {
-            list.require(
+            problems.require(
                     services.containsKey(service), key + ".services", service, "name a service of this configuration");
         }
         for (String model : event.models().orElse(List.of())) {
-            list.require(models.containsKey(model), key + ".models", model, "name a model of this configuration");
+            problems.require(models.containsKey(model), key + ".models", model, "name a model of this configuration");
         }
-        checkPriority(list, key, event.priority());
+        checkPriority(problems, key, event.priority());
         event.prefill()
-                .ifPresent(share -> list.require(
+                .ifPresent(share -> problems.require(
                         share >= 0 && share <= 1, key + ".prefill", share, "give a share between 0 and 1"));
         event.engines()
-                .ifPresent(
-                        engines -> list.require(engines >= 0, key + ".engines", engines, "give a number of 0 or more"));
+                .ifPresent(engines ->
+                        problems.require(engines >= 0, key + ".engines", engines, "give a number of 0 or more"));
     }
 
-    private static void checkOrganisation(ProblemList list, String key, OrganisationConfig limits) {
-        checkPriority(list, key, limits.priority());
+    private static void checkOrganisation(ProblemCollector problems, String key, OrganisationConfig limits) {
+        checkPriority(problems, key, limits.priority());
         limits.requestsPerSecond()
-                .ifPresent(rate -> list.require(
+                .ifPresent(rate -> problems.require(
                         rate > 0, key + ".requests-per-second", rate, "give a number above 0, or leave the key out"));
-        limits.weight().ifPresent(weight -> list.require(weight > 0, key + ".weight", weight, "give a number above 0"));
+        limits.weight()
+                .ifPresent(weight -> problems.require(weight > 0, key + ".weight", weight, "give a number above 0"));
     }
 
-    private static void checkModel(ProblemList list, String key, ModelConfig model) {
-        list.require(
+    private static void checkModel(ProblemCollector problems, String key, ModelConfig model) {
+        problems.require(
                 model.maxContextTokens() > 0,
                 key + ".context-tokens",
                 model.maxContextTokens(),
                 "give a number above 0");
-        list.require(
+        problems.require(
                 model.initialPrefillTokensPerSecond() > 0,
                 key + ".prefill-per-second",
                 model.initialPrefillTokensPerSecond(),
                 "give a number above 0");
-        list.require(
+        problems.require(
                 model.initialDecodeTokensPerSecond() > 0,
                 key + ".decode-per-second",
                 model.initialDecodeTokensPerSecond(),
                 "give a number above 0");
     }
 
-    private static void checkPriority(ProblemList list, String key, Optional<Integer> priority) {
-        priority.ifPresent(value -> list.require(
-                value >= 0 && value <= HIGHEST_PRIORITY, key + ".priority", value, "give a number from 0 to 9"));
+    private static void checkPriority(ProblemCollector problems, String key, Optional<Integer> priority) {
+        priority.ifPresent(value -> problems.require(
+                value >= 0 && value <= MAX_PRIORITY, key + ".priority", value, "give a number from 0 to 9"));
     }
 
-    /** Collects problems, naming the file of each. */
-    private static final class ProblemList {
+    /** Collects problems with the file of each. */
+    private static final class ProblemCollector {
 
         private final Map<String, String> origins;
-        private final List<ConfigProblem> problems = new ArrayList<>();
+        private final List<ConfigProblem> list = new ArrayList<>();
 
-        private ProblemList(Map<String, String> origins) {
+        private ProblemCollector(Map<String, String> origins) {
             this.origins = origins;
         }
 
         private void require(boolean holds, String key, Object value, String cure) {
             if (!holds) {
-                problems.add(new ConfigProblem(MergedConfig.originOf(origins, key), key, String.valueOf(value), cure));
+                list.add(new ConfigProblem(MergedConfig.originOf(origins, key), key, String.valueOf(value), cure));
             }
         }
     }
--- a/src/main/java/org/cuminshelf/config/MergedConfig.java
+++ b/src/main/java/org/cuminshelf/config/MergedConfig.java
@@ -18,10 +18,10 @@
 import java.util.stream.Collectors;
 import org.apache.commons.text.similarity.LevenshteinDistance;
 
-/** A folder merged into one tree, with the file behind each value. */
+/** The JSON tree into which a configuration folder is merged, with the file that set each value. */
 public final class MergedConfig {
 
-    private static final int NEAR = 4;
+    private static final int MAX_SUGGESTION_DISTANCE = 4;
 
     private final ObjectNode tree;
     private final SortedMap<String, String> origins;
@@ -32,55 +32,55 @@
     }
 
     /**
-     * The canonical form: JSON with its keys in order.
+     * Returns the canonical form: JSON with sorted keys, so that equal configurations have equal bytes.
      *
-     * @return UTF-8 bytes
+     * @return JSON in UTF-8
      */
     public byte[] canonicalJson() {
         try {
             Object ordered = ConfigMapper.json().treeToValue(tree, Object.class);
             return ConfigMapper.json().writeValueAsBytes(new java.util.TreeMap<>(asMap(ordered)));
         } catch (JsonProcessingException e) {
-            throw new IllegalStateException("A tree that was read can be written", e);
+            throw new IllegalStateException("serialising a parsed tree failed", e);
         }
     }
 
     /**
-     * The content hash of a canonical form.
+     * Returns the content hash of a configuration.
      *
-     * @param canonical the bytes
+     * @param canonical the configuration in its canonical form
      * @return SHA-256 in hexadecimal
      */
     public static String hash(byte[] canonical) {
         try {
             return HexFormat.of().formatHex(MessageDigest.getInstance("SHA-256").digest(canonical));
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException("Every Java runtime has SHA-256", e);
+            throw new IllegalStateException("the Java runtime has no SHA-256", e);
         }
     }
 
     /**
-     * The file behind each value.
+     * Returns the file that set each value.
      *
-     * @return file by key; keys have dots between their parts
+     * @return file name by key; keys have dots between their parts
      */
     public SortedMap<String, String> origins() {
         return origins;
     }
 
     /**
-     * Lists the values for people.
+     * Formats the values for display.
      *
      * @return lines of {@code key = value}, in key order
      */
     public List<String> lines() {
-        return origins.keySet().stream().map(key -> key + " = " + at(key)).toList();
+        return origins.keySet().stream().map(key -> key + " = " + nodeAt(key)).toList();
     }
 
     /**
-     * Binds the tree to its types and checks the whole.
+     * Binds the tree to {@link FleetConfig} and validates it.
      *
-     * @return the configuration, or everything wrong with it
+     * @return the configuration; or the first binding problem, or else all validation problems
      */
     public Either<List<ConfigProblem>, FleetConfig> bind() {
         try {
@@ -95,11 +95,12 @@
     }
 
     /**
-     * Finds the file behind a key, or behind the nearest part of it that has one.
+     * Returns the file that set a key. If none did, returns the file of one of its children, or else of its nearest
+     * ancestor.
      *
      * @param origins file by key
      * @param key     the key
-     * @return the file
+     * @return the file name, or {@code merged folder} if none is known
      */
     static String originOf(Map<String, String> origins, String key) {
         String exact = origins.get(key);
@@ -120,7 +121,7 @@
         return (Map<String, Object>) value;
     }
 
-    private JsonNode at(String key) {
+    private JsonNode nodeAt(String key) {
         JsonNode node = tree;
         for (String part : key.split("\\.")) {
             node = node.path(part);
@@ -135,26 +136,26 @@
                 .collect(Collectors.joining("."));
         String file = originOf(origins, key);
         if (e instanceof UnrecognizedPropertyException unknown) {
-            return new ConfigProblem(file, key, "", "unknown key; " + nearest(unknown));
+            return new ConfigProblem(file, key, "", "unknown key; " + suggestion(unknown));
         }
         if (e instanceof InvalidFormatException format) {
-            return new ConfigProblem(file, key, String.valueOf(format.getValue()), cure(e.getOriginalMessage()));
+            return new ConfigProblem(file, key, String.valueOf(format.getValue()), lastClause(e.getOriginalMessage()));
         }
-        return new ConfigProblem(file, key, at(key).toString(), cure(e.getOriginalMessage()));
+        return new ConfigProblem(file, key, nodeAt(key).toString(), lastClause(e.getOriginalMessage()));
     }
 
-    private static String cure(String message) {
+    private static String lastClause(String message) {
         int colon = message.lastIndexOf(": ");
         return colon < 0 ? message : message.substring(colon + 2);
     }
 
-    private static String nearest(UnrecognizedPropertyException unknown) {
-        LevenshteinDistance distance = new LevenshteinDistance(NEAR);
-        String written = unknown.getPropertyName();
+    private static String suggestion(UnrecognizedPropertyException unknown) {
+        LevenshteinDistance distance = new LevenshteinDistance(MAX_SUGGESTION_DISTANCE);
+        String unknownKey = unknown.getPropertyName();
         return unknown.getKnownPropertyIds().stream()
                 .map(String::valueOf)
-                .filter(known -> distance.apply(written, known) >= 0)
-                .min(Comparator.comparing(known -> distance.apply(written, known)))
+                .filter(known -> distance.apply(unknownKey, known) >= 0)
+                .min(Comparator.comparing(known -> distance.apply(unknownKey, known)))
                 .map(known -> "did you mean " + known + "?")
                 .orElse("known here: "
                         + unknown.getKnownPropertyIds().stream()
--- a/src/main/java/org/cuminshelf/config/ModelConfig.java
+++ b/src/main/java/org/cuminshelf/config/ModelConfig.java
@@ -6,16 +6,17 @@
 import java.util.Optional;
 
 /**
- * A language model.
+ * A language model. The methods return a component's value or its default.
  *
- * @param contextTokens    longest prompt and output together, in tokens; 8192 by default
- * @param adapters         adapters that callers may name
- * @param version          the version engines should hold
- * @param firstToken       time in which the first token must come; 780 ms by default
- * @param tokenGap         longest usual gap between tokens; 40 ms by default
- * @param deadline         time in which the whole answer must come; 60 s by default
- * @param prefillPerSecond prompt tokens an engine takes in a second, a first guess; 8000 by default
- * @param decodePerSecond  output tokens an engine gives in a second at full batch, a first guess; 2000 by default
+ * @param contextTokens    maximum of prompt and output together, in tokens; 8192 by default
+ * @param adapters         adapters that callers may request
+ * @param version          version that engines should load
+ * @param firstToken       maximum time to the first token; 780 ms by default
+ * @param tokenGap         target for the time between two tokens; 40 ms by default
+ * @param deadline         maximum time to the end of the response; 60 s by default
+ * @param prefillPerSecond initial estimate of the prompt tokens that an engine processes per second; 8000 by default
+ * @param decodePerSecond  initial estimate of the output tokens that an engine generates per second at full batch; 2000
+ *                         by default
  */
 public record ModelConfig(
         @JsonProperty("context-tokens") Optional<Integer> contextTokens,
@@ -27,64 +28,64 @@
         @JsonProperty("prefill-per-second") Optional<Integer> prefillPerSecond,
         @JsonProperty("decode-per-second") Optional<Integer> decodePerSecond) {
 
-    private static final int DEFAULT_CONTEXT = 8192;
+    private static final int DEFAULT_CONTEXT_TOKENS = 8192;
     private static final Duration DEFAULT_FIRST_TOKEN = Duration.ofMillis(780);
     private static final Duration DEFAULT_TOKEN_GAP = Duration.ofMillis(40);
     private static final Duration DEFAULT_DEADLINE = Duration.ofSeconds(60);
-    private static final int DEFAULT_PREFILL = 8000;
-    private static final int DEFAULT_DECODE = 2000;
+    private static final int DEFAULT_PREFILL_TOKENS_PER_SECOND = 8000;
+    private static final int DEFAULT_DECODE_TOKENS_PER_SECOND = 2000;
 
     /**
-     * The context length in force.
+     * Returns the maximum of prompt and output together.
      *
-     * @return tokens
+     * @return number of tokens
      */
     public int maxContextTokens() {
-        return contextTokens.orElse(DEFAULT_CONTEXT);
+        return contextTokens.orElse(DEFAULT_CONTEXT_TOKENS);
     }
 
     /**
-     * The time to the first token in force.
+     * Returns the maximum time to the first token.
      *
-     * @return milliseconds
+     * @return time in milliseconds
      */
     public long firstTokenMillis() {
         return firstToken.orElse(DEFAULT_FIRST_TOKEN).toMillis();
     }
 
     /**
-     * The gap between tokens in force.
+     * Returns the target for the time between two tokens.
      *
-     * @return milliseconds
+     * @return time in milliseconds
      */
     public long tokenGapMillis() {
         return tokenGap.orElse(DEFAULT_TOKEN_GAP).toMillis();
     }
 
     /**
-     * The deadline in force.
+     * Returns the maximum time to the end of the response.
      *
-     * @return milliseconds
+     * @return time in milliseconds
      */
     public long deadlineMillis() {
         return deadline.orElse(DEFAULT_DEADLINE).toMillis();
     }
 
     /**
-     * The first guess of an engine's prefill speed.
+     * Returns the initial estimate of an engine's prefill throughput.
      *
-     * @return tokens a second
+     * @return tokens per second
      */
     public int initialPrefillTokensPerSecond() {
-        return prefillPerSecond.orElse(DEFAULT_PREFILL);
+        return prefillPerSecond.orElse(DEFAULT_PREFILL_TOKENS_PER_SECOND);
     }
 
     /**
-     * The first guess of an engine's decode speed over its whole batch.
+     * Returns the initial estimate of an engine's decode throughput over its whole batch.
      *
-     * @return tokens a second
+     * @return tokens per second
      */
     public int initialDecodeTokensPerSecond() {
-        return decodePerSecond.orElse(DEFAULT_DECODE);
+        return decodePerSecond.orElse(DEFAULT_DECODE_TOKENS_PER_SECOND);
     }
 }
--- a/src/main/java/org/cuminshelf/config/OrganisationConfig.java
+++ b/src/main/java/org/cuminshelf/config/OrganisationConfig.java
@@ -4,12 +4,13 @@
 import java.util.Optional;
 
 /**
- * The limits of one organisation, or of every organisation without its own under the name {@code default}.
+ * The limits of one organisation; under the name {@code default}, of every organisation without limits of its own.
  *
- * @param requestsPerSecond requests it may start in a second over all entries; no limit by default
- * @param burst             requests it may start at once over all entries; two seconds' worth by default
- * @param priority          priority of its calls where they name none, 0 to 9
- * @param weight            its share where organisations compete; 1 by default
+ * @param requestsPerSecond maximum rate of new requests over all entries; unlimited by default
+ * @param burst             maximum number of requests started at once over all entries; two seconds' worth by
+ *                          default
+ * @param priority          priority of its calls that state none, 0 to 9
+ * @param weight            relative share of capacity when organisations compete; 1 by default
  */
 public record OrganisationConfig(
         @JsonProperty("requests-per-second") Optional<Double> requestsPerSecond,
--- a/src/main/java/org/cuminshelf/config/PlanningConfig.java
+++ b/src/main/java/org/cuminshelf/config/PlanningConfig.java
@@ -5,14 +5,14 @@
 import java.util.Optional;
 
 /**
- * How engines are split between prefill and decode.
+ * Planning of engine roles: how engines are divided between prefill and decode.
  *
- * @param enabled          whether roles are planned at all; false by default: engines stay mixed
- * @param roleChangeWeight how heavily a role change weighs against goodput; 1 by default, more for fewer changes
- * @param horizon          how far ahead a change must pay; 60 s by default
- * @param prefillFloor     fewest engines kept for prefill; 1 by default
- * @param decodeFloor      fewest engines kept for decode; 1 by default
- * @param changeTime       how long a change takes an engine away; 5 s by default
+ * @param enabled          whether roles are planned; false by default, which leaves all engines mixed
+ * @param roleChangeWeight cost of a role change relative to goodput; 1 by default, larger values for fewer changes
+ * @param horizon          time within which a role change must recover its cost; 60 s by default
+ * @param prefillFloor     minimum number of engines for prefill; 1 by default
+ * @param decodeFloor      minimum number of engines for decode; 1 by default
+ * @param changeTime       time for which an engine is unavailable during a role change; 5 s by default
  */
 public record PlanningConfig(
         @JsonProperty("enabled") Optional<Boolean> enabled,
--- a/src/main/java/org/cuminshelf/config/ServiceConfig.java
+++ b/src/main/java/org/cuminshelf/config/ServiceConfig.java
@@ -6,11 +6,11 @@
 import java.util.Optional;
 
 /**
- * A plain service.
+ * A plain service, without a model.
  *
- * @param idempotentMethods HTTP methods that may run more than once; GET, HEAD, OPTIONS by default
- * @param deadline          time in which a call must be answered; 10 s by default
- * @param homeRegion        the region whose group holds the idempotency keys; the caller's region by default
+ * @param idempotentMethods HTTP methods that may run more than once; GET, HEAD and OPTIONS by default
+ * @param deadline          maximum time to the response to a call; 10 s by default
+ * @param homeRegion        region whose replica group stores the idempotency keys; the caller's region by default
  * @param requireKey        whether a call that is not idempotent must carry an idempotency key; false by default
  */
 public record ServiceConfig(
@@ -19,23 +19,23 @@
         @JsonProperty("home-region") Optional<String> homeRegion,
         @JsonProperty("require-key") Optional<Boolean> requireKey) {
 
-    private static final List<String> SAFE_METHODS = List.of("GET", "HEAD", "OPTIONS");
+    private static final List<String> DEFAULT_IDEMPOTENT_METHODS = List.of("GET", "HEAD", "OPTIONS");
     private static final Duration DEFAULT_DEADLINE = Duration.ofSeconds(10);
 
     /**
-     * Tells whether a method may run more than once.
+     * Returns whether a method may run more than once.
      *
-     * @param method the HTTP method in capitals
+     * @param method HTTP method in upper case
      * @return true if it may
      */
     public boolean isIdempotent(String method) {
-        return idempotentMethods.orElse(SAFE_METHODS).contains(method);
+        return idempotentMethods.orElse(DEFAULT_IDEMPOTENT_METHODS).contains(method);
     }
 
     /**
-     * The deadline in force.
+     * Returns the deadline, or its default.
      *
-     * @return milliseconds
+     * @return time in milliseconds
      */
     public long deadlineMillis() {
         return deadline.orElse(DEFAULT_DEADLINE).toMillis();
--- a/src/main/java/org/cuminshelf/config/TeamConfig.java
+++ b/src/main/java/org/cuminshelf/config/TeamConfig.java
@@ -4,21 +4,21 @@
 import java.util.Locale;
 
 /**
- * A team of operators and its key to the administration interface.
+ * A team of operators and its key for the administration interface.
  *
- * @param role      what the team may do
+ * @param role      permissions of the team
  * @param keySha256 SHA-256 of its key in lower-case hexadecimal
  */
 public record TeamConfig(
         @JsonProperty(value = "role", required = true) Role role,
         @JsonProperty(value = "key-sha256", required = true) String keySha256) {
 
-    /** What a team may do. */
+    /** Permissions of a team. */
     public enum Role {
-        /** See everything, change nothing. */
+        /** Read only. */
         @JsonProperty("read")
         READ,
-        /** See and change. */
+        /** Read and change. */
         @JsonProperty("operate")
         OPERATE;
 
--- a/src/main/java/org/cuminshelf/core/Address.java
+++ b/src/main/java/org/cuminshelf/core/Address.java
@@ -3,44 +3,45 @@
 import java.util.Objects;
 
 /**
- * Where a message goes: the listening address of a process ({@code ip:port}), or a local port of the own process
- * ({@code local:name}).
+ * Destination of a message: the listening address of a process ({@code ip:port}), or a local port within the same
+ * process ({@code local:name}).
  *
- * @param value the address as it is written in messages and settings
+ * @param value the address as written in messages and settings
  */
 public record Address(String value) implements Comparable<Address> {
 
-    /** Port on which callers' requests arrive and answers leave; known to an entry alone. */
+    /** Local port of an entry for callers' requests and their responses. */
     public static final Address CALLERS = new Address("local:callers");
 
-    /** Port to the upstream beside a sidecar. */
+    /** Local port of a sidecar for the upstream on the same VM. */
     public static final Address UPSTREAM = new Address("local:upstream");
 
-    /** Port to the synced files of a control process. */
+    /** Local port of a control process for its persistent storage. */
     public static final Address STORAGE = new Address("local:storage");
 
-    /** Port to the administration interface of a control process. */
+    /** Local port of a control process for its administration interface. */
     public static final Address ADMINISTRATORS = new Address("local:administrators");
 
-    /** Port over which a control process gives orders to upstreams that announce themselves straight to it. */
+    /** Local port of a control process for orders to upstreams that send it heartbeats directly, without a sidecar. */
     public static final Address ORDERS = new Address("local:orders");
 
-    /** Port to the process itself: stop and stopped. */
+    /** Local port for messages between a core and the process that runs it, such as stop requests. */
     public static final Address PROCESS = new Address("local:process");
 
     private static final String LOCAL_PREFIX = "local:";
 
     /**
-     * Checks that there is a value.
+     * Creates an address.
      *
-     * @param value the address as it is written in messages and settings
+     * @param value the address as written in messages and settings
+     * @throws NullPointerException if the value is null
      */
     public Address {
         Objects.requireNonNull(value, "value");
     }
 
     /**
-     * Makes an address from its written form.
+     * Creates an address from its text form.
      *
      * @param value {@code ip:port} or {@code local:name}
      * @return the address
@@ -50,7 +51,7 @@
     }
 
     /**
-     * Tells whether this is a port of the own process.
+     * Returns whether this is a local port within the same process.
      *
      * @return true for a local port
      */
--- a/src/main/java/org/cuminshelf/core/Core.java
+++ b/src/main/java/org/cuminshelf/core/Core.java
@@ -3,10 +3,10 @@
 import org.cuminshelf.message.Envelope;
 
 /**
- * A decision core. It is driven by one thread: messages are accepted into its tables, then a tick runs its systems
- * over them. A tick runs as soon as input is there or a timer is due, so ticking adds no fixed delay.
+ * A deterministic decision core, called by a single thread: messages are first accepted into its tables, then a tick
+ * runs its systems over the tables. A tick runs as soon as there is input or a timer is due, so it adds no fixed delay.
  *
- * <p>Times are nanoseconds of a monotonic clock whose origin is unknown.
+ * <p>All times are nanoseconds of a monotonic clock with an arbitrary origin.
  */
 public interface Core {
 
@@ -14,26 +14,26 @@
     long NEVER = Long.MAX_VALUE;
 
     /**
-     * Takes one message into the tables.
+     * Applies one message to the tables.
      *
-     * @param now   the time in nanoseconds
-     * @param input the message with its sender
-     * @param out   receives what is to be sent
+     * @param now   current time in nanoseconds
+     * @param input the message, with its sender
+     * @param out   receives the messages to send
      */
     void accept(long now, Envelope input, Outbox out);
 
     /**
      * Runs the systems in their fixed order.
      *
-     * @param now the time in nanoseconds
-     * @param out receives what is to be sent
+     * @param now current time in nanoseconds
+     * @param out receives the messages to send
      */
     void tick(long now, Outbox out);
 
     /**
-     * Tells when the next tick is due if no message comes before.
+     * Returns when the next tick is due if no message arrives before.
      *
-     * @return the time in nanoseconds, or {@link #NEVER}
+     * @return time in nanoseconds, or {@link #NEVER}
      */
     long nextDue();
 }
--- a/src/main/java/org/cuminshelf/core/DeadlineQueue.java
+++ b/src/main/java/org/cuminshelf/core/DeadlineQueue.java
@@ -6,64 +6,68 @@
 import java.util.PriorityQueue;
 
 /**
- * The due times of a table's rows, one for each key, in the order they fall due.
+ * Priority queue of deadlines with at most one deadline for each key. Keys with equal deadlines are returned in the
+ * order in which their deadlines were set.
  *
- * @param <K> the key of a row
+ * <p>Replaced and removed deadlines stay in the heap as stale entries until they reach its head or outnumber the
+ * current entries.
+ *
+ * @param <K> type of the keys
  */
 public final class DeadlineQueue<K> {
 
-    private record Entry<K>(long due, long order, K key) implements Comparable<Entry<K>> {
+    private record Entry<K>(long dueNanos, long sequence, K key) implements Comparable<Entry<K>> {
         @Override
         public int compareTo(Entry<K> other) {
-            int byDue = Long.compare(due, other.due);
-            return byDue != 0 ? byDue : Long.compare(order, other.order);
+            int byDeadline = Long.compare(dueNanos, other.dueNanos);
+            return byDeadline != 0 ? byDeadline : Long.compare(sequence, other.sequence);
         }
     }
 
-    private final PriorityQueue<Entry<K>> queue = new PriorityQueue<>();
+    private final PriorityQueue<Entry<K>> heap = new PriorityQueue<>();
     private final Map<K, Entry<K>> current = new HashMap<>();
-    private long nextOrder;
+    private long nextSequence;
 
     private DeadlineQueue() {}
 
     /**
-     * Makes a table without due times.
+     * Creates an empty queue.
      *
-     * @param <K> the key of a row
-     * @return the table
+     * @param <K> type of the keys
+     * @return the queue
      */
     public static <K> DeadlineQueue<K> create() {
         return new DeadlineQueue<>();
     }
 
     /**
-     * Sets the due time of a key, in place of an earlier one.
+     * Sets the deadline of a key and replaces its previous one.
      *
-     * @param key the key
-     * @param due the time in nanoseconds
+     * @param key      the key
+     * @param dueNanos deadline in nanoseconds
      */
-    public void set(K key, long due) {
-        Entry<K> entry = new Entry<>(due, nextOrder++, key);
+    public void set(K key, long dueNanos) {
+        Entry<K> entry = new Entry<>(dueNanos, nextSequence++, key);
         current.put(key, entry);
-        queue.add(entry);
+        heap.add(entry);
         compact();
     }
 
     /**
-     * Sets the due time of a key unless it falls due earlier anyway.
+     * Sets the deadline of a key unless it already has the same or an earlier one.
      *
-     * @param key the key
-     * @param due the time in nanoseconds
+     * @param key      the key
+     * @param dueNanos deadline in nanoseconds
      */
-    public void setIfEarlier(K key, long due) {
+    public void setIfEarlier(K key, long dueNanos) {
         Entry<K> entry = current.get(key);
-        if (entry == null || entry.due > due) {
-            set(key, due);
+        if (entry == null || entry.dueNanos > dueNanos) {
+            set(key, dueNanos);
         }
     }
 
     /**
-     * Removes the due time of a key.
+     * Removes the deadline of a key, if it has one.
      *
      * @param key the key
      */
@@ -73,45 +77,45 @@
     }
 
     /**
-     * Takes the next key that is due.
+     * Removes and returns the next key that is due.
      *
-     * @param now the time in nanoseconds
-     * @return the key, or nothing if none is due
+     * @param nowNanos current time in nanoseconds
+     * @return the key; empty if none is due
      */
-    public Optional<K> poll(long now) {
-        skipStale();
-        Entry<K> head = queue.peek();
-        if (head == null || head.due > now) {
+    public Optional<K> poll(long nowNanos) {
+        removeStaleHead();
+        Entry<K> head = heap.peek();
+        if (head == null || head.dueNanos > nowNanos) {
             return Optional.empty();
         }
-        queue.poll();
+        heap.poll();
         current.remove(head.key);
         return Optional.of(head.key);
     }
 
     /**
-     * Tells when the next key falls due.
+     * Returns the earliest deadline.
      *
-     * @return the time in nanoseconds, or {@link Core#NEVER}
+     * @return time in nanoseconds, or {@link Core#NEVER} if the queue is empty
      */
     public long next() {
-        skipStale();
-        Entry<K> head = queue.peek();
-        return head == null ? Core.NEVER : head.due;
+        removeStaleHead();
+        Entry<K> head = heap.peek();
+        return head == null ? Core.NEVER : head.dueNanos;
     }
 
-    private void skipStale() {
-        Entry<K> head = queue.peek();
+    private void removeStaleHead() {
+        Entry<K> head = heap.peek();
         while (head != null && current.get(head.key) != head) {
-            queue.poll();
-            head = queue.peek();
+            heap.poll();
+            head = heap.peek();
         }
     }
 
     private void compact() {
-        int allowedStale = 64;
-        if (queue.size() > 2 * current.size() + allowedStale) {
-            queue.removeIf(entry -> current.get(entry.key) != entry);
+        int maxStaleEntries = 64;
+        if (heap.size() > 2 * current.size() + maxStaleEntries) {
+            heap.removeIf(entry -> current.get(entry.key) != entry);
         }
     }
 }
--- a/src/main/java/org/cuminshelf/core/DirectoryVersions.java
+++ b/src/main/java/org/cuminshelf/core/DirectoryVersions.java
@@ -5,58 +5,60 @@
 import org.cuminshelf.message.Update;
 
 /**
- * The version of each control process's directory that a subscriber holds.
+ * Versions of the control processes' upstream directories that a subscriber has received.
  *
- * <p>Failure it guards against: a subscriber restarts at its old address while control still counts it as subscribed,
- * and is told only what changed since the version that its predecessor held. Were that taken for the whole, it would
- * never ask for the rest and refuse every request for want of upstreams until it is restarted once more. So an update
- * that builds on a version not held here moves nothing forward, and the next subscription brings the whole directory.
+ * <p>If a subscriber restarts at its old address while a control process still counts it as subscribed, it receives
+ * only the changes since the version that its predecessor had. If it took such an update for the whole directory, it
+ * would never request the rest, and would refuse every request for lack of upstreams until its next restart. So an
+ * update that builds on a version not received here doesn't advance the version, and the next subscription requests the
+ * whole directory.
  */
 public final class DirectoryVersions {
 
-    private record Held(long incarnation, long version) {}
+    private record DirectoryVersion(long incarnation, long version) {}
 
-    private static final Held NOTHING = new Held(0, 0);
+    private static final DirectoryVersion NONE = new DirectoryVersion(0, 0);
 
-    private final Map<Address, Held> held = new HashMap<>();
+    private final Map<Address, DirectoryVersion> byControl = new HashMap<>();
 
     private DirectoryVersions() {}
 
     /**
-     * Begins with nothing held.
+     * Creates an instance for a subscriber that has received no directory yet.
      *
-     * @return the versions held
+     * @return the instance
      */
     public static DirectoryVersions none() {
         return new DirectoryVersions();
     }
 
     /**
-     * The life of a control process in which its directory was told.
+     * Returns the incarnation of a control process that sent the received directory. Each start of a process is a new
+     * incarnation, and versions are comparable only within one.
      *
-     * @param control the control process
-     * @return its incarnation, 0 if nothing is held
+     * @param control address of the control process
+     * @return its incarnation; 0 if nothing was received
      */
     public long incarnation(Address control) {
-        return held.getOrDefault(control, NOTHING).incarnation;
+        return byControl.getOrDefault(control, NONE).incarnation;
     }
 
     /**
-     * The version of a control process's directory.
+     * Returns the received version of a control process's directory.
      *
-     * @param control the control process
-     * @return the version, 0 if nothing is held
+     * @param control address of the control process
+     * @return the version; 0 if nothing was received
      */
     public long version(Address control) {
-        return held.getOrDefault(control, NOTHING).version;
+        return byControl.getOrDefault(control, NONE).version;
     }
 
     /**
-     * Tells whether an update was overtaken by a newer one of the same life of its sender.
+     * Returns whether a newer update from the same incarnation of the sender was already received.
      *
-     * @param control the sender
-     * @param update  what it told
-     * @return whether it is older than what is held
+     * @param control address of the sender
+     * @param update  the update
+     * @return whether the update is older than the received version
      */
     public boolean isStale(Address control, Update update) {
         return incarnation(control) == update.getDirectoryIncarnation()
@@ -64,16 +66,17 @@
     }
 
     /**
-     * Notes that an update was taken in.
+     * Records an update that the subscriber has applied.
      *
-     * @param control the sender
-     * @param update  what it told
+     * @param control address of the sender
+     * @param update  the update
      */
     public void recordUpdate(Address control, Update update) {
-        boolean sameLife = incarnation(control) == update.getDirectoryIncarnation();
-        boolean continues = sameLife && update.getDirectorySince() <= version(control);
+        boolean sameIncarnation = incarnation(control) == update.getDirectoryIncarnation();
+        boolean continues = sameIncarnation && update.getDirectorySince() <= version(control);
         if (update.getWholeDirectory() || continues) {
-            held.put(control, new Held(update.getDirectoryIncarnation(), update.getDirectoryVersion()));
+            byControl.put(
+                    control, new DirectoryVersion(update.getDirectoryIncarnation(), update.getDirectoryVersion()));
         }
     }
 }
--- a/src/main/java/org/cuminshelf/core/Durations.java
+++ b/src/main/java/org/cuminshelf/core/Durations.java
@@ -1,6 +1,6 @@
 package org.cuminshelf.core;
 
-/** Conversions between the milliseconds of messages and the nanoseconds of a core's clock. */
+/** Converts between the milliseconds used in messages and the nanoseconds of a core's clock. */
 public final class Durations {
 
     private static final long NANOS_PER_MILLI = 1_000_000L;
@@ -10,8 +10,8 @@
     /**
      * Converts milliseconds to nanoseconds.
      *
-     * @param millis milliseconds
-     * @return nanoseconds
+     * @param millis duration in milliseconds
+     * @return duration in nanoseconds
      */
     public static long nanos(long millis) {
         return millis * NANOS_PER_MILLI;
@@ -20,19 +20,19 @@
     /**
      * Converts nanoseconds to whole milliseconds, rounding down.
      *
-     * @param nanos nanoseconds
-     * @return milliseconds
+     * @param nanos duration in nanoseconds
+     * @return duration in milliseconds
      */
     public static long millis(long nanos) {
         return nanos / NANOS_PER_MILLI;
     }
 
     /**
-     * Milliseconds left until a time, never negative.
+     * Returns the time left until a deadline, in whole milliseconds.
      *
-     * @param now   the time in nanoseconds
-     * @param until the end in nanoseconds
-     * @return milliseconds left
+     * @param now   current time in nanoseconds
+     * @param until deadline in nanoseconds
+     * @return milliseconds left; 0 if the deadline has passed
      */
     public static int millisLeft(long now, long until) {
         return Math.clamp(millis(until - now), 0, Integer.MAX_VALUE);
--- a/src/main/java/org/cuminshelf/core/InvariantViolation.java
+++ b/src/main/java/org/cuminshelf/core/InvariantViolation.java
@@ -1,6 +1,6 @@
 package org.cuminshelf.core;
 
-/** Thrown in randomised runs when a promise does not hold. */
+/** Thrown in randomised test runs when an invariant does not hold. */
 public final class InvariantViolation extends RuntimeException {
 
     private static final long serialVersionUID = 1L;
@@ -8,10 +8,10 @@
     private final String invariant;
 
     /**
-     * Makes a breach.
+     * Creates an exception.
      *
      * @param invariant the name of the invariant
-     * @param detail    what was seen
+     * @param detail    the observed state that violates it
      */
     public InvariantViolation(String invariant, String detail) {
         super(invariant + ": " + detail);
@@ -19,9 +19,9 @@
     }
 
     /**
-     * Names the invariant that does not hold.
+     * Returns the name of the violated invariant.
      *
-     * @return its name
+     * @return the name
      */
     public String invariant() {
         return invariant;
--- a/src/main/java/org/cuminshelf/core/Invariants.java
+++ b/src/main/java/org/cuminshelf/core/Invariants.java
@@ -3,24 +3,24 @@
 import java.util.function.Supplier;
 
 /**
- * Receives the outcome of the assertions that the cores make of themselves. Randomised runs stop at the first breach;
- * a serving process counts and logs it and goes on, since a crash would take the other requests with it.
+ * Checks the invariants of the cores at run time. Randomised test runs stop at the first violation; a serving process
+ * counts and logs it and continues, since a crash would lose all other requests.
  */
 public interface Invariants {
 
     /**
-     * Asserts that a promise holds.
+     * Checks an invariant.
      *
-     * @param holds  whether it holds
+     * @param holds  whether the invariant holds
      * @param name   the name of the invariant, as listed in docs/PROOF.md
-     * @param detail what was seen; asked for only on a breach
+     * @param detail supplies the observed state; called only on a violation
      */
     void check(boolean holds, String name, Supplier<String> detail);
 
     /**
-     * Makes a receiver that throws at the first breach.
+     * Returns an implementation that throws {@link InvariantViolation} at the first violation.
      *
-     * @return the receiver
+     * @return the implementation
      */
     static Invariants throwing() {
         return (holds, name, detail) -> {
--- a/src/main/java/org/cuminshelf/core/Outbox.java
+++ b/src/main/java/org/cuminshelf/core/Outbox.java
@@ -2,24 +2,22 @@
 
 import org.cuminshelf.message.Envelope;
 
-/**
- * Where a core puts the messages it answers with. The outbox stamps the sender and its incarnation on each.
- */
+/** Takes the messages that a core sends, and sets the sender and its incarnation on each. */
 public interface Outbox {
 
     /**
-     * Sends a message over the usual connection. Delivery is not promised.
+     * Sends a message over the current connection to the receiver. Delivery is not guaranteed.
      *
-     * @param to      the receiver
+     * @param to      address of the receiver
      * @param message the message, without its sender
      */
     void send(Address to, Envelope.Builder message);
 
     /**
-     * Sends a message over a connection opened for it, leaving the old one behind. Guards against a connection that
-     * went silent: the old path may swallow all that is written to it while a new one works.
+     * Sends a message over a new connection, which replaces the current one. Used when a connection has gone silent:
+     * its network path may lose everything written to it while a new connection works.
      *
-     * @param to      the receiver
+     * @param to      address of the receiver
      * @param message the message, without its sender
      */
     void sendOnNewConnection(Address to, Envelope.Builder message);
--- a/src/main/java/org/cuminshelf/core/TraceFile.java
+++ b/src/main/java/org/cuminshelf/core/TraceFile.java
@@ -12,8 +12,8 @@
 import org.cuminshelf.message.TraceRecord;
 
 /**
- * A recorded trace: the inputs of one core, each with its time, as length-delimited {@link TraceRecord}s. Feeding
- * them to a new core with the same settings gives the same outputs.
+ * Recorded inputs of one core with their times, as length-delimited {@link TraceRecord}s. Replaying them in a new core
+ * with the same settings produces the same outputs. An instance either reads or writes.
  */
 public final class TraceFile implements AutoCloseable {
 
@@ -26,7 +26,7 @@
     }
 
     /**
-     * Opens a new trace for writing, over an older one.
+     * Opens a trace for writing and overwrites an existing file.
      *
      * @param file the file
      * @return the trace
@@ -58,15 +58,15 @@
     }
 
     /**
-     * Reads the next record. A last record that was cut off by a kill ends the trace.
+     * Reads the next record. The trace ends at a truncated record, which a killed process may leave behind.
      *
-     * @return the record, or nothing at the end
+     * @return the record; empty at the end of the trace
      * @throws IOException if the file can't be read
      */
     public Optional<TraceRecord> next() throws IOException {
         try {
             return Optional.ofNullable(TraceRecord.parseDelimitedFrom(input));
-        } catch (EOFException | com.google.protobuf.InvalidProtocolBufferException cutOff) {
+        } catch (EOFException | com.google.protobuf.InvalidProtocolBufferException truncated) {
             return Optional.empty();
         }
     }
--- a/src/main/java/org/cuminshelf/platform/PlatformControlInterface.java
+++ b/src/main/java/org/cuminshelf/platform/PlatformControlInterface.java
@@ -140,7 +140,7 @@
                     respond(exchange, 200, "{}");
                 })
                 .peekLeft(reason -> {
-                    rejectedHeartbeats.record(id, reason);
+                    rejectedHeartbeats.countAndLog(id, reason);
                     respond(exchange, 400, errorBody(reason));
                 });
     }
--- a/src/main/java/org/cuminshelf/platform/PlatformProtocol.java
+++ b/src/main/java/org/cuminshelf/platform/PlatformProtocol.java
@@ -45,7 +45,7 @@
     private static final int MAX_LOGGED_CHARACTERS = 60;
 
     private static final int STATUS_UNAVAILABLE = 503;
-    /** One day. */
+    /** One day; a longer backoff would outlast the upstream instance. */
     private static final double MAX_BACKOFF_SECONDS = 86_400;
 
     private static final double MILLIS_PER_SECOND = 1_000;
--- a/src/main/java/org/cuminshelf/platform/RejectedHeartbeats.java
+++ b/src/main/java/org/cuminshelf/platform/RejectedHeartbeats.java
@@ -49,7 +49,7 @@
      * @param reason why the heartbeat is invalid
      * @return whether a line was logged
      */
-    boolean record(String name, String reason) {
+    boolean countAndLog(String name, String reason) {
         counter.inc();
         long now = TimeUnit.NANOSECONDS.toSeconds(clock.getAsLong());
         if (now != currentSecond) {
--- a/src/main/java/org/cuminshelf/verdict/Verdict.java
+++ b/src/main/java/org/cuminshelf/verdict/Verdict.java
@@ -4,39 +4,40 @@
 import org.cuminshelf.message.Ran;
 
 /**
- * Says whether a request may have run. This is the error type of the whole path: it stands in the HTTP answer
- * ({@code Cuminshelf-Verdict} header and problem body), in logs and in spans.
+ * Whether a request may have been executed. This is the error type of the whole request path: it appears in the HTTP
+ * response ({@code Cuminshelf-Verdict} header and problem body), in logs and in tracing spans.
  */
 public sealed interface Verdict {
 
     /**
-     * The request did not run and never will under the attempts made for it.
+     * The request did not run, and none of the attempts made for it will still run it. Retrying is safe.
      *
-     * @param cause            why
-     * @param retryAfterMillis when a new try makes sense, in milliseconds; 0 when unknown
+     * @param cause            why it did not run
+     * @param retryAfterMillis recommended delay before a retry in milliseconds; 0 if unknown
      */
     record NotRun(Cause cause, long retryAfterMillis) implements Verdict {}
 
     /**
-     * The request may have run, once; nobody can swear either way.
+     * The request may have run at most once; whether it did is unknown.
      *
-     * @param cause why this is unknown
+     * @param cause why it is unknown
      */
     record MayHaveRun(Cause cause) implements Verdict {}
 
     /**
      * The request ran.
      *
-     * @param cause why the answer is not whole, or {@link Cause#CAUSE_NONE}
+     * @param cause why the response is incomplete, or {@link Cause#CAUSE_NONE}
      */
     record HasRun(Cause cause) implements Verdict {}
 
     /**
-     * Makes a verdict from its parts as they stand in messages.
+     * Creates a verdict from the fields of a message.
      *
-     * @param ran              whether the request may have run; unspecified counts as may have run
+     * @param ran              whether the request ran; unspecified and unknown values count as may have run
      * @param cause            the cause
-     * @param retryAfterMillis milliseconds, 0 when unknown
+     * @param retryAfterMillis recommended delay before a retry in milliseconds, 0 if unknown; ignored unless the
+     *                         request did not run
      * @return the verdict
      */
     static Verdict of(Ran ran, Cause cause, long retryAfterMillis) {
@@ -48,7 +49,7 @@
     }
 
     /**
-     * The word used for this verdict in headers, logs and spans.
+     * Returns the name of this verdict in headers, logs and spans.
      *
      * @return {@code not-run}, {@code may-have-run} or {@code ran}
      */
@@ -61,7 +62,7 @@
     }
 
     /**
-     * Why the request was not answered in full.
+     * Returns why the request failed or its response is incomplete.
      *
      * @return the cause
      */
--- a/src/main/java/org/cuminshelf/verdict/package-info.java
+++ b/src/main/java/org/cuminshelf/verdict/package-info.java
@@ -1,2 +1,2 @@
-/** What a caller is told of its request: whether it may have run, why it was not answered, when to try again. */
+/** The outcome reported to a caller: whether its request may have run, why it failed, and when to retry. */
 package org.cuminshelf.verdict;
--- a/src/test/java/org/cuminshelf/config/ConfigFolderTest.java
+++ b/src/test/java/org/cuminshelf/config/ConfigFolderTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import net.jqwik.api.Example;
 
-/** The operators' folder: merging, origins, and what is said of mistakes. */
+/** Merging of a configuration folder, origins of values, and reported problems. */
 class ConfigFolderTest {
 
     private final Path folder;
@@ -38,7 +38,7 @@
     }
 
     @Example
-    void anUnknownKeyIsToldWithItsFileAndTheNearestKnownOne() throws IOException {
+    void anUnknownKeyIsReportedWithItsFileAndTheMostSimilarKnownKey() throws IOException {
         write("10-base.yaml", "models:\n  m: {context-token: 5}\n");
         ConfigProblem problem = onlyProblem();
         assertThat(problem.file()).isEqualTo("10-base.yaml");
@@ -47,7 +47,7 @@
     }
 
     @Example
-    void aBadDurationIsToldWithItsValueAndACure() throws IOException {
+    void anInvalidDurationIsReportedWithItsValueAndACure() throws IOException {
         write("10-base.yaml", "services: {s: {deadline: soon}}\n");
         ConfigProblem problem = onlyProblem();
         assertThat(problem.value()).isEqualTo("soon");
@@ -55,7 +55,7 @@
     }
 
     @Example
-    void anEventThatNamesNoModelOfTheFolderIsToldWithItsFile() throws IOException {
+    void anEventWithAnUnknownModelIsReportedWithItsFile() throws IOException {
         write("10-base.yaml", "models: {m: {}}\n");
         write("30-fair.yaml", "events:\n  fair: {start: 2027-03-01T09:00:00+01:00, models: [n]}\n");
         ConfigProblem problem = onlyProblem();
@@ -64,19 +64,19 @@
     }
 
     @Example
-    void brokenYamlIsToldWithItsLine() throws IOException {
+    void malformedYamlIsReportedWithItsLine() throws IOException {
         write("10-base.yaml", "models:\n  m: [1,\n");
         assertThat(onlyProblem().key()).contains("line");
     }
 
     @Example
-    void aKeyThatStandsTwiceInOneFileIsRefused() throws IOException {
+    void aDuplicateKeyInOneFileIsRejected() throws IOException {
         write("10-base.yaml", "services: {a: {}}\nservices: {b: {}}\n");
         assertThat(onlyProblem().file()).isEqualTo("10-base.yaml");
     }
 
     @Example
-    void anEmptyFolderIsToldAsSuch() {
+    void anEmptyFolderIsReported() {
         assertThat(onlyProblem().cure()).contains("add a .yaml file");
     }
 
--- a/src/test/java/org/cuminshelf/core/RecordingOutbox.java
+++ b/src/test/java/org/cuminshelf/core/RecordingOutbox.java
@@ -5,7 +5,7 @@
 import java.util.function.Predicate;
 import org.cuminshelf.message.Envelope;
 
-/** Keeps what a core sends, for tests to look at. */
+/** Records the messages that a core sends, for assertions in tests. */
 public final class RecordingOutbox implements Outbox {
 
     /** A message with its receiver. */
@@ -23,16 +23,16 @@
         send(to, message);
     }
 
-    /** Takes all that was sent, with its receivers. */
+    /** Returns and clears all recorded messages with their receivers. */
     public List<Sent> takeSent() {
         List<Sent> taken = List.copyOf(sent);
         sent.clear();
         return taken;
     }
 
-    /** Takes what was sent and matches, leaving the rest out for good. */
-    public List<Envelope> take(Predicate<Envelope> wanted) {
-        List<Envelope> taken = sent.stream().map(Sent::message).filter(wanted).toList();
+    /** Returns the recorded messages that match a predicate, and clears all, including those that don't match. */
+    public List<Envelope> take(Predicate<Envelope> filter) {
+        List<Envelope> taken = sent.stream().map(Sent::message).filter(filter).toList();
         sent.clear();
         return taken;
     }
--- a/src/test/java/org/cuminshelf/platform/HeartbeatParserTest.java
+++ b/src/test/java/org/cuminshelf/platform/HeartbeatParserTest.java
@@ -72,7 +72,7 @@
      */
     @Property(tries = 300, seed = "51")
     void aHeartbeatWithOneInvalidFieldIsRejected(
-            @ForAll("fields") String field, @ForAll("invalidValues") Optional<JsonNode> value) throws IOException {
+            @ForAll("fields") String field, @ForAll("spoiled") Optional<JsonNode> value) throws IOException {
         Assume.that(!field.equals("born") || value.isPresent());
         ObjectNode document = (ObjectNode) JSON.readTree(HEARTBEAT);
         document.remove(field);
@@ -86,7 +86,7 @@
     }
 
     @Provide
-    Arbitrary<Optional<JsonNode>> invalidValues() {
+    Arbitrary<Optional<JsonNode>> spoiled() {
         JsonNodeFactory nodes = JsonNodeFactory.instance;
         return Arbitraries.of(
                 Optional.empty(),
@@ -131,10 +131,10 @@
         RejectedHeartbeats rejected = RejectedHeartbeats.register(new PrometheusRegistry(), () -> now[0]);
         int lines = 0;
         for (int index = 0; index < 100; index++) {
-            lines += rejected.record("x".repeat(10_000), "it is no JSON") ? 1 : 0;
+            lines += rejected.countAndLog("x".repeat(10_000), "it is no JSON") ? 1 : 0;
         }
         assertThat(lines).isEqualTo(2);
         now[0] += 1_000_000_000L;
-        assertThat(rejected.record("x", "it is no JSON")).isTrue();
+        assertThat(rejected.countAndLog("x", "it is no JSON")).isTrue();
     }
 }
