--- a/src/main/java/org/cuminshelf/http/AdminHandler.java
+++ b/src/main/java/org/cuminshelf/http/AdminHandler.java
@@ -187,7 +187,7 @@
             if (!Set.of("mixed", "prefill", "decode").contains(role)) {
                 return Either.left("'change_role' must be mixed, prefill or decode.");
             }
-            return Either.right(body.setChangeRole(EngineUpstream.role(role)));
+            return Either.right(body.setChangeRole(EngineUpstream.parseRole(role)));
         }
         if (node.path("load_model").isTextual()) {
             return Either.right(body.setLoadModel(node.get("load_model").textValue()));
--- a/src/main/java/org/cuminshelf/platform/PlatformCommand.java
+++ b/src/main/java/org/cuminshelf/platform/PlatformCommand.java
@@ -18,7 +18,7 @@
 import org.cuminshelf.replica.MembershipPolicy;
 import org.cuminshelf.replica.ReplicaSettings;
 import org.cuminshelf.tools.Command;
-import org.cuminshelf.tools.Serving;
+import org.cuminshelf.tools.GracefulShutdown;
 import org.cuminshelf.tools.UsageException;
 import org.tinylog.Logger;
 
@@ -77,10 +77,10 @@
                 .map(settings::withMetricsPort)
                 .orElse(settings);
         if (flags.getString(ROLE).equals(CONTROL)) {
-            return Serving.until(List.of(startControl(boot)));
+            return GracefulShutdown.awaitSignal(List.of(startControl(boot)));
         }
         DirectEntryProcess entry = startEntry(boot);
-        return Serving.until(List.of(entry), () -> reloadSeeds(entry));
+        return GracefulShutdown.awaitSignal(List.of(entry), () -> reloadSeeds(entry));
     }
 
     private static void reloadSeeds(DirectEntryProcess entry) {
--- a/src/main/java/org/cuminshelf/process/SidecarProcess.java
+++ b/src/main/java/org/cuminshelf/process/SidecarProcess.java
@@ -53,8 +53,8 @@
             UpstreamSpans upstreamSpans =
                     new UpstreamSpans(runtime.spans(), message -> runner.offer(Address.UPSTREAM, message));
             Upstream upstream = settings.kind() == UpstreamKind.UPSTREAM_ENGINE
-                    ? EngineUpstream.watch(upstreamUri, settings.slots(), upstreamSpans)
-                    : ServiceUpstream.watch(upstreamUri, healthPath, settings.slots(), upstreamSpans);
+                    ? EngineUpstream.start(upstreamUri, settings.slots(), upstreamSpans)
+                    : ServiceUpstream.start(upstreamUri, healthPath, settings.slots(), upstreamSpans);
             runner.registerPort(Address.UPSTREAM, message -> upstream.handle(upstreamSpans.startSpan(message)));
             runtime.start();
             return new SidecarProcess(runtime, upstream);
--- a/src/main/java/org/cuminshelf/standin/StandInEngine.java
+++ b/src/main/java/org/cuminshelf/standin/StandInEngine.java
@@ -180,7 +180,7 @@
         JsonNode node = JSON.readTree(Content.Source.asString(request, StandardCharsets.UTF_8));
         OrderBody.Builder body = OrderBody.newBuilder();
         if (node.has("change_role")) {
-            body.setChangeRole(EngineUpstream.role(node.get("change_role").asText()));
+            body.setChangeRole(EngineUpstream.parseRole(node.get("change_role").asText()));
         } else if (node.has("load_model")) {
             body.setLoadModel(node.get("load_model").asText());
         } else if (node.has("load_adapter")) {
--- a/src/main/java/org/cuminshelf/tools/BenchCommand.java
+++ b/src/main/java/org/cuminshelf/tools/BenchCommand.java
@@ -44,7 +44,7 @@
             default -> ClaimBench.measure();
         };
         lines.forEach(System.out::println);
-        return ExitCode.DONE;
+        return ExitCode.SUCCESS;
     }
 
     private static List<String> path() throws Exception {
--- a/src/main/java/org/cuminshelf/tools/CheckCommand.java
+++ b/src/main/java/org/cuminshelf/tools/CheckCommand.java
@@ -47,11 +47,11 @@
                 System.err.println("Seed " + seed + " breaks " + describe(failure));
                 System.err.println(
                         "Replay it with: cuminshelf check --seeds 1 --first-seed " + seed + " --seconds " + seconds);
-                return ExitCode.NO;
+                return ExitCode.FAILURE;
             }
         }
         sum.ifPresent(report -> System.out.println("Seeds " + first + " to " + report.seed() + ": " + report));
-        return ExitCode.DONE;
+        return ExitCode.SUCCESS;
     }
 
     private static String describe(RuntimeException failure) {
--- a/src/main/java/org/cuminshelf/tools/ConfigCommand.java
+++ b/src/main/java/org/cuminshelf/tools/ConfigCommand.java
@@ -59,13 +59,13 @@
                 ConfigFolder.at(Path.of(folder)).mergeAndValidate();
         if (checked.isLeft()) {
             checked.getLeft().forEach(problem -> System.err.println(problem));
-            return ExitCode.NO;
+            return ExitCode.FAILURE;
         }
         MergedConfig merged = checked.get();
         return switch (action) {
             case "check" -> {
                 System.out.println("The folder is right: " + merged.origins().size() + " values.");
-                yield ExitCode.DONE;
+                yield ExitCode.SUCCESS;
             }
             case "show" -> show(merged, flags);
             case "diff" -> diff(merged, flags);
@@ -79,7 +79,7 @@
             boolean origin = Boolean.TRUE.equals(flags.getBoolean("origin"));
             System.out.println(origin ? line + "    # " + merged.origins().get(key) : line);
         }
-        return ExitCode.DONE;
+        return ExitCode.SUCCESS;
     }
 
     private static int showAccepted(Namespace flags) throws IOException {
@@ -90,7 +90,7 @@
             }
             System.out.println("version = " + answer.body().path("version").asLong());
             flatten(answer.body().path("config")).forEach((key, value) -> System.out.println(key + " = " + value));
-            return ExitCode.DONE;
+            return ExitCode.SUCCESS;
         }
     }
 
@@ -103,8 +103,8 @@
             System.out.println(
                     "Against version " + answer.body().path("version").asLong() + ":");
             return printDiff(flatten(answer.body().path("config")), flatten(JSON.readTree(merged.canonicalJson())))
-                    ? ExitCode.DONE
-                    : ExitCode.NO;
+                    ? ExitCode.SUCCESS
+                    : ExitCode.FAILURE;
         }
     }
 
@@ -139,14 +139,14 @@
                 System.err.println("Version " + answer.body().path("version").asLong()
                         + " was accepted meanwhile; it differs from the folder as follows:");
                 printDiff(flatten(answer.body().path("config")), flatten(JSON.readTree(merged.canonicalJson())));
-                return ExitCode.NO;
+                return ExitCode.FAILURE;
             }
             if (answer.status() != 200) {
                 return refused(answer);
             }
             long version = answer.body().path("version").asLong();
             System.out.println("Accepted as version " + version + ".");
-            return Boolean.TRUE.equals(flags.getBoolean("wait")) ? await(admin, version) : ExitCode.DONE;
+            return Boolean.TRUE.equals(flags.getBoolean("wait")) ? await(admin, version) : ExitCode.SUCCESS;
         }
     }
 
@@ -158,18 +158,18 @@
                     admin.get("status").body().path("lowest_version_in_force").asLong();
             if (lowest >= version) {
                 System.out.println("In force everywhere after " + (System.nanoTime() - start) / 1_000_000 + " ms.");
-                return ExitCode.DONE;
+                return ExitCode.SUCCESS;
             }
             Thread.sleep(LOOK_AGAIN_MILLIS);
         }
         System.err.println("Not in force everywhere after " + WAIT_MILLIS + " ms; see cuminshelf status.");
-        return ExitCode.NO;
+        return ExitCode.FAILURE;
     }
 
     private static int refused(AdminClient.Answer answer) {
         System.err.println("Refused with status " + answer.status() + ": "
                 + answer.body().path("detail").asText());
-        return answer.status() == 503 ? ExitCode.UNAVAILABLE : ExitCode.NO;
+        return answer.status() == 503 ? ExitCode.UNAVAILABLE : ExitCode.FAILURE;
     }
 
     private static SortedMap<String, String> flatten(JsonNode node) {
--- a/src/main/java/org/cuminshelf/tools/ControlCommand.java
+++ b/src/main/java/org/cuminshelf/tools/ControlCommand.java
@@ -64,6 +64,6 @@
                 !Flags.isOn(flags, "no-group-commit"));
         ControlProcess process =
                 ControlProcess.start(common, options, () -> Runtime.getRuntime().halt(DISK_FAILED));
-        return Serving.until(List.of(process));
+        return GracefulShutdown.awaitSignal(List.of(process));
     }
 }
--- a/src/main/java/org/cuminshelf/tools/EntryCommand.java
+++ b/src/main/java/org/cuminshelf/tools/EntryCommand.java
@@ -51,6 +51,6 @@
                 settings,
                 Flags.address(flags, "callers"),
                 CommonFlags.pem(flags, "callers-cert", "callers-key"));
-        return Serving.until(List.of(process));
+        return GracefulShutdown.awaitSignal(List.of(process));
     }
 }
--- a/src/main/java/org/cuminshelf/tools/EventCommand.java
+++ b/src/main/java/org/cuminshelf/tools/EventCommand.java
@@ -31,7 +31,7 @@
             if (config.status() != 200 || status.status() != 200) {
                 System.err.println("Refused with status " + config.status() + ": "
                         + config.body().path("detail").asText());
-                return ExitCode.NO;
+                return ExitCode.FAILURE;
             }
             JsonNode events = config.body().path("config").path("events");
             for (Map.Entry<String, JsonNode> event : events.properties()) {
@@ -40,7 +40,7 @@
             if (events.isEmpty()) {
                 System.out.println("No events are configured.");
             }
-            return ExitCode.DONE;
+            return ExitCode.SUCCESS;
         }
     }
 
--- a/src/main/java/org/cuminshelf/tools/ExperimentCommand.java
+++ b/src/main/java/org/cuminshelf/tools/ExperimentCommand.java
@@ -56,7 +56,7 @@
         if (Flags.path(flags, "csv").isPresent()) {
             Files.write(Path.of(Flags.text(flags, "csv")), lines);
         }
-        return ExitCode.DONE;
+        return ExitCode.SUCCESS;
     }
 
     private static List<Mix> mixes(Namespace flags) throws UsageException {
--- a/src/main/java/org/cuminshelf/tools/Serving.java
+++ b/src/main/java/org/cuminshelf/tools/GracefulShutdown.java
@@ -7,9 +7,9 @@
 import org.tinylog.Logger;
 
 /** Keeps serving processes up until a signal, then stops them in order. */
-public final class Serving {
+public final class GracefulShutdown {
 
-    private Serving() {}
+    private GracefulShutdown() {}
 
     /**
      * Waits for a signal and stops gracefully.
@@ -18,8 +18,8 @@
      * @return the exit code
      * @throws InterruptedException if the wait is interrupted
      */
-    public static int until(List<ServingProcess> processes) throws InterruptedException {
-        return until(processes, () -> Logger.info("process: event=reload outcome=\"nothing to read again\""));
+    public static int awaitSignal(List<ServingProcess> processes) throws InterruptedException {
+        return awaitSignal(processes, () -> Logger.info("process: event=reload outcome=\"nothing to read again\""));
     }
 
     /**
@@ -30,7 +30,7 @@
      * @return the exit code
      * @throws InterruptedException if the wait is interrupted
      */
-    public static int until(List<ServingProcess> processes, Runnable onReload) throws InterruptedException {
+    public static int awaitSignal(List<ServingProcess> processes, Runnable onReload) throws InterruptedException {
         Signals.onHangUp(onReload);
         CountDownLatch stopped = new CountDownLatch(1);
         AtomicBoolean allFinished = new AtomicBoolean(true);
@@ -46,6 +46,6 @@
             }
         });
         stopped.await();
-        return allFinished.get() ? ExitCode.DONE : ExitCode.NO;
+        return allFinished.get() ? ExitCode.SUCCESS : ExitCode.FAILURE;
     }
 }
--- a/src/main/java/org/cuminshelf/tools/Main.java
+++ b/src/main/java/org/cuminshelf/tools/Main.java
@@ -68,7 +68,7 @@
             Namespace flags = parser.parseArgs(arguments);
             return byName.get(flags.getString("command")).run(flags);
         } catch (HelpScreenException e) {
-            return ExitCode.DONE;
+            return ExitCode.SUCCESS;
         } catch (ArgumentParserException e) {
             parser.handleError(e);
             return ExitCode.USAGE;
@@ -79,10 +79,10 @@
             System.err.println("cuminshelf: " + e.getMessage());
             return e.getMessage() != null && e.getMessage().startsWith("no administration")
                     ? ExitCode.UNAVAILABLE
-                    : ExitCode.IO;
+                    : ExitCode.IO_ERROR;
         } catch (Exception e) {
             org.tinylog.Logger.error(e, "process: The command failed.");
-            return ExitCode.NO;
+            return ExitCode.FAILURE;
         }
     }
 }
--- a/src/main/java/org/cuminshelf/tools/OrderCommand.java
+++ b/src/main/java/org/cuminshelf/tools/OrderCommand.java
@@ -64,11 +64,11 @@
             if (answer.status() == 200) {
                 System.out.println(
                         "Placed as order " + answer.body().path("version").asLong() + ".");
-                return ExitCode.DONE;
+                return ExitCode.SUCCESS;
             }
             System.err.println("Refused with status " + answer.status() + ": "
                     + answer.body().path("detail").asText());
-            return answer.status() == 503 ? ExitCode.UNAVAILABLE : ExitCode.NO;
+            return answer.status() == 503 ? ExitCode.UNAVAILABLE : ExitCode.FAILURE;
         }
     }
 }
--- a/src/main/java/org/cuminshelf/tools/QuarantineCommand.java
+++ b/src/main/java/org/cuminshelf/tools/QuarantineCommand.java
@@ -68,12 +68,12 @@
         }
         if (Boolean.TRUE.equals(flags.getBoolean("json"))) {
             System.out.println(answer.body().toPrettyString());
-            return ExitCode.DONE;
+            return ExitCode.SUCCESS;
         }
         JsonNode requests = answer.body().path("requests");
         System.out.println(requests.size() + " requests");
         requests.forEach(QuarantineCommand::print);
-        return ExitCode.DONE;
+        return ExitCode.SUCCESS;
     }
 
     private static void print(JsonNode request) {
@@ -102,7 +102,7 @@
             return refused(answer);
         }
         System.out.println("Released; all entries serve it again within seconds.");
-        return ExitCode.DONE;
+        return ExitCode.SUCCESS;
     }
 
     private static int refused(AdminClient.Answer answer) {
@@ -110,6 +110,6 @@
                 + answer.body()
                         .path("detail")
                         .asText(answer.body().path("error").asText()));
-        return answer.status() == UNAVAILABLE ? ExitCode.UNAVAILABLE : ExitCode.NO;
+        return answer.status() == UNAVAILABLE ? ExitCode.UNAVAILABLE : ExitCode.FAILURE;
     }
 }
--- a/src/main/java/org/cuminshelf/tools/SidecarCommand.java
+++ b/src/main/java/org/cuminshelf/tools/SidecarCommand.java
@@ -48,7 +48,7 @@
                 Flags.addresses(flags, "control"));
         SidecarProcess process =
                 SidecarProcess.start(common, settings, upstream(flags), Flags.text(flags, "health-path"));
-        return Serving.until(List.of(process));
+        return GracefulShutdown.awaitSignal(List.of(process));
     }
 
     private static URI upstream(Namespace flags) throws UsageException {
--- a/src/main/java/org/cuminshelf/tools/StandInCommand.java
+++ b/src/main/java/org/cuminshelf/tools/StandInCommand.java
@@ -44,7 +44,7 @@
         Signals.onStop(stopped::countDown);
         stopped.await();
         standIn.close();
-        return ExitCode.DONE;
+        return ExitCode.SUCCESS;
     }
 
     private static EngineSpeed speed(Namespace flags) throws UsageException {
--- a/src/main/java/org/cuminshelf/tools/Standalone.java
+++ b/src/main/java/org/cuminshelf/tools/Standalone.java
@@ -128,7 +128,7 @@
         return ControlProcess.start(
                 common(options, "control-1", address),
                 controlOptions,
-                () -> Runtime.getRuntime().halt(ExitCode.IO));
+                () -> Runtime.getRuntime().halt(ExitCode.IO_ERROR));
     }
 
     private static SidecarProcess startSidecar(
--- a/src/main/java/org/cuminshelf/tools/StandaloneCommand.java
+++ b/src/main/java/org/cuminshelf/tools/StandaloneCommand.java
@@ -60,7 +60,7 @@
                 + "\",\"prompt\":\"A title record\",\"max_tokens\":16,\"stream\":true}'");
         System.out.println("  curl " + callers + "/services/" + Standalone.SERVICE
                 + "/numbers -H 'Idempotency-Key: my-title' -d 'My title'");
-        return Serving.until(List.of(system));
+        return GracefulShutdown.awaitSignal(List.of(system));
     }
 
     /** Applies the first configuration, unless the data folder holds one, and waits until callers are served. */
--- a/src/main/java/org/cuminshelf/tools/StatusCommand.java
+++ b/src/main/java/org/cuminshelf/tools/StatusCommand.java
@@ -31,14 +31,14 @@
             if (answer.status() != 200) {
                 System.err.println("Refused with status " + answer.status() + ": "
                         + answer.body().path("detail").asText());
-                return ExitCode.NO;
+                return ExitCode.FAILURE;
             }
             if (Boolean.TRUE.equals(flags.getBoolean("json"))) {
                 System.out.println(answer.body().toPrettyString());
             } else {
                 print(answer.body());
             }
-            return ExitCode.DONE;
+            return ExitCode.SUCCESS;
         }
     }
 
--- a/src/main/java/org/cuminshelf/upstream/EngineUpstream.java
+++ b/src/main/java/org/cuminshelf/upstream/EngineUpstream.java
@@ -70,8 +70,8 @@
      * @return the upstream
      * @throws IOException if the client can't be started
      */
-    public static EngineUpstream watch(URI base, int slots, Consumer<Envelope.Builder> core) throws IOException {
-        EngineUpstream upstream = new EngineUpstream(LocalClient.start(slots + 4), base, core);
+    public static EngineUpstream start(URI base, int slots, Consumer<Envelope.Builder> core) throws IOException {
+        EngineUpstream upstream = new EngineUpstream(UpstreamHttpClient.start(slots + 4), base, core);
         upstream.pollState();
         return upstream;
     }
@@ -79,7 +79,7 @@
     @Override
     public void handle(Envelope message) {
         switch (message.getBodyCase()) {
-            case START_UPSTREAM -> start(message.getStartUpstream());
+            case START_UPSTREAM -> startAttempt(message.getStartUpstream());
             case CANCEL_UPSTREAM -> cancel(message.getCancelUpstream().getAttempt());
             case READ_UPSTREAM -> readState(message.getReadUpstream().getToken(), () -> {});
             case APPLY_ORDER -> apply(message.getApplyOrder());
@@ -91,17 +91,17 @@
 
     @Override
     public void close() {
-        LocalClient.stop(client);
+        UpstreamHttpClient.stop(client);
     }
 
-    private void start(StartUpstream start) {
+    private void startAttempt(StartUpstream start) {
         long attempt = start.getAttempt();
-        Request request = LocalClient.withTimeout(client.POST(base.resolve("/v1/completions")), STREAM_MILLIS);
+        Request request = UpstreamHttpClient.withTimeout(client.POST(base.resolve("/v1/completions")), STREAM_MILLIS);
         request.body(new BytesRequestContent("application/json", body(start)));
         if (!start.getTraceParent().isEmpty()) {
             request.headers(headers -> headers.put("traceparent", start.getTraceParent()));
         }
-        AtomicBoolean begun = LocalClient.watchBegin(request);
+        AtomicBoolean begun = UpstreamHttpClient.watchBegin(request);
         EventLines lines = new EventLines();
         running.put(attempt, request);
         request.onResponseContent((response, content) -> {
@@ -120,7 +120,7 @@
 
     private static UpstreamEnd end(long attempt, Result result, EventLines lines, boolean begun) {
         if (result.isFailed()) {
-            return LocalClient.failed(attempt, result, begun);
+            return UpstreamHttpClient.failed(attempt, result, begun);
         }
         int status = result.getResponse().getStatus();
         UpstreamEnd.Builder end = UpstreamEnd.newBuilder().setAttempt(attempt);
@@ -189,7 +189,7 @@
                 return;
             }
         }
-        Request request = LocalClient.withTimeout(client.POST(base.resolve("/orders")), ORDER_PATIENCE_MILLIS);
+        Request request = UpstreamHttpClient.withTimeout(client.POST(base.resolve("/orders")), ORDER_PATIENCE_MILLIS);
         request.body(new BytesRequestContent("application/json", node.toString().getBytes(StandardCharsets.UTF_8)));
         AtomicBoolean late = new AtomicBoolean();
         request.onRequestBegin(begun -> {
@@ -231,8 +231,8 @@
 
     private void readState(long token, Runnable then) {
         org.eclipse.jetty.client.CompletableResponseListener listener =
-                new org.eclipse.jetty.client.CompletableResponseListener(
-                        LocalClient.withTimeout(client.newRequest(base.resolve("/state")), STATE_PATIENCE_MILLIS));
+                new org.eclipse.jetty.client.CompletableResponseListener(UpstreamHttpClient.withTimeout(
+                        client.newRequest(base.resolve("/state")), STATE_PATIENCE_MILLIS));
         listener.send().whenComplete((response, failure) -> {
             UpstreamState state = failure != null || response.getStatus() != 200
                     ? UpstreamState.getDefaultInstance()
@@ -248,7 +248,7 @@
             LoadReport.Builder load = LoadReport.newBuilder()
                     .setQueued(node.path("queued").asInt())
                     .setQueuedPromptTokens(node.path("queued_prompt_tokens").asLong())
-                    .setRole(role(node.path("role").asText()));
+                    .setRole(parseRole(node.path("role").asText()));
             node.path("models").forEach(model -> load.addModels(model.asText()));
             node.path("adapters").forEach(adapter -> load.addAdapters(adapter.asText()));
             node.path("cached_blocks").forEach(block -> load.addCached(block.asLong()));
@@ -279,7 +279,7 @@
      * @param name the name
      * @return the role; unknown names count as mixed
      */
-    public static Role role(String name) {
+    public static Role parseRole(String name) {
         return switch (name) {
             case "prefill" -> Role.ROLE_PREFILL;
             case "decode" -> Role.ROLE_DECODE;
--- a/src/main/java/org/cuminshelf/upstream/ServiceUpstream.java
+++ b/src/main/java/org/cuminshelf/upstream/ServiceUpstream.java
@@ -57,9 +57,9 @@
      * @return the upstream
      * @throws IOException if the client can't be started
      */
-    public static ServiceUpstream watch(URI base, String healthPath, int slots, Consumer<Envelope.Builder> core)
+    public static ServiceUpstream start(URI base, String healthPath, int slots, Consumer<Envelope.Builder> core)
             throws IOException {
-        ServiceUpstream upstream = new ServiceUpstream(LocalClient.start(slots + 4), base, healthPath, core);
+        ServiceUpstream upstream = new ServiceUpstream(UpstreamHttpClient.start(slots + 4), base, healthPath, core);
         upstream.readHealth();
         return upstream;
     }
@@ -67,19 +67,19 @@
     @Override
     public void handle(Envelope message) {
         if (message.hasStartUpstream()) {
-            start(message.getStartUpstream());
+            startAttempt(message.getStartUpstream());
         }
     }
 
     @Override
     public void close() {
-        LocalClient.stop(client);
+        UpstreamHttpClient.stop(client);
     }
 
-    private void start(StartUpstream start) {
+    private void startAttempt(StartUpstream start) {
         Exchange exchange = start.getExchange();
         long attempt = start.getAttempt();
-        Request request = LocalClient.withTimeout(
+        Request request = UpstreamHttpClient.withTimeout(
                 client.newRequest(base.resolve(exchange.getPath())).method(exchange.getMethod()), EXCHANGE_MILLIS);
         request.headers(headers -> {
             exchange.getHeadersList().forEach(header -> headers.add(header.getName(), header.getValue()));
@@ -90,7 +90,7 @@
         if (!exchange.getBody().isEmpty()) {
             request.body(new BytesRequestContent(exchange.getBody().toByteArray()));
         }
-        AtomicBoolean begun = LocalClient.watchBegin(request);
+        AtomicBoolean begun = UpstreamHttpClient.watchBegin(request);
         request.onResponseHeaders(response -> onHead(attempt, response));
         request.onResponseContent((response, content) -> onContent(attempt, content));
         request.send(result -> onEnd(attempt, result, begun.get()));
@@ -118,12 +118,12 @@
     private void onEnd(long attempt, Result result, boolean begun) {
         UpstreamEnd end = result.isSucceeded()
                 ? UpstreamEnd.newBuilder().setAttempt(attempt).setRan(Ran.RAN).build()
-                : LocalClient.failed(attempt, result, begun);
+                : UpstreamHttpClient.failed(attempt, result, begun);
         core.accept(Envelope.newBuilder().setUpstreamEnd(end));
     }
 
     private void readHealth() {
-        LocalClient.withTimeout(client.newRequest(base.resolve(healthPath)), HEALTH_PATIENCE_MILLIS)
+        UpstreamHttpClient.withTimeout(client.newRequest(base.resolve(healthPath)), HEALTH_PATIENCE_MILLIS)
                 .send(result -> {
                     boolean well = result.isSucceeded() && result.getResponse().getStatus() < 500;
                     UpstreamState state = UpstreamState.newBuilder()
--- a/src/main/java/org/cuminshelf/upstream/LocalClient.java
+++ b/src/main/java/org/cuminshelf/upstream/UpstreamHttpClient.java
@@ -15,13 +15,13 @@
 import org.eclipse.jetty.util.thread.QueuedThreadPool;
 
 /** A small HTTP client for the one upstream on the same VM: one selector, few threads, short-lived idle connections. */
-final class LocalClient {
+final class UpstreamHttpClient {
 
     private static final int MOST_THREADS = 6;
     /** Below the idle time of usual servers, so that a connection is not used while the other end closes it. */
     private static final long IDLE_MILLIS = 4_000;
 
-    private LocalClient() {}
+    private UpstreamHttpClient() {}
 
     static HttpClient start(int connections) throws IOException {
         QueuedThreadPool threads = new QueuedThreadPool(MOST_THREADS, 2);
--- a/src/test/java/org/cuminshelf/tools/RealProcesses.java
+++ b/src/test/java/org/cuminshelf/tools/MultiProcessDeployment.java
@@ -15,7 +15,7 @@
 import java.util.concurrent.TimeUnit;
 
 /** A small deployment as separate operating system processes on loopback. */
-final class RealProcesses implements AutoCloseable {
+final class MultiProcessDeployment implements AutoCloseable {
 
     private static final String HOST = "127.0.0.1";
     private static final int CONTROL = 3;
@@ -29,7 +29,7 @@
     private final List<Integer> callersPorts = new ArrayList<>();
     private final int servicePort;
 
-    RealProcesses() throws IOException {
+    MultiProcessDeployment() throws IOException {
         folder = Files.createTempDirectory("processes");
         List<String> control = new ArrayList<>();
         for (int i = 0; i < CONTROL; i++) {
--- a/src/test/java/org/cuminshelf/tools/RealProcessesTest.java
+++ b/src/test/java/org/cuminshelf/tools/ProcessFailureTest.java
@@ -21,7 +21,7 @@
 import org.cuminshelf.standin.StandInText;
 
 /** Real processes on loopback, killed, stopped and restarted under load. */
-class RealProcessesTest {
+class ProcessFailureTest {
 
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final int MOST_TRIES = 60;
@@ -48,7 +48,7 @@
      */
     @Example
     void nothingIsLostDoubledMixedOrCutWhileProcessesDie() throws Exception {
-        try (RealProcesses fleet = new RealProcesses()) {
+        try (MultiProcessDeployment fleet = new MultiProcessDeployment()) {
             fleet.startAll();
             List<Thread> callers = new ArrayList<>();
             for (int i = 0; i < 4; i++) {
@@ -65,7 +65,7 @@
         }
     }
 
-    private void breakThings(RealProcesses fleet) throws Exception {
+    private void breakThings(MultiProcessDeployment fleet) throws Exception {
         settle();
         String leader = fleet.leader("region");
         fleet.kill(leader);
@@ -98,7 +98,7 @@
         Thread.sleep(1_500);
     }
 
-    private void check(RealProcesses fleet) throws IOException, InterruptedException {
+    private void check(MultiProcessDeployment fleet) throws IOException, InterruptedException {
         HttpRequest request = HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + fleet.servicePort() + "/runs"))
                 .build();
         JsonNode runs = JSON.readTree(
--- a/src/test/java/org/cuminshelf/tools/StandaloneTest.java
+++ b/src/test/java/org/cuminshelf/tools/StandaloneTest.java
@@ -133,22 +133,22 @@
     @Example
     void operatorsNeedAKeyAndTheCommandsUseIt() throws Exception {
         String admin = "http://127.0.0.1:" + system.adminPort();
-        assertThat(Main.run("status", "--admin", admin, "--key", "wrong")).isEqualTo(ExitCode.NO);
-        assertThat(Main.run("status", "--admin", admin, "--key", "key")).isEqualTo(ExitCode.DONE);
+        assertThat(Main.run("status", "--admin", admin, "--key", "wrong")).isEqualTo(ExitCode.FAILURE);
+        assertThat(Main.run("status", "--admin", admin, "--key", "key")).isEqualTo(ExitCode.SUCCESS);
         assertThat(Main.run("order", "nobody", "--change-role", "decode", "--admin", admin, "--key", "key"))
-                .isEqualTo(ExitCode.NO);
+                .isEqualTo(ExitCode.FAILURE);
         assertThat(Main.run("status", "--admin", "http://127.0.0.1:1")).isEqualTo(ExitCode.UNAVAILABLE);
         assertThat(Main.run("quarantine", "list", "--admin", admin, "--key", "key"))
-                .isEqualTo(ExitCode.DONE);
+                .isEqualTo(ExitCode.SUCCESS);
         String nobody = "0".repeat(32);
         assertThat(Main.run("quarantine", "release", nobody, "--reason", "x", "--admin", admin, "--key", "key"))
-                .isEqualTo(ExitCode.NO);
+                .isEqualTo(ExitCode.FAILURE);
         assertThat(Main.run("quarantine", "release", nobody, "--admin", admin, "--key", "key"))
                 .isEqualTo(ExitCode.USAGE);
         assertThat(Main.run("quarantine", "release", "--reason", "x", "--admin", admin, "--key", "key"))
                 .isEqualTo(ExitCode.USAGE);
         assertThat(Main.run("quarantine", "release", "zz", "--reason", "x", "--admin", admin, "--key", "key"))
-                .isEqualTo(ExitCode.NO);
+                .isEqualTo(ExitCode.FAILURE);
     }
 
     /*
