--- a/src/main/java/org/cuminshelf/upstream/EngineUpstream.java
+++ b/src/main/java/org/cuminshelf/upstream/EngineUpstream.java
@@ -38,40 +38,41 @@
 import org.eclipse.jetty.client.Result;
 
 /**
- * A model engine that speaks the protocol of docs/UPSTREAMS.md: completions as server-sent events, with
- * {@code held_tokens} to resume after; {@code GET /state}; {@code POST /orders} with a fencing number.
+ * A model engine that implements the protocol of docs/UPSTREAMS.md: completions as server-sent events, resumed after
+ * the tokens in {@code held_tokens}; {@code GET /state}; {@code POST /orders} with a fencing token.
  */
 public final class EngineUpstream implements Upstream {
 
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final long STREAM_MILLIS = 600_000;
-    private static final long STATE_EVERY_MILLIS = 1_000;
-    private static final long STATE_PATIENCE_MILLIS = 2_000;
-    private static final long ORDER_PATIENCE_MILLIS = 10_000;
-    private static final String DATA = "data: ";
+    private static final long STREAM_TIMEOUT_MILLIS = 600_000;
+    private static final long STATE_POLL_INTERVAL_MILLIS = 1_000;
+    private static final long STATE_TIMEOUT_MILLIS = 2_000;
+    private static final long ORDER_TIMEOUT_MILLIS = 10_000;
+    private static final String DATA_FIELD_PREFIX = "data: ";
 
     private final HttpClient client;
-    private final URI base;
-    private final Consumer<Envelope.Builder> core;
-    private final Map<Long, Request> running = new ConcurrentHashMap<>();
+    private final URI baseUri;
+    private final Consumer<Envelope.Builder> messageListener;
+    private final Map<Long, Request> requestsByAttempt = new ConcurrentHashMap<>();
 
-    private EngineUpstream(HttpClient client, URI base, Consumer<Envelope.Builder> core) {
+    private EngineUpstream(HttpClient client, URI baseUri, Consumer<Envelope.Builder> messageListener) {
         this.client = client;
-        this.base = base;
-        this.core = core;
+        this.baseUri = baseUri;
+        this.messageListener = messageListener;
     }
 
     /**
-     * Starts to watch an engine.
+     * Creates a client for an engine and starts to poll the engine's state.
      *
-     * @param base  where it listens, such as {@code http://127.0.0.1:8081}
-     * @param slots streams at once
-     * @param core  takes what the engine does
+     * @param baseUri         base URI of the engine, such as {@code http://127.0.0.1:8081}
+     * @param slots           maximum number of concurrent streams
+     * @param messageListener receives the parts and ends of attempts, the state and the results of orders
      * @return the upstream
-     * @throws IOException if the client can't be started
+     * @throws IOException if the HTTP client can't be started
      */
-    public static EngineUpstream start(URI base, int slots, Consumer<Envelope.Builder> core) throws IOException {
-        EngineUpstream upstream = new EngineUpstream(UpstreamHttpClient.start(slots + 4), base, core);
+    public static EngineUpstream start(URI baseUri, int slots, Consumer<Envelope.Builder> messageListener)
+            throws IOException {
+        EngineUpstream upstream = new EngineUpstream(UpstreamHttpClient.start(slots + 4), baseUri, messageListener);
         upstream.pollState();
         return upstream;
     }
@@ -82,9 +83,9 @@
             case START_UPSTREAM -> startAttempt(message.getStartUpstream());
             case CANCEL_UPSTREAM -> cancel(message.getCancelUpstream().getAttempt());
             case READ_UPSTREAM -> readState(message.getReadUpstream().getToken(), () -> {});
-            case APPLY_ORDER -> apply(message.getApplyOrder());
+            case APPLY_ORDER -> sendOrder(message.getApplyOrder());
             default -> {
-                // Not for an engine.
+                // Other messages do not apply to an engine.
             }
         }
     }
@@ -96,39 +97,42 @@
 
     private void startAttempt(StartUpstream start) {
         long attempt = start.getAttempt();
-        Request request = UpstreamHttpClient.withTimeout(client.POST(base.resolve("/v1/completions")), STREAM_MILLIS);
-        request.body(new BytesRequestContent("application/json", body(start)));
+        Request request =
+                UpstreamHttpClient.withTimeout(client.POST(baseUri.resolve("/v1/completions")), STREAM_TIMEOUT_MILLIS);
+        request.body(new BytesRequestContent("application/json", completionRequestBody(start)));
         if (!start.getTraceParent().isEmpty()) {
             request.headers(headers -> headers.put("traceparent", start.getTraceParent()));
         }
-        AtomicBoolean begun = UpstreamHttpClient.watchBegin(request);
-        EventLines lines = new EventLines();
-        running.put(attempt, request);
+        AtomicBoolean requestBegun = UpstreamHttpClient.trackRequestBegin(request);
+        EventStreamParser events = new EventStreamParser();
+        requestsByAttempt.put(attempt, request);
         request.onResponseContent((response, content) -> {
-            List<String> tokens = lines.take(content);
+            List<String> tokens = events.parse(content);
             if (!tokens.isEmpty()) {
                 UpstreamPart.Builder part =
                         UpstreamPart.newBuilder().setAttempt(attempt).addAllTokens(tokens);
-                core.accept(Envelope.newBuilder().setUpstreamPart(part));
+                messageListener.accept(Envelope.newBuilder().setUpstreamPart(part));
             }
         });
         request.send(result -> {
-            running.remove(attempt);
-            core.accept(Envelope.newBuilder().setUpstreamEnd(end(attempt, result, lines, begun.get())));
+            requestsByAttempt.remove(attempt);
+            messageListener.accept(
+                    Envelope.newBuilder().setUpstreamEnd(endOfAttempt(attempt, result, events, requestBegun.get())));
         });
     }
 
-    private static UpstreamEnd end(long attempt, Result result, EventLines lines, boolean begun) {
+    private static UpstreamEnd endOfAttempt(
+            long attempt, Result result, EventStreamParser events, boolean requestBegun) {
         if (result.isFailed()) {
-            return UpstreamHttpClient.failed(attempt, result, begun);
+            return UpstreamHttpClient.failedAttempt(attempt, result, requestBegun);
         }
         int status = result.getResponse().getStatus();
         UpstreamEnd.Builder end = UpstreamEnd.newBuilder().setAttempt(attempt);
-        if (status == 200 && lines.finishReason.equals("moved")) {
+        if (status == 200 && events.finishReason.equals("moved")) {
             return end.setRan(Ran.RAN).setCause(Cause.MOVED).build();
         }
-        if (status == 200 && !lines.finishReason.isEmpty()) {
-            return end.setRan(Ran.RAN).setFinishReason(lines.finishReason).build();
+        if (status == 200 && !events.finishReason.isEmpty()) {
+            return end.setRan(Ran.RAN).setFinishReason(events.finishReason).build();
         }
         boolean refused = status == 429 || status == 503;
         return end.setRan(refused ? Ran.NOT_RUN : Ran.MAY_HAVE_RUN)
@@ -136,7 +140,7 @@
                 .build();
     }
 
-    private static byte[] body(StartUpstream start) {
+    private static byte[] completionRequestBody(StartUpstream start) {
         Generation generation = start.getGeneration();
         ObjectNode node = JSON.createObjectNode()
                 .put("model", generation.getModel())
@@ -162,20 +166,21 @@
     }
 
     private void cancel(long attempt) {
-        Request request = running.remove(attempt);
+        Request request = requestsByAttempt.remove(attempt);
         if (request != null) {
-            request.abort(new IOException("cancelled"));
+            request.abort(new IOException("the attempt was cancelled"));
         }
     }
 
     /**
-     * Writes an order. The deadline is looked at right before the write: an order that waited in this process, or whose
-     * process was paused, must not start after its time, when a successor may already believe it never will.
+     * Sends an order to the engine. The deadline is checked again immediately before the request is written: an order
+     * that was queued in this process, or whose process was paused, must not start after its deadline, because a new
+     * leader may by then assume that it never starts.
      */
-    private void apply(ApplyOrder apply) {
+    private void sendOrder(ApplyOrder apply) {
         Order order = apply.getOrder();
         if (System.nanoTime() - apply.getNotAfterNanos() > 0) {
-            applied(order, false, Cause.ORDER_EXPIRED);
+            reportOrderResult(order, false, Cause.ORDER_EXPIRED);
             return;
         }
         ObjectNode node = JSON.createObjectNode().put("term", order.getTerm()).put("number", order.getNumber());
@@ -185,36 +190,36 @@
             case LOAD_ADAPTER -> node.put("load_adapter", order.getBody().getLoadAdapter());
             case UNLOAD_ADAPTER -> node.put("unload_adapter", order.getBody().getUnloadAdapter());
             case DRAIN, KIND_NOT_SET -> {
-                applied(order, true, Cause.CAUSE_NONE);
+                reportOrderResult(order, true, Cause.CAUSE_NONE);
                 return;
             }
         }
-        Request request = UpstreamHttpClient.withTimeout(client.POST(base.resolve("/orders")), ORDER_PATIENCE_MILLIS);
+        Request request = UpstreamHttpClient.withTimeout(client.POST(baseUri.resolve("/orders")), ORDER_TIMEOUT_MILLIS);
         request.body(new BytesRequestContent("application/json", node.toString().getBytes(StandardCharsets.UTF_8)));
-        AtomicBoolean late = new AtomicBoolean();
-        request.onRequestBegin(begun -> {
+        AtomicBoolean deadlinePassed = new AtomicBoolean();
+        request.onRequestBegin(startedRequest -> {
             if (System.nanoTime() - apply.getNotAfterNanos() > 0) {
-                late.set(true);
-                begun.abort(new IOException("the order's time is over"));
+                deadlinePassed.set(true);
+                startedRequest.abort(new IOException("the deadline of the order has passed"));
             }
         });
-        request.send(result -> onOrderAnswer(order, result, late.get()));
+        request.send(result -> onOrderResponse(order, result, deadlinePassed.get()));
     }
 
-    private void onOrderAnswer(Order order, Result result, boolean late) {
-        if (late) {
-            applied(order, false, Cause.ORDER_EXPIRED);
+    private void onOrderResponse(Order order, Result result, boolean deadlinePassed) {
+        if (deadlinePassed) {
+            reportOrderResult(order, false, Cause.ORDER_EXPIRED);
         } else if (result.isFailed()) {
-            applied(order, false, Cause.CONNECTION_BROKEN);
+            reportOrderResult(order, false, Cause.CONNECTION_BROKEN);
         } else {
             int status = result.getResponse().getStatus();
-            Cause refusal = status == 412 ? Cause.STALE_ORDER : Cause.ORDER_PENDING;
-            applied(order, status == 202, status == 202 ? Cause.CAUSE_NONE : refusal);
+            Cause refusalCause = status == 412 ? Cause.STALE_ORDER : Cause.ORDER_PENDING;
+            reportOrderResult(order, status == 202, status == 202 ? Cause.CAUSE_NONE : refusalCause);
         }
     }
 
-    private void applied(Order order, boolean accepted, Cause cause) {
-        core.accept(Envelope.newBuilder()
+    private void reportOrderResult(Order order, boolean accepted, Cause cause) {
+        messageListener.accept(Envelope.newBuilder()
                 .setOrderApplied(OrderApplied.newBuilder()
                         .setNumber(order.getNumber())
                         .setAccepted(accepted)
@@ -224,25 +229,26 @@
     private void pollState() {
         readState(0, () -> {
             if (client.isRunning()) {
-                client.getScheduler().schedule(this::pollState, STATE_EVERY_MILLIS, TimeUnit.MILLISECONDS);
+                client.getScheduler().schedule(this::pollState, STATE_POLL_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
             }
         });
     }
 
-    private void readState(long token, Runnable then) {
+    private void readState(long token, Runnable onComplete) {
         org.eclipse.jetty.client.CompletableResponseListener listener =
                 new org.eclipse.jetty.client.CompletableResponseListener(UpstreamHttpClient.withTimeout(
-                        client.newRequest(base.resolve("/state")), STATE_PATIENCE_MILLIS));
+                        client.newRequest(baseUri.resolve("/state")), STATE_TIMEOUT_MILLIS));
         listener.send().whenComplete((response, failure) -> {
             UpstreamState state = failure != null || response.getStatus() != 200
                     ? UpstreamState.getDefaultInstance()
-                    : state(response);
-            core.accept(Envelope.newBuilder().setUpstreamState(state.toBuilder().setToken(token)));
-            then.run();
+                    : parseState(response);
+            messageListener.accept(
+                    Envelope.newBuilder().setUpstreamState(state.toBuilder().setToken(token)));
+            onComplete.run();
         });
     }
 
-    private static UpstreamState state(ContentResponse response) {
+    private static UpstreamState parseState(ContentResponse response) {
         try {
             JsonNode node = JSON.readTree(response.getContent());
             LoadReport.Builder load = LoadReport.newBuilder()
@@ -264,20 +270,20 @@
     }
 
     /**
-     * The name of a role in the protocol.
+     * Returns the name of a role in the engine protocol.
      *
      * @param role the role
-     * @return its name
+     * @return the name in lower case, such as {@code prefill}
      */
     public static String roleName(Role role) {
         return role.name().substring("ROLE_".length()).toLowerCase(Locale.ROOT);
     }
 
     /**
-     * The role of a name in the protocol.
+     * Returns the role that a name in the engine protocol stands for.
      *
-     * @param name the name
-     * @return the role; unknown names count as mixed
+     * @param name the name in lower case
+     * @return the role; {@link Role#ROLE_MIXED} for an unknown name
      */
     public static Role parseRole(String name) {
         return switch (name) {
@@ -287,30 +293,30 @@
         };
     }
 
-    /** Gathers the lines of an event stream and the tokens in them. */
-    private static final class EventLines {
+    /** Parses a stream of server-sent events incrementally and extracts the tokens and the finish reason. */
+    private static final class EventStreamParser {
 
         private final ByteArrayOutputStream line = new ByteArrayOutputStream();
         private String finishReason = "";
 
-        private List<String> take(ByteBuffer content) {
+        private List<String> parse(ByteBuffer content) {
             List<String> tokens = new ArrayList<>();
             while (content.hasRemaining()) {
-                byte next = content.get();
-                if (next != '\n') {
-                    line.write(next);
+                byte nextByte = content.get();
+                if (nextByte != '\n') {
+                    line.write(nextByte);
                     continue;
                 }
                 String text = line.toString(StandardCharsets.UTF_8);
                 line.reset();
-                if (text.startsWith(DATA + "{")) {
-                    onEvent(text.substring(DATA.length()), tokens);
+                if (text.startsWith(DATA_FIELD_PREFIX + "{")) {
+                    parseEvent(text.substring(DATA_FIELD_PREFIX.length()), tokens);
                 }
             }
             return tokens;
         }
 
-        private void onEvent(String json, List<String> tokens) {
+        private void parseEvent(String json, List<String> tokens) {
             try {
                 JsonNode choice = JSON.readTree(json).path("choices").path(0);
                 String token = choice.path("text").asText("");
@@ -321,7 +327,7 @@
                     finishReason = choice.get("finish_reason").textValue();
                 }
             } catch (JsonProcessingException e) {
-                // A broken event leaves the stream without its end, which is told as a broken connection.
+                // Without a finish reason, the malformed stream is reported as a broken connection.
                 finishReason = "";
             }
         }
--- a/src/main/java/org/cuminshelf/upstream/ServiceUpstream.java
+++ b/src/main/java/org/cuminshelf/upstream/ServiceUpstream.java
@@ -26,41 +26,43 @@
 import org.eclipse.jetty.client.Result;
 import org.eclipse.jetty.http.HttpField;
 
-/** A plain HTTP service. Exchanges are passed on as they are, and never cut short from this side. */
+/** A plain HTTP service. Exchanges are forwarded unchanged, and a cancellation does not abort a running one. */
 public final class ServiceUpstream implements Upstream {
 
-    private static final long EXCHANGE_MILLIS = 120_000;
-    private static final long HEALTH_EVERY_MILLIS = 1_000;
-    private static final long HEALTH_PATIENCE_MILLIS = 2_000;
-    private static final Set<String> HOP_HEADERS =
+    private static final long EXCHANGE_TIMEOUT_MILLIS = 120_000;
+    private static final long HEALTH_CHECK_INTERVAL_MILLIS = 1_000;
+    private static final long HEALTH_CHECK_TIMEOUT_MILLIS = 2_000;
+    private static final Set<String> EXCLUDED_RESPONSE_HEADERS =
             Set.of("connection", "transfer-encoding", "keep-alive", "content-length", "date", "server");
 
     private final HttpClient client;
-    private final URI base;
+    private final URI baseUri;
     private final String healthPath;
-    private final Consumer<Envelope.Builder> core;
+    private final Consumer<Envelope.Builder> messageListener;
 
-    private ServiceUpstream(HttpClient client, URI base, String healthPath, Consumer<Envelope.Builder> core) {
+    private ServiceUpstream(
+            HttpClient client, URI baseUri, String healthPath, Consumer<Envelope.Builder> messageListener) {
         this.client = client;
-        this.base = base;
+        this.baseUri = baseUri;
         this.healthPath = healthPath;
-        this.core = core;
+        this.messageListener = messageListener;
     }
 
     /**
-     * Starts to watch a service.
+     * Creates a client for a service and starts to check the service's health.
      *
-     * @param base       where it listens, such as {@code http://127.0.0.1:8081}
-     * @param healthPath path that answers below 500 while it is well
-     * @param slots      exchanges at once
-     * @param core       takes what the service does
+     * @param baseUri         base URI of the service, such as {@code http://127.0.0.1:8081}
+     * @param healthPath      path that returns a status below 500 while the service is healthy
+     * @param slots           maximum number of concurrent exchanges
+     * @param messageListener receives the responses of attempts and the state of the service
      * @return the upstream
-     * @throws IOException if the client can't be started
+     * @throws IOException if the HTTP client can't be started
      */
-    public static ServiceUpstream start(URI base, String healthPath, int slots, Consumer<Envelope.Builder> core)
-            throws IOException {
-        ServiceUpstream upstream = new ServiceUpstream(UpstreamHttpClient.start(slots + 4), base, healthPath, core);
-        upstream.readHealth();
+    public static ServiceUpstream start(
+            URI baseUri, String healthPath, int slots, Consumer<Envelope.Builder> messageListener) throws IOException {
+        ServiceUpstream upstream =
+                new ServiceUpstream(UpstreamHttpClient.start(slots + 4), baseUri, healthPath, messageListener);
+        upstream.checkHealth();
         return upstream;
     }
 
@@ -80,7 +82,8 @@
         Exchange exchange = start.getExchange();
         long attempt = start.getAttempt();
         Request request = UpstreamHttpClient.withTimeout(
-                client.newRequest(base.resolve(exchange.getPath())).method(exchange.getMethod()), EXCHANGE_MILLIS);
+                client.newRequest(baseUri.resolve(exchange.getPath())).method(exchange.getMethod()),
+                EXCHANGE_TIMEOUT_MILLIS);
         request.headers(headers -> {
             exchange.getHeadersList().forEach(header -> headers.add(header.getName(), header.getValue()));
             if (!start.getTraceParent().isEmpty()) {
@@ -90,49 +93,51 @@
         if (!exchange.getBody().isEmpty()) {
             request.body(new BytesRequestContent(exchange.getBody().toByteArray()));
         }
-        AtomicBoolean begun = UpstreamHttpClient.watchBegin(request);
-        request.onResponseHeaders(response -> onHead(attempt, response));
-        request.onResponseContent((response, content) -> onContent(attempt, content));
-        request.send(result -> onEnd(attempt, result, begun.get()));
+        AtomicBoolean requestBegun = UpstreamHttpClient.trackRequestBegin(request);
+        request.onResponseHeaders(response -> onResponseHead(attempt, response));
+        request.onResponseContent((response, content) -> onResponseContentPart(attempt, content));
+        request.send(result -> onExchangeEnd(attempt, result, requestBegun.get()));
     }
 
-    private void onHead(long attempt, Response response) {
+    private void onResponseHead(long attempt, Response response) {
         ExchangeHead.Builder head = ExchangeHead.newBuilder().setStatus(response.getStatus());
         for (HttpField field : response.getHeaders()) {
-            if (!HOP_HEADERS.contains(field.getLowerCaseName())) {
+            if (!EXCLUDED_RESPONSE_HEADERS.contains(field.getLowerCaseName())) {
                 head.addHeaders(Header.newBuilder().setName(field.getName()).setValue(field.getValue()));
             }
         }
-        core.accept(Envelope.newBuilder()
+        messageListener.accept(Envelope.newBuilder()
                 .setUpstreamHead(UpstreamHead.newBuilder().setAttempt(attempt).setHead(head)));
     }
 
-    private void onContent(long attempt, ByteBuffer content) {
+    private void onResponseContentPart(long attempt, ByteBuffer content) {
         UpstreamPart part = UpstreamPart.newBuilder()
                 .setAttempt(attempt)
                 .setBody(ByteString.copyFrom(content))
                 .build();
-        core.accept(Envelope.newBuilder().setUpstreamPart(part));
+        messageListener.accept(Envelope.newBuilder().setUpstreamPart(part));
     }
 
-    private void onEnd(long attempt, Result result, boolean begun) {
+    private void onExchangeEnd(long attempt, Result result, boolean requestBegun) {
         UpstreamEnd end = result.isSucceeded()
                 ? UpstreamEnd.newBuilder().setAttempt(attempt).setRan(Ran.RAN).build()
-                : UpstreamHttpClient.failed(attempt, result, begun);
-        core.accept(Envelope.newBuilder().setUpstreamEnd(end));
+                : UpstreamHttpClient.failedAttempt(attempt, result, requestBegun);
+        messageListener.accept(Envelope.newBuilder().setUpstreamEnd(end));
     }
 
-    private void readHealth() {
-        UpstreamHttpClient.withTimeout(client.newRequest(base.resolve(healthPath)), HEALTH_PATIENCE_MILLIS)
+    private void checkHealth() {
+        UpstreamHttpClient.withTimeout(client.newRequest(baseUri.resolve(healthPath)), HEALTH_CHECK_TIMEOUT_MILLIS)
                 .send(result -> {
-                    boolean well = result.isSucceeded() && result.getResponse().getStatus() < 500;
+                    boolean healthy =
+                            result.isSucceeded() && result.getResponse().getStatus() < 500;
                     UpstreamState state = UpstreamState.newBuilder()
-                            .setReachable(well)
+                            .setReachable(healthy)
                             .setLoad(LoadReport.getDefaultInstance())
                             .build();
-                    core.accept(Envelope.newBuilder().setUpstreamState(state));
+                    messageListener.accept(Envelope.newBuilder().setUpstreamState(state));
                     if (client.isRunning()) {
-                        client.getScheduler().schedule(this::readHealth, HEALTH_EVERY_MILLIS, TimeUnit.MILLISECONDS);
+                        client.getScheduler()
+                                .schedule(this::checkHealth, HEALTH_CHECK_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
                     }
                 });
     }
--- a/src/main/java/org/cuminshelf/upstream/UpstreamHttpClient.java
+++ b/src/main/java/org/cuminshelf/upstream/UpstreamHttpClient.java
@@ -14,35 +14,38 @@
 import org.eclipse.jetty.io.ClientConnector;
 import org.eclipse.jetty.util.thread.QueuedThreadPool;
 
-/** A small HTTP client for the one upstream on the same VM: one selector, few threads, short-lived idle connections. */
+/**
+ * Creates the HTTP client for the single upstream on the same VM, with one selector, few threads and a short idle
+ * timeout, and has helpers for its requests.
+ */
 final class UpstreamHttpClient {
 
-    private static final int MOST_THREADS = 6;
-    /** Below the idle time of usual servers, so that a connection is not used while the other end closes it. */
-    private static final long IDLE_MILLIS = 4_000;
+    private static final int MAX_THREADS = 6;
+    /** Below the idle timeout of common servers, so that no request uses a connection that the server is closing. */
+    private static final long IDLE_TIMEOUT_MILLIS = 4_000;
 
     private UpstreamHttpClient() {}
 
-    static HttpClient start(int connections) throws IOException {
-        QueuedThreadPool threads = new QueuedThreadPool(MOST_THREADS, 2);
+    static HttpClient start(int maxConnections) throws IOException {
+        QueuedThreadPool threads = new QueuedThreadPool(MAX_THREADS, 2);
         threads.setName("upstream");
         ClientConnector connector = new ClientConnector();
         connector.setSelectors(1);
         connector.setExecutor(threads);
-        connector.setIdleTimeout(java.time.Duration.ofMillis(IDLE_MILLIS));
+        connector.setIdleTimeout(java.time.Duration.ofMillis(IDLE_TIMEOUT_MILLIS));
         connector.setConnectTimeout(java.time.Duration.ofSeconds(1));
         HttpClient client = new HttpClient(new HttpClientTransportOverHTTP(connector));
-        client.setMaxConnectionsPerDestination(connections);
-        client.setMaxRequestsQueuedPerDestination(connections * 4);
+        client.setMaxConnectionsPerDestination(maxConnections);
+        client.setMaxRequestsQueuedPerDestination(maxConnections * 4);
         client.setFollowRedirects(false);
         client.setUserAgentField(null);
         try {
             client.start();
-            // Answers go to callers as they are: no redirect, challenge or encoding is acted on here.
+            // Responses are forwarded to callers unchanged: this client handles no redirect, challenge or encoding.
             client.getProtocolHandlers().clear();
             client.getContentDecoderFactories().clear();
         } catch (Exception e) {
-            throw new IOException("the HTTP client can't be started: " + e.getMessage(), e);
+            throw new IOException("can't start the HTTP client of the upstream: " + e.getMessage(), e);
         }
         return client;
     }
@@ -51,28 +54,37 @@
         try {
             client.stop();
         } catch (Exception e) {
-            // The process ends; there is nobody to tell.
+            // The process is shutting down, so the failure has no consequence.
         }
     }
 
-    /** Notes whether any byte of a request may have been written. */
-    static AtomicBoolean watchBegin(Request request) {
-        AtomicBoolean begun = new AtomicBoolean();
-        request.onRequestBegin(started -> begun.set(true));
-        return begun;
+    /** Returns a flag that is set before the first byte of the request may be written. */
+    static AtomicBoolean trackRequestBegin(Request request) {
+        AtomicBoolean requestBegun = new AtomicBoolean();
+        request.onRequestBegin(startedRequest -> requestBegun.set(true));
+        return requestBegun;
     }
 
-    /** The end of an attempt whose exchange failed. */
-    static UpstreamEnd failed(long attempt, Result result, boolean begun) {
-        boolean silent = result.getFailure() instanceof TimeoutException;
+    /**
+     * Returns the end of an attempt whose exchange failed.
+     *
+     * @param requestBegun whether any byte of the request may have been written; if not, the attempt certainly did not
+     *                     run
+     */
+    static UpstreamEnd failedAttempt(long attempt, Result result, boolean requestBegun) {
+        boolean timedOut = result.getFailure() instanceof TimeoutException;
         return UpstreamEnd.newBuilder()
                 .setAttempt(attempt)
-                .setRan(begun ? Ran.MAY_HAVE_RUN : Ran.NOT_RUN)
-                .setCause(silent ? Cause.UPSTREAM_SILENT : begun ? Cause.CONNECTION_BROKEN : Cause.CONNECT_FAILED)
+                .setRan(requestBegun ? Ran.MAY_HAVE_RUN : Ran.NOT_RUN)
+                .setCause(
+                        timedOut
+                                ? Cause.UPSTREAM_SILENT
+                                : requestBegun ? Cause.CONNECTION_BROKEN : Cause.CONNECT_FAILED)
                 .build();
     }
 
-    static Request withTimeout(Request request, long millis) {
-        return request.timeout(millis, TimeUnit.MILLISECONDS).idleTimeout(millis, TimeUnit.MILLISECONDS);
+    /** Sets both the total timeout and the idle timeout of a request. */
+    static Request withTimeout(Request request, long timeoutMillis) {
+        return request.timeout(timeoutMillis, TimeUnit.MILLISECONDS).idleTimeout(timeoutMillis, TimeUnit.MILLISECONDS);
     }
 }
--- a/src/main/java/org/cuminshelf/upstream/package-info.java
+++ b/src/main/java/org/cuminshelf/upstream/package-info.java
@@ -1,5 +1,5 @@
 /**
- * What stands beside a sidecar, behind one narrow interface: a model engine or a plain service. A deployment whose
- * engines speak another protocol adds one class here.
+ * Clients for the upstream of a sidecar, a model engine or a plain service, behind one interface. A deployment whose
+ * engines use another protocol adds an implementation here.
  */
 package org.cuminshelf.upstream;
