--- a/src/main/java/org/cuminshelf/tools/AdminClient.java
+++ b/src/main/java/org/cuminshelf/tools/AdminClient.java
@@ -21,17 +21,17 @@
 import org.eclipse.jetty.io.ClientConnector;
 import org.eclipse.jetty.util.ssl.SslContextFactory;
 
-/** Calls the administration interface, trying each control process in turn until one answers. */
+/** A client of the administration interface, which tries each control process in turn until one responds. */
 public final class AdminClient implements AutoCloseable {
 
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final int PATIENCE_SECONDS = 10;
+    private static final int REQUEST_TIMEOUT_SECONDS = 10;
 
     /**
-     * An answer.
+     * A response of the administration interface.
      *
      * @param status the HTTP status
-     * @param body   the body
+     * @param body   the JSON body
      */
     public record Answer(int status, JsonNode body) {}
 
@@ -46,10 +46,15 @@
     }
 
     static void describe(Subparser parser) {
-        Flags.add(parser, "admin", "administration interfaces, separated by commas", "http://127.0.0.1:7200");
-        Flags.add(parser, "key", "the team's key", "");
-        Flags.add(parser, "key-file", "file that holds the team's key", "");
-        Flags.add(parser, "admin-ca", "PEM certificate that HTTPS interfaces are signed by", "");
+        Flags.add(
+                parser, "admin", "URLs of the administration interfaces, separated by commas", "http://127.0.0.1:7200");
+        Flags.add(parser, "key", "API key of the team", "");
+        Flags.add(parser, "key-file", "file that contains the API key of the team", "");
+        Flags.add(
+                parser,
+                "admin-ca",
+                "PEM certificate of the authority that signed the certificates of the HTTPS interfaces",
+                "");
     }
 
     static AdminClient open(Namespace flags) throws IOException {
@@ -61,32 +66,32 @@
     }
 
     /**
-     * Makes a client.
+     * Creates a client.
      *
-     * @param addresses the interfaces, such as {@code http://127.0.0.1:7200}
-     * @param key       the team's key, or empty
-     * @param authority PEM certificate that HTTPS interfaces are signed by
+     * @param addresses base URLs of the interfaces, such as {@code http://127.0.0.1:7200}
+     * @param key       API key of the team, or empty to send none
+     * @param authority PEM certificate of the authority that signed the certificates of the HTTPS interfaces
      * @return the client
-     * @throws IOException if it can't be started
+     * @throws IOException if the certificate can't be read or the HTTP client can't be started
      */
     public static AdminClient open(List<String> addresses, String key, java.util.Optional<Path> authority)
             throws IOException {
         ClientConnector connector = new ClientConnector();
         connector.setSelectors(1);
         if (authority.isPresent()) {
-            connector.setSslContextFactory(trust(authority.get()));
+            connector.setSslContextFactory(createTlsContext(authority.get()));
         }
         HttpClient client = new HttpClient(new HttpClientTransportOverHTTP(connector));
         try {
             client.start();
             client.getProtocolHandlers().clear();
         } catch (Exception e) {
-            throw new IOException("the HTTP client can't be started: " + e.getMessage(), e);
+            throw new IOException("can't start the HTTP client: " + e.getMessage(), e);
         }
         return new AdminClient(addresses, key, client);
     }
 
-    private static SslContextFactory.Client trust(Path authority) throws IOException {
+    private static SslContextFactory.Client createTlsContext(Path authority) throws IOException {
         try (java.io.InputStream input = Files.newInputStream(authority)) {
             java.security.KeyStore store = java.security.KeyStore.getInstance("PKCS12");
             store.load(null, null);
@@ -102,23 +107,23 @@
     }
 
     /**
-     * Asks for something.
+     * Sends a GET request.
      *
      * @param path the path below {@code /admin/}
-     * @return the answer
-     * @throws IOException if no interface answers
+     * @return the response, whatever its status
+     * @throws IOException if no interface responds
      */
     public Answer get(String path) throws IOException {
         return call("GET", path, new byte[0]);
     }
 
     /**
-     * Changes something.
+     * Sends a POST request.
      *
      * @param path the path below {@code /admin/}
-     * @param body the body
-     * @return the answer
-     * @throws IOException if no interface answers
+     * @param body the JSON body
+     * @return the response, whatever its status
+     * @throws IOException if no interface responds
      */
     public Answer post(String path, byte[] body) throws IOException {
         return call("POST", path, body);
@@ -137,7 +142,7 @@
                         .append(';');
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
-                throw new IOException("interrupted", e);
+                throw new IOException("interrupted while waiting for the administration interface", e);
             }
         }
         throw new IOException("no administration interface answered:" + failures);
@@ -145,7 +150,7 @@
 
     private Answer call(URI uri, String method, byte[] body)
             throws IOException, InterruptedException, ExecutionException, TimeoutException {
-        Request request = client.newRequest(uri).method(method).timeout(PATIENCE_SECONDS, TimeUnit.SECONDS);
+        Request request = client.newRequest(uri).method(method).timeout(REQUEST_TIMEOUT_SECONDS, TimeUnit.SECONDS);
         if (!key.isEmpty()) {
             request.headers(headers -> headers.put(HttpHeader.AUTHORIZATION, "Bearer " + key));
         }
@@ -161,7 +166,7 @@
         try {
             client.stop();
         } catch (Exception e) {
-            // The command ends; there is nobody to tell.
+            // The command is ending, so the failure has no consequence.
         }
     }
 }
--- a/src/main/java/org/cuminshelf/tools/BenchCommand.java
+++ b/src/main/java/org/cuminshelf/tools/BenchCommand.java
@@ -12,7 +12,7 @@
 import org.cuminshelf.bench.SlopeBench;
 import org.cuminshelf.standin.EngineSpeed;
 
-/** Takes the measurements of docs/CAPACITY.md. */
+/** Runs the benchmarks behind the figures of docs/CAPACITY.md. */
 final class BenchCommand implements Command {
 
     @Override
@@ -22,16 +22,17 @@
 
     @Override
     public String summary() {
-        return "measure what a request, a hop, an upstream and a claim cost on this machine";
+        return "measure the cost of a request, a hop, an upstream and a claim on this machine";
     }
 
     @Override
     public void describe(Subparser parser) {
         parser.addArgument("what")
                 .choices("path", "slopes", "claims", "fingerprint", "organisations")
-                .help("path: entry and sidecar against the engine alone; slopes: the cores without sockets;"
-                        + " claims: a group of three with real disks; fingerprint: a request among poison requests;"
-                        + " organisations: a request among organisations and their keys");
+                .help("path: entry and sidecar compared with the engine alone; slopes: the cores without sockets;"
+                        + " claims: a group of three replicas that write to disk; fingerprint: looking up a"
+                        + " request among quarantined ones; organisations: looking up a request among organisations"
+                        + " and their keys");
     }
 
     @Override
--- a/src/main/java/org/cuminshelf/tools/Command.java
+++ b/src/main/java/org/cuminshelf/tools/Command.java
@@ -3,36 +3,36 @@
 import net.sourceforge.argparse4j.inf.Namespace;
 import net.sourceforge.argparse4j.inf.Subparser;
 
-/** One command of the command line. */
+/** A subcommand of the command line. */
 public interface Command {
 
     /**
-     * The word that names it.
+     * Returns the name by which the command is called.
      *
-     * @return the word
+     * @return the name
      */
     String name();
 
     /**
-     * One line that says what it does.
+     * Returns a one-line description for the help text.
      *
-     * @return the line
+     * @return the description
      */
     String summary();
 
     /**
-     * Adds its flags.
+     * Adds the arguments of the command to its parser.
      *
-     * @param parser takes them
+     * @param parser the parser of the command
      */
     void describe(Subparser parser);
 
     /**
-     * Runs it.
+     * Runs the command.
      *
-     * @param flags the flags given
-     * @return the exit code
-     * @throws Exception if it can't be carried out
+     * @param flags the parsed arguments
+     * @return the exit code of the process
+     * @throws Exception if the command can't be completed
      */
     int run(Namespace flags) throws Exception;
 }
--- a/src/main/java/org/cuminshelf/tools/CommonFlags.java
+++ b/src/main/java/org/cuminshelf/tools/CommonFlags.java
@@ -9,24 +9,29 @@
 import org.cuminshelf.network.ReloadingTlsContext;
 import org.cuminshelf.process.CommonSettings;
 
-/** The flags that every process of the system has. */
+/** The flags that all long-running processes of the system have in common. */
 final class CommonFlags {
 
     private CommonFlags() {}
 
     static void describe(Subparser parser) {
-        Flags.addRequired(parser, "listen", "own IP number and port for messages from other processes");
+        Flags.addRequired(
+                parser, "listen", "IP address and port on which this process accepts messages from other processes");
         Flags.addRequired(parser, "vm", "name of this VM");
         Flags.addRequired(parser, "zone", "availability zone of this VM");
         Flags.addRequired(parser, "region", "region of this VM");
         Flags.add(parser, "mesh-cert", "PEM certificate chain for connections between processes", "");
         Flags.add(parser, "mesh-key", "PEM key (PKCS#8) for connections between processes", "");
-        Flags.add(parser, "mesh-ca", "PEM certificate of the authority that all processes are signed by", "");
-        Flags.addSwitch(parser, "mesh-plain", "let connections between processes go in the clear");
-        Flags.add(parser, "span-file", "file to which spans are appended", "");
-        Flags.add(parser, "otlp", "OTLP endpoint over HTTP to which spans are sent", "");
-        Flags.add(parser, "trace-file", "file to which the inputs of the core are recorded", "");
-        Flags.add(parser, "grace-ms", "milliseconds that a graceful stop may take", "60000");
+        Flags.add(
+                parser,
+                "mesh-ca",
+                "PEM certificate of the authority that signed the certificates of all processes",
+                "");
+        Flags.addSwitch(parser, "mesh-plain", "disable TLS on connections between processes");
+        Flags.add(parser, "span-file", "file to which trace spans are appended", "");
+        Flags.add(parser, "otlp", "OTLP/HTTP endpoint to which trace spans are exported", "");
+        Flags.add(parser, "trace-file", "file in which the inputs of the core are recorded", "");
+        Flags.add(parser, "grace-ms", "maximum duration of a graceful shutdown in milliseconds", "60000");
     }
 
     static CommonSettings read(Namespace flags) throws UsageException, IOException {
@@ -42,7 +47,7 @@
                 Flags.number(flags, "grace-ms", 1, 3_600_000));
     }
 
-    /** Connections between processes are authenticated on both ends unless that is switched off in so many words. */
+    /** Connections between processes use mutual TLS unless {@code --mesh-plain} disables it explicitly. */
     private static Optional<ReloadingTlsContext> meshTls(Namespace flags) throws UsageException, IOException {
         Optional<Path> certificate = Flags.path(flags, "mesh-cert");
         Optional<Path> key = Flags.path(flags, "mesh-key");
@@ -51,12 +56,12 @@
             return Optional.empty();
         }
         if (certificate.isEmpty() || key.isEmpty() || authority.isEmpty()) {
-            throw new UsageException("give --mesh-cert, --mesh-key and --mesh-ca, or --mesh-plain to go without TLS");
+            throw new UsageException("give --mesh-cert, --mesh-key and --mesh-ca, or --mesh-plain to disable TLS");
         }
         return Optional.of(ReloadingTlsContext.read(certificate.get(), key.get(), authority.get()));
     }
 
-    /** The PEM files behind two flags, both or neither. */
+    /** Returns the PEM files named by two flags, of which both or neither must be given. */
     static Optional<PemFiles> pem(Namespace flags, String certificateFlag, String keyFlag) throws UsageException {
         Optional<Path> certificate = Flags.path(flags, certificateFlag);
         Optional<Path> key = Flags.path(flags, keyFlag);
--- a/src/main/java/org/cuminshelf/tools/ConfigCommand.java
+++ b/src/main/java/org/cuminshelf/tools/ConfigCommand.java
@@ -15,12 +15,12 @@
 import org.cuminshelf.config.ConfigProblem;
 import org.cuminshelf.config.MergedConfig;
 
-/** Checks, shows, compares and applies the operators' folder. */
+/** Checks, shows, compares and applies the operators' folder of configuration files. */
 final class ConfigCommand implements Command {
 
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final long WAIT_MILLIS = 14_000;
-    private static final long LOOK_AGAIN_MILLIS = 200;
+    private static final long ROLLOUT_TIMEOUT_MILLIS = 14_000;
+    private static final long POLL_INTERVAL_MILLIS = 200;
 
     @Override
     public String name() {
@@ -36,12 +36,19 @@
     public void describe(Subparser parser) {
         parser.addArgument("action")
                 .choices("check", "show", "diff", "apply")
-                .help("check: find what is wrong; show: list the merged values; diff: compare with what is"
-                        + " accepted; apply: have it accepted");
-        parser.addArgument("folder").nargs("?").setDefault("").help("the folder; not needed to show what is accepted");
+                .help("check: validate the folder; show: list the merged values; diff: compare the folder with"
+                        + " the accepted configuration; apply: submit the folder for acceptance");
+        parser.addArgument("folder")
+                .nargs("?")
+                .setDefault("")
+                .help("the folder; if absent, show lists the accepted configuration");
         parser.addArgument("--origin").action(Arguments.storeTrue()).help("show the file behind each value");
-        parser.addArgument("--base").setDefault("").help("version the change is made on; the accepted one if absent");
-        parser.addArgument("--wait").action(Arguments.storeTrue()).help("wait until it is in force everywhere");
+        parser.addArgument("--base")
+                .setDefault("")
+                .help("version that the change is based on; the accepted version if absent");
+        parser.addArgument("--wait")
+                .action(Arguments.storeTrue())
+                .help("wait until the new version is in force everywhere");
         AdminClient.describe(parser);
     }
 
@@ -53,15 +60,15 @@
             return showAccepted(flags);
         }
         if (folder.isEmpty()) {
-            throw new UsageException("config " + action + ": name the folder");
+            throw new UsageException("config " + action + ": the folder is missing");
         }
-        Either<List<ConfigProblem>, MergedConfig> checked =
+        Either<List<ConfigProblem>, MergedConfig> result =
                 ConfigFolder.at(Path.of(folder)).mergeAndValidate();
-        if (checked.isLeft()) {
-            checked.getLeft().forEach(problem -> System.err.println(problem));
+        if (result.isLeft()) {
+            result.getLeft().forEach(problem -> System.err.println(problem));
             return ExitCode.FAILURE;
         }
-        MergedConfig merged = checked.get();
+        MergedConfig merged = result.get();
         return switch (action) {
             case "check" -> {
                 System.out.println("The folder is right: " + merged.origins().size() + " values.");
@@ -76,8 +83,8 @@
     private static int show(MergedConfig merged, Namespace flags) {
         for (String line : merged.lines()) {
             String key = line.substring(0, line.indexOf(" = "));
-            boolean origin = Boolean.TRUE.equals(flags.getBoolean("origin"));
-            System.out.println(origin ? line + "    # " + merged.origins().get(key) : line);
+            boolean showOrigin = Boolean.TRUE.equals(flags.getBoolean("origin"));
+            System.out.println(showOrigin ? line + "    # " + merged.origins().get(key) : line);
         }
         return ExitCode.SUCCESS;
     }
@@ -86,7 +93,7 @@
         try (AdminClient admin = AdminClient.open(flags)) {
             AdminClient.Answer answer = admin.get("config");
             if (answer.status() != 200) {
-                return refused(answer);
+                return reportRefusal(answer);
             }
             System.out.println("version = " + answer.body().path("version").asLong());
             flatten(answer.body().path("config")).forEach((key, value) -> System.out.println(key + " = " + value));
@@ -98,7 +105,7 @@
         try (AdminClient admin = AdminClient.open(flags)) {
             AdminClient.Answer answer = admin.get("config");
             if (answer.status() != 200) {
-                return refused(answer);
+                return reportRefusal(answer);
             }
             System.out.println(
                     "Against version " + answer.body().path("version").asLong() + ":");
@@ -108,12 +115,12 @@
         }
     }
 
-    /** Prints what differs; returns whether nothing does. */
+    /** Prints the values that differ and returns whether the two configurations are the same. */
     private static boolean printDiff(SortedMap<String, String> accepted, SortedMap<String, String> folder) {
-        SortedMap<String, String> all = new TreeMap<>(accepted);
-        all.putAll(folder);
+        SortedMap<String, String> allValues = new TreeMap<>(accepted);
+        allValues.putAll(folder);
         boolean same = true;
-        for (String key : all.keySet()) {
+        for (String key : allValues.keySet()) {
             String before = accepted.get(key);
             String after = folder.get(key);
             if (before != null && !before.equals(after)) {
@@ -142,31 +149,32 @@
                 return ExitCode.FAILURE;
             }
             if (answer.status() != 200) {
-                return refused(answer);
+                return reportRefusal(answer);
             }
             long version = answer.body().path("version").asLong();
             System.out.println("Accepted as version " + version + ".");
-            return Boolean.TRUE.equals(flags.getBoolean("wait")) ? await(admin, version) : ExitCode.SUCCESS;
+            return Boolean.TRUE.equals(flags.getBoolean("wait")) ? awaitRollout(admin, version) : ExitCode.SUCCESS;
         }
     }
 
-    private static int await(AdminClient admin, long version) throws IOException, InterruptedException {
-        long start = System.nanoTime();
-        long end = start + WAIT_MILLIS * 1_000_000;
-        while (System.nanoTime() < end) {
-            long lowest =
+    private static int awaitRollout(AdminClient admin, long version) throws IOException, InterruptedException {
+        long startNanos = System.nanoTime();
+        long deadlineNanos = startNanos + ROLLOUT_TIMEOUT_MILLIS * 1_000_000;
+        while (System.nanoTime() < deadlineNanos) {
+            long lowestVersion =
                     admin.get("status").body().path("lowest_version_in_force").asLong();
-            if (lowest >= version) {
-                System.out.println("In force everywhere after " + (System.nanoTime() - start) / 1_000_000 + " ms.");
+            if (lowestVersion >= version) {
+                System.out.println(
+                        "In force everywhere after " + (System.nanoTime() - startNanos) / 1_000_000 + " ms.");
                 return ExitCode.SUCCESS;
             }
-            Thread.sleep(LOOK_AGAIN_MILLIS);
+            Thread.sleep(POLL_INTERVAL_MILLIS);
         }
-        System.err.println("Not in force everywhere after " + WAIT_MILLIS + " ms; see cuminshelf status.");
+        System.err.println("Not in force everywhere after " + ROLLOUT_TIMEOUT_MILLIS + " ms; see cuminshelf status.");
         return ExitCode.FAILURE;
     }
 
-    private static int refused(AdminClient.Answer answer) {
+    private static int reportRefusal(AdminClient.Answer answer) {
         System.err.println("Refused with status " + answer.status() + ": "
                 + answer.body().path("detail").asText());
         return answer.status() == 503 ? ExitCode.UNAVAILABLE : ExitCode.FAILURE;
--- a/src/main/java/org/cuminshelf/tools/ControlCommand.java
+++ b/src/main/java/org/cuminshelf/tools/ControlCommand.java
@@ -14,7 +14,7 @@
 /** Runs a control process. */
 final class ControlCommand implements Command {
 
-    private static final int DISK_FAILED = 74;
+    private static final int STORAGE_FAILURE_EXIT_CODE = 74;
 
     @Override
     public String name() {
@@ -23,22 +23,31 @@
 
     @Override
     public String summary() {
-        return "run a control process, on a VM with a disk";
+        return "run a control process on a VM with persistent storage";
     }
 
     @Override
     public void describe(Subparser parser) {
         CommonFlags.describe(parser);
         Flags.addRequired(parser, "data", "data folder");
-        Flags.addRequired(parser, "admin", "IP number and port of the administration interface");
-        Flags.addRequired(parser, "global", "replicas of the global group, the own among them, separated by commas");
+        Flags.addRequired(parser, "admin", "IP address and port of the administration interface");
+        Flags.addRequired(
+                parser,
+                "global",
+                "addresses of the replicas of the global group, including this process, separated by commas");
         Flags.add(parser, "region-group", "name of the region's group", "region");
-        Flags.add(parser, "region-replicas", "replicas of the region's group; those of the global group if absent", "");
-        Flags.add(parser, "admin-key-sha256", "SHA-256 of keys that may operate, separated by commas", "");
-        Flags.addSwitch(parser, "admin-open", "let requests without a key operate");
+        Flags.add(
+                parser,
+                "region-replicas",
+                "addresses of the replicas of the region's group; those of the global group if absent",
+                "");
+        Flags.add(
+                parser, "admin-key-sha256", "SHA-256 hashes of the keys with operator rights, separated by commas", "");
+        Flags.addSwitch(parser, "admin-open", "grant operator rights to requests without a key");
         Flags.add(parser, "admin-cert", "PEM certificate chain for operators", "");
         Flags.add(parser, "admin-tls-key", "PEM key (PKCS#8) for operators", "");
-        Flags.addSwitch(parser, "no-group-commit", "sync each entry by itself; only to measure what that costs");
+        Flags.addSwitch(
+                parser, "no-group-commit", "sync each log entry to disk separately; only for measuring the cost");
     }
 
     @Override
@@ -50,7 +59,8 @@
         if (global.contains(common.listen())) {
             groups.add(new ReplicaSettings(ControlSettings.GLOBAL_GROUP, common.listen(), global, true));
         } else {
-            throw new UsageException("--global: the own address " + common.listen() + " is not among the replicas");
+            throw new UsageException(
+                    "--global: the listen address " + common.listen() + " is not in the list of replicas");
         }
         groups.add(new ReplicaSettings(
                 Flags.text(flags, "region-group"), common.listen(), region.isEmpty() ? global : region, false));
@@ -63,7 +73,7 @@
                 Flags.isOn(flags, "admin-open"),
                 !Flags.isOn(flags, "no-group-commit"));
         ControlProcess process =
-                ControlProcess.start(common, options, () -> Runtime.getRuntime().halt(DISK_FAILED));
+                ControlProcess.start(common, options, () -> Runtime.getRuntime().halt(STORAGE_FAILURE_EXIT_CODE));
         return GracefulShutdown.awaitSignal(List.of(process));
     }
 }
--- a/src/main/java/org/cuminshelf/tools/EntryCommand.java
+++ b/src/main/java/org/cuminshelf/tools/EntryCommand.java
@@ -17,17 +17,17 @@
 
     @Override
     public String summary() {
-        return "run an entry, which callers reach through the balancer";
+        return "run an entry, which callers reach through the load balancer";
     }
 
     @Override
     public void describe(Subparser parser) {
         CommonFlags.describe(parser);
-        Flags.addRequired(parser, "callers", "IP number and port of the callers' interface");
-        Flags.addRequired(parser, "control", "control processes of the own region, separated by commas");
+        Flags.addRequired(parser, "callers", "IP address and port of the callers' interface");
+        Flags.addRequired(parser, "control", "addresses of the control processes of this region, separated by commas");
         Flags.add(parser, "claim-group", "group that holds the idempotency keys of the region", "region");
-        Flags.add(parser, "longest-queue", "calls that may wait at once", "1000");
-        Flags.add(parser, "subset", "upstreams of a service to which sessions are kept", "32");
+        Flags.add(parser, "longest-queue", "maximum number of queued calls", "1000");
+        Flags.add(parser, "subset", "number of upstreams of a service to which sessions are kept open", "32");
         Flags.add(parser, "callers-cert", "PEM certificate chain for callers", "");
         Flags.add(parser, "callers-key", "PEM key (PKCS#8) for callers", "");
     }
@@ -44,7 +44,7 @@
                 (int) Flags.number(flags, "subset", 1, 10_000),
                 Flags.text(flags, "claim-group"));
         if (settings.controlAddresses().isEmpty()) {
-            throw new UsageException("--control: name at least one control process");
+            throw new UsageException("--control: give the address of at least one control process");
         }
         EntryProcess process = EntryProcess.start(
                 common,
--- a/src/main/java/org/cuminshelf/tools/EventCommand.java
+++ b/src/main/java/org/cuminshelf/tools/EventCommand.java
@@ -5,7 +5,7 @@
 import net.sourceforge.argparse4j.inf.Namespace;
 import net.sourceforge.argparse4j.inf.Subparser;
 
-/** Lists the events of the accepted configuration and how far they are prepared. */
+/** Lists the events of the accepted configuration, and how many engines have loaded their models and adapters. */
 final class EventCommand implements Command {
 
     @Override
@@ -15,7 +15,7 @@
 
     @Override
     public String summary() {
-        return "list events, when they open, and how many engines hold what they need";
+        return "list events, their start times, and how many engines have loaded their models and adapters";
     }
 
     @Override
@@ -47,24 +47,24 @@
     private static void print(String name, JsonNode event, JsonNode upstreams) {
         System.out.println(name + " opens " + event.path("start").asText());
         for (JsonNode model : event.path("models")) {
-            System.out.println(
-                    "  model " + model.asText() + ": " + holders(upstreams, "models", model) + wanted(event));
+            System.out.println("  model " + model.asText() + ": " + countHolders(upstreams, "models", model)
+                    + requiredEngines(event));
         }
         for (JsonNode adapter : event.path("adapters")) {
-            System.out.println(
-                    "  adapter " + adapter.asText() + ": " + holders(upstreams, "adapters", adapter) + wanted(event));
+            System.out.println("  adapter " + adapter.asText() + ": " + countHolders(upstreams, "adapters", adapter)
+                    + requiredEngines(event));
         }
     }
 
-    private static String wanted(JsonNode event) {
+    private static String requiredEngines(JsonNode event) {
         return " of " + (event.has("engines") ? event.get("engines").asText() : "all") + " engines hold it";
     }
 
-    private static int holders(JsonNode upstreams, String kind, JsonNode wanted) {
+    private static int countHolders(JsonNode upstreams, String kind, JsonNode name) {
         int count = 0;
         for (JsonNode upstream : upstreams) {
-            for (JsonNode held : upstream.path(kind)) {
-                count += held.equals(wanted) ? 1 : 0;
+            for (JsonNode loaded : upstream.path(kind)) {
+                count += loaded.equals(name) ? 1 : 0;
             }
         }
         return count;
--- a/src/main/java/org/cuminshelf/tools/ExperimentCommand.java
+++ b/src/main/java/org/cuminshelf/tools/ExperimentCommand.java
@@ -12,7 +12,7 @@
 import org.cuminshelf.trial.ExperimentResult;
 import org.cuminshelf.trial.Mix;
 
-/** Runs the policy experiments. */
+/** Runs the experiments that compare the planning policy with its baselines. */
 final class ExperimentCommand implements Command {
 
     @Override
@@ -22,18 +22,26 @@
 
     @Override
     public String summary() {
-        return "measure goodput and role changes of the policy and its baselines under several mixes";
+        return "measure goodput and role changes of the policy and its baselines under several workload mixes";
     }
 
     @Override
     public void describe(Subparser parser) {
-        Flags.add(parser, "engines", "engines in the fleet: 13 as Katalogika, 6 as the association", "13");
-        Flags.add(parser, "entries", "entries before them", "2");
-        Flags.add(parser, "mixes", "mixes, separated by commas; all if absent", "");
-        Flags.add(parser, "policies", "words in the names of the policies wanted, separated by commas", "");
-        Flags.add(parser, "seconds", "virtual seconds of each run; those of the mix if 0", "0");
-        Flags.add(parser, "seed", "seed of arrivals and delays", "1");
-        Flags.add(parser, "csv", "file for the results; the console if absent", "");
+        Flags.add(
+                parser,
+                "engines",
+                "number of engines in the fleet; 13 is the size of the fleet of Katalogika, 6 that of the association",
+                "13");
+        Flags.add(parser, "entries", "number of entries", "2");
+        Flags.add(parser, "mixes", "workload mixes, separated by commas; all if absent", "");
+        Flags.add(
+                parser,
+                "policies",
+                "parts of the names of the policies to run, separated by commas; all if absent",
+                "");
+        Flags.add(parser, "seconds", "simulated seconds of each run; the duration of the mix if 0", "0");
+        Flags.add(parser, "seed", "random seed of arrivals and delays", "1");
+        Flags.add(parser, "csv", "file to which the results are also written", "");
     }
 
     @Override
@@ -65,7 +73,7 @@
             try {
                 mixes.add(Mix.valueOf(name.toUpperCase(Locale.ROOT)));
             } catch (IllegalArgumentException e) {
-                throw new UsageException("--mixes = " + name + ": give some of "
+                throw new UsageException("--mixes = " + name + ": give one or more of "
                         + List.of(Mix.values()).toString().toLowerCase(Locale.ROOT));
             }
         }
@@ -73,9 +81,9 @@
     }
 
     private static List<Contender> contenders(Namespace flags) {
-        List<String> words = Flags.list(flags, "policies");
+        List<String> nameParts = Flags.list(flags, "policies");
         return Contender.all().stream()
-                .filter(contender -> words.isEmpty() || words.stream().anyMatch(contender.name()::contains))
+                .filter(contender -> nameParts.isEmpty() || nameParts.stream().anyMatch(contender.name()::contains))
                 .toList();
     }
 }
--- a/src/main/java/org/cuminshelf/tools/Flags.java
+++ b/src/main/java/org/cuminshelf/tools/Flags.java
@@ -11,14 +11,14 @@
 import net.sourceforge.argparse4j.inf.Subparser;
 import org.cuminshelf.core.Address;
 
-/** Flags that may also be given by an environment variable; the flag goes before the variable. */
+/** Flags that can also be set by an environment variable; the flag takes precedence over the variable. */
 final class Flags {
 
-    private static final String PREFIX = "CUMINSHELF_";
+    private static final String VARIABLE_PREFIX = "CUMINSHELF_";
 
     private Flags() {}
 
-    /** Adds a flag; its default stands in its help. */
+    /** Adds a flag whose help text shows its variable and its default value. */
     static void add(Subparser parser, String name, String help, String defaultValue) {
         Argument argument = parser.addArgument("--" + name).help(help + variableHelp(name, defaultValue));
         argument.dest(name);
@@ -26,7 +26,7 @@
                 .ifPresentOrElse(argument::setDefault, () -> argument.setDefault(defaultValue));
     }
 
-    /** Adds a flag that must be given. */
+    /** Adds a flag that must be given unless its environment variable is set. */
     static void addRequired(Subparser parser, String name, String help) {
         Argument argument = parser.addArgument("--" + name).help(help + variableHelp(name, ""));
         argument.dest(name);
@@ -35,7 +35,7 @@
         argument.required(fromEnvironment.isEmpty());
     }
 
-    /** Adds a switch. */
+    /** Adds a flag without a value. */
     static void addSwitch(Subparser parser, String name, String help) {
         parser.addArgument("--" + name)
                 .help(help + variableHelp(name, ""))
@@ -60,17 +60,17 @@
         return Boolean.TRUE.equals(flags.getBoolean(name));
     }
 
-    static long number(Namespace flags, String name, long least, long most) throws UsageException {
+    static long number(Namespace flags, String name, long min, long max) throws UsageException {
         String value = text(flags, name);
         try {
             long number = Long.parseLong(value);
-            if (number >= least && number <= most) {
+            if (number >= min && number <= max) {
                 return number;
             }
         } catch (NumberFormatException e) {
-            // Told below, with the same words as a number out of range.
+            // Reported below with the same message as a number out of range.
         }
-        throw new UsageException("--" + name + " = " + value + ": give a whole number from " + least + " to " + most);
+        throw new UsageException("--" + name + " = " + value + ": give an integer from " + min + " to " + max);
     }
 
     static Address address(Namespace flags, String name) throws UsageException {
@@ -94,17 +94,18 @@
 
     static Address address(String name, String value) throws UsageException {
         if (!value.matches("[0-9a-fA-F.:\\[\\]]+:\\d{1,5}")) {
-            throw new UsageException("--" + name + " = " + value + ": give an IP number and a port, as 127.0.0.1:7000");
+            throw new UsageException(
+                    "--" + name + " = " + value + ": give an IP address and a port, such as 127.0.0.1:7000");
         }
         return Address.of(value);
     }
 
     private static String variable(String name) {
-        return PREFIX + name.toUpperCase(Locale.ROOT).replace('-', '_');
+        return VARIABLE_PREFIX + name.toUpperCase(Locale.ROOT).replace('-', '_');
     }
 
     private static String variableHelp(String name, String defaultValue) {
-        String shown = defaultValue.isEmpty() ? "" : ", default " + defaultValue;
-        return " [" + variable(name) + shown + "]";
+        String defaultHelp = defaultValue.isEmpty() ? "" : ", default " + defaultValue;
+        return " [" + variable(name) + defaultHelp + "]";
     }
 }
--- a/src/main/java/org/cuminshelf/tools/GracefulShutdown.java
+++ b/src/main/java/org/cuminshelf/tools/GracefulShutdown.java
@@ -6,29 +6,29 @@
 import org.cuminshelf.process.ServingProcess;
 import org.tinylog.Logger;
 
-/** Keeps serving processes up until a signal, then stops them in order. */
+/** Waits for a termination signal, then stops serving processes gracefully, one after the other. */
 public final class GracefulShutdown {
 
     private GracefulShutdown() {}
 
     /**
-     * Waits for a signal and stops gracefully.
+     * Waits for SIGTERM or SIGINT and stops the processes gracefully. SIGHUP is logged and has no other effect.
      *
-     * @param processes what to stop, in this order
-     * @return the exit code
-     * @throws InterruptedException if the wait is interrupted
+     * @param processes the processes, in the order in which they are stopped
+     * @return the exit code; success if all processes finished their work
+     * @throws InterruptedException if the thread is interrupted while it waits
      */
     public static int awaitSignal(List<ServingProcess> processes) throws InterruptedException {
         return awaitSignal(processes, () -> Logger.info("process: event=reload outcome=\"nothing to read again\""));
     }
 
     /**
-     * Waits for a signal and stops gracefully.
+     * Waits for SIGTERM or SIGINT and stops the processes gracefully.
      *
-     * @param processes what to stop, in this order
-     * @param onReload  reads settings again, on SIGHUP
-     * @return the exit code
-     * @throws InterruptedException if the wait is interrupted
+     * @param processes the processes, in the order in which they are stopped
+     * @param onReload  called on SIGHUP to reload the settings
+     * @return the exit code; success if all processes finished their work
+     * @throws InterruptedException if the thread is interrupted while it waits
      */
     public static int awaitSignal(List<ServingProcess> processes, Runnable onReload) throws InterruptedException {
         Signals.onHangUp(onReload);
--- a/src/main/java/org/cuminshelf/tools/Main.java
+++ b/src/main/java/org/cuminshelf/tools/Main.java
@@ -14,7 +14,7 @@
 import org.cuminshelf.platform.PlatformCommand;
 import org.cuminshelf.process.ProcessStart;
 
-/** The one program: its first argument names the role or the command. */
+/** The entry point of all processes and operator commands; the first argument names the command. */
 public final class Main {
 
     private static final List<Command> COMMANDS = List.of(
@@ -55,18 +55,18 @@
     static int run(String... arguments) {
         ArgumentParser parser = ArgumentParsers.newFor("cuminshelf")
                 .build()
-                .description("A serving system for language models and plain services on a fixed fleet.");
+                .description("A serving system for language models and plain services on a fixed fleet of VMs.");
         Subparsers subparsers =
                 parser.addSubparsers().title("commands").dest("command").metavar("COMMAND");
-        Map<String, Command> byName = new LinkedHashMap<>();
+        Map<String, Command> commandsByName = new LinkedHashMap<>();
         for (Command command : COMMANDS) {
             Subparser subparser = subparsers.addParser(command.name()).help(command.summary());
             command.describe(subparser.description(command.summary()));
-            byName.put(command.name(), command);
+            commandsByName.put(command.name(), command);
         }
         try {
             Namespace flags = parser.parseArgs(arguments);
-            return byName.get(flags.getString("command")).run(flags);
+            return commandsByName.get(flags.getString("command")).run(flags);
         } catch (HelpScreenException e) {
             return ExitCode.SUCCESS;
         } catch (ArgumentParserException e) {
--- a/src/main/java/org/cuminshelf/tools/OrderCommand.java
+++ b/src/main/java/org/cuminshelf/tools/OrderCommand.java
@@ -7,7 +7,7 @@
 import net.sourceforge.argparse4j.inf.Namespace;
 import net.sourceforge.argparse4j.inf.Subparser;
 
-/** Places an order for one engine, or drains an upstream. */
+/** Submits an order for one engine, or drains an upstream. */
 final class OrderCommand implements Command {
 
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -33,14 +33,16 @@
 
     @Override
     public String summary() {
-        return drain ? "keep new work from an upstream, or let it take work again" : "order one engine to change";
+        return drain
+                ? "stop sending new work to an upstream, or resume"
+                : "change the role, model or adapters of one engine";
     }
 
     @Override
     public void describe(Subparser parser) {
-        parser.addArgument("engine").help("name of the VM, or address of its sidecar");
+        parser.addArgument("engine").help("name of the VM of the upstream, or address of its sidecar");
         if (drain) {
-            parser.addArgument("--undo").action(Arguments.storeTrue()).help("let it take work again");
+            parser.addArgument("--undo").action(Arguments.storeTrue()).help("resume sending new work");
         } else {
             for (String kind : new String[] {"change-role", "load-model", "load-adapter", "unload-adapter"}) {
                 parser.addArgument("--" + kind).dest(kind).setDefault("");
--- a/src/main/java/org/cuminshelf/tools/QuarantineCommand.java
+++ b/src/main/java/org/cuminshelf/tools/QuarantineCommand.java
@@ -10,13 +10,13 @@
 import net.sourceforge.argparse4j.inf.Subparser;
 import org.cuminshelf.http.QuarantineJson;
 
-/** Lists the requests that are refused because upstreams crash when they run them, and releases one. */
+/** Lists the requests that are refused because they crash upstreams, or releases one. */
 final class QuarantineCommand implements Command {
 
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final String RELEASE = "release";
-    private static final int OK = 200;
-    private static final int UNAVAILABLE = 503;
+    private static final int HTTP_OK = 200;
+    private static final int HTTP_SERVICE_UNAVAILABLE = 503;
 
     private QuarantineCommand() {}
 
@@ -31,18 +31,24 @@
 
     @Override
     public String summary() {
-        return "list the requests that are refused as upstreams crash when they run them, or release one";
+        return "list the requests that are refused because they crash upstreams, or release one";
     }
 
     @Override
     public void describe(Subparser parser) {
-        parser.addArgument("action").choices("list", RELEASE).help("what to do");
+        parser.addArgument("action")
+                .choices("list", RELEASE)
+                .help("list: show the quarantined requests; release: let one run again");
         parser.addArgument("fingerprint")
                 .nargs("?")
                 .setDefault("")
-                .help("the request to release, as the list names it");
+                .help("fingerprint of the request to release, as the list shows it");
         Flags.add(parser, "reason", "why the request may run again", "");
-        Flags.add(parser, "author", "who releases it, where no key tells", System.getProperty("user.name", ""));
+        Flags.add(
+                parser,
+                "author",
+                "who releases the request, if no API key identifies the operator",
+                System.getProperty("user.name", ""));
         parser.addArgument("--json").action(Arguments.storeTrue()).help("print JSON");
         AdminClient.describe(parser);
     }
@@ -51,10 +57,10 @@
     public int run(Namespace flags) throws Exception {
         boolean release = flags.getString("action").equals(RELEASE);
         if (release && Flags.text(flags, "fingerprint").isEmpty()) {
-            throw new UsageException("name the fingerprint of the request to release");
+            throw new UsageException("the fingerprint of the request to release is missing");
         }
         if (release && Flags.text(flags, "reason").isEmpty()) {
-            throw new UsageException("say with --reason why the request may run again");
+            throw new UsageException("--reason is missing: state why the request may run again");
         }
         try (AdminClient admin = AdminClient.open(flags)) {
             return release ? release(admin, flags) : list(admin, flags);
@@ -63,8 +69,8 @@
 
     private static int list(AdminClient admin, Namespace flags) throws Exception {
         AdminClient.Answer answer = admin.get(QuarantineJson.LIST_PATH);
-        if (answer.status() != OK) {
-            return refused(answer);
+        if (answer.status() != HTTP_OK) {
+            return reportRefusal(answer);
         }
         if (Boolean.TRUE.equals(flags.getBoolean("json"))) {
             System.out.println(answer.body().toPrettyString());
@@ -98,18 +104,18 @@
                 .put("author", Flags.text(flags, "author"));
         AdminClient.Answer answer =
                 admin.post(QuarantineJson.RELEASE_PATH, body.toString().getBytes(StandardCharsets.UTF_8));
-        if (answer.status() != OK) {
-            return refused(answer);
+        if (answer.status() != HTTP_OK) {
+            return reportRefusal(answer);
         }
         System.out.println("Released; all entries serve it again within seconds.");
         return ExitCode.SUCCESS;
     }
 
-    private static int refused(AdminClient.Answer answer) {
+    private static int reportRefusal(AdminClient.Answer answer) {
         System.err.println("Refused with status " + answer.status() + ": "
                 + answer.body()
                         .path("detail")
                         .asText(answer.body().path("error").asText()));
-        return answer.status() == UNAVAILABLE ? ExitCode.UNAVAILABLE : ExitCode.FAILURE;
+        return answer.status() == HTTP_SERVICE_UNAVAILABLE ? ExitCode.UNAVAILABLE : ExitCode.FAILURE;
     }
 }
--- a/src/main/java/org/cuminshelf/tools/SidecarCommand.java
+++ b/src/main/java/org/cuminshelf/tools/SidecarCommand.java
@@ -19,18 +19,18 @@
 
     @Override
     public String summary() {
-        return "run a sidecar, the process beside an upstream";
+        return "run a sidecar, the process that connects an upstream to the system";
     }
 
     @Override
     public void describe(Subparser parser) {
         CommonFlags.describe(parser);
-        Flags.addRequired(parser, "upstream", "where the upstream listens, as http://127.0.0.1:8081");
-        Flags.addRequired(parser, "control", "control processes of the own region, separated by commas");
-        Flags.add(parser, "service", "name of the plain service; left out beside an engine", "");
-        Flags.add(parser, "slots", "attempts run at once", "64");
-        Flags.add(parser, "health-path", "path of a plain service that answers below 500 while it is well", "/");
-        Flags.addSwitch(parser, "checks-fence", "the engine itself refuses orders with an old fencing number");
+        Flags.addRequired(parser, "upstream", "base URL of the upstream, such as http://127.0.0.1:8081");
+        Flags.addRequired(parser, "control", "addresses of the control processes of this region, separated by commas");
+        Flags.add(parser, "service", "name of the plain service; empty if the upstream is an engine", "");
+        Flags.add(parser, "slots", "maximum number of concurrent attempts", "64");
+        Flags.add(parser, "health-path", "path on which a healthy plain service returns a status below 500", "/");
+        Flags.addSwitch(parser, "checks-fence", "the engine itself refuses orders with an old fencing token");
     }
 
     @Override
@@ -47,14 +47,14 @@
                 Flags.isOn(flags, "checks-fence"),
                 Flags.addresses(flags, "control"));
         SidecarProcess process =
-                SidecarProcess.start(common, settings, upstream(flags), Flags.text(flags, "health-path"));
+                SidecarProcess.start(common, settings, upstreamUri(flags), Flags.text(flags, "health-path"));
         return GracefulShutdown.awaitSignal(List.of(process));
     }
 
-    private static URI upstream(Namespace flags) throws UsageException {
+    private static URI upstreamUri(Namespace flags) throws UsageException {
         String value = Flags.text(flags, "upstream");
         if (!value.matches("http://[0-9a-fA-F.:\\[\\]]+:\\d{1,5}")) {
-            throw new UsageException("--upstream = " + value + ": give http:// with an IP number and a port");
+            throw new UsageException("--upstream = " + value + ": give http:// with an IP address and a port");
         }
         return URI.create(value);
     }
--- a/src/main/java/org/cuminshelf/tools/Signals.java
+++ b/src/main/java/org/cuminshelf/tools/Signals.java
@@ -5,30 +5,31 @@
 import org.tinylog.Logger;
 
 /**
- * The signals that ask a process to stop. The first runs the graceful stop, the second ends at once. The handler class
- * is reached by name, since the JDK keeps it outside its supported interface.
+ * Handlers for termination signals and for SIGHUP. The first termination signal starts the graceful shutdown, the
+ * second ends the process at once. {@code sun.misc.Signal} is accessed by reflection, because it is not part of the
+ * supported interface of the JDK.
  */
 final class Signals {
 
-    private static final String LOG = "process: ";
-    private static final int ENDED_BY_SIGNAL = 143;
+    private static final String LOG_PREFIX = "process: ";
+    private static final int SIGTERM_EXIT_CODE = 143;
 
     private Signals() {}
 
-    /** Handles SIGTERM and SIGINT. */
-    static void onStop(Runnable graceful) {
-        AtomicInteger count = new AtomicInteger();
+    /** Registers the graceful shutdown for SIGTERM and SIGINT; it runs on a thread of its own. */
+    static void onStop(Runnable gracefulShutdown) {
+        AtomicInteger signalCount = new AtomicInteger();
         Runnable onSignal = () -> {
-            if (count.incrementAndGet() > 1) {
-                Runtime.getRuntime().halt(ENDED_BY_SIGNAL);
+            if (signalCount.incrementAndGet() > 1) {
+                Runtime.getRuntime().halt(SIGTERM_EXIT_CODE);
             }
-            new Thread(graceful, "stop").start();
+            new Thread(gracefulShutdown, "stop").start();
         };
         handle("TERM", onSignal);
         handle("INT", onSignal);
     }
 
-    /** Handles SIGHUP, which without a handler would end the process. */
+    /** Registers an action for SIGHUP, which would end the process if it had no handler. */
     static void onHangUp(Runnable action) {
         handle("HUP", () -> new Thread(action, "reload").start());
     }
@@ -47,10 +48,14 @@
                                 ? (Object) System.identityHashCode(proxy)
                                 : method.getName().equals("equals") ? proxy == arguments[0] : "stop handler";
                     });
-            Object made = signalClass.getConstructor(String.class).newInstance(signal);
-            signalClass.getMethod("handle", signalClass, handlerClass).invoke(null, made, handler);
+            Object signalObject = signalClass.getConstructor(String.class).newInstance(signal);
+            signalClass.getMethod("handle", signalClass, handlerClass).invoke(null, signalObject, handler);
         } catch (ReflectiveOperationException e) {
-            Logger.warn(LOG + "SIG{} can't be handled; it ends the process at once.", signal);
+            Logger.warn(
+                    LOG_PREFIX
+                            + "Can't install a handler for SIG{}; the signal ends the process without a graceful"
+                            + " shutdown.",
+                    signal);
         }
     }
 }
--- a/src/main/java/org/cuminshelf/tools/Standalone.java
+++ b/src/main/java/org/cuminshelf/tools/Standalone.java
@@ -24,15 +24,15 @@
 import org.cuminshelf.standin.StandInService;
 
 /**
- * All roles in one process: a control process, an entry, and stand-in upstreams with their sidecars, which talk over
- * loopback as they would between VMs. For a first try, for embedding in tests, and for measuring.
+ * All roles in one process: a control process, an entry, and stand-in upstreams with their sidecars, which communicate
+ * over loopback as they would between VMs. Used to try the system, in tests and in benchmarks.
  */
 public final class Standalone implements ServingProcess {
 
-    /** The model that the stand-in engines serve. */
+    /** The name of the model that the stand-in engines serve. */
     public static final String MODEL = "cataloguer";
 
-    /** The plain service. */
+    /** The name of the plain service. */
     public static final String SERVICE = "registry";
 
     private static final String HOST = "127.0.0.1";
@@ -61,15 +61,15 @@
     }
 
     /**
-     * What to start.
+     * The settings of a standalone system.
      *
-     * @param dataFolder  where the control process keeps its log
-     * @param callersPort port of the callers' interface; 0 takes a free one
-     * @param adminPort   port of the administration interface; 0 takes a free one
-     * @param engines     stand-in engines
-     * @param speed       how fast they are
-     * @param adminKey    key that may operate
-     * @param spanFile    file to which spans are written, if any
+     * @param dataFolder  folder in which the control process stores its log
+     * @param callersPort port of the callers' interface; 0 chooses a free port
+     * @param adminPort   port of the administration interface; 0 chooses a free port
+     * @param engines     number of stand-in engines
+     * @param speed       speed of the stand-in engines
+     * @param adminKey    API key with operator rights
+     * @param spanFile    file to which trace spans are appended, if any
      */
     public record Options(
             Path dataFolder,
@@ -81,9 +81,9 @@
             Optional<Path> spanFile) {}
 
     /**
-     * Starts everything.
+     * Starts all processes.
      *
-     * @param options what to start
+     * @param options the settings
      * @return the running system
      * @throws IOException if an address or the data folder can't be used
      */
@@ -102,7 +102,7 @@
         sidecars.add(startSidecar(options, "registry-1", SERVICE, service.port(), controlAddress));
         EntrySettings settings = EntrySettings.of(REGION, ZONE, "entry-1", List.of(controlAddress), 10_000, 32, GROUP);
         EntryProcess entry = EntryProcess.start(
-                common(options, "entry-1", freeAddress()),
+                commonSettings(options, "entry-1", freeAddress()),
                 settings,
                 Address.of(HOST + ":" + options.callersPort()),
                 Optional.empty());
@@ -110,12 +110,12 @@
     }
 
     private static ControlProcess startControl(Options options, Address address) throws IOException {
-        List<Address> alone = List.of(address);
+        List<Address> replicas = List.of(address);
         ControlSettings settings = new ControlSettings(
                 REGION,
                 List.of(
-                        new ReplicaSettings(ControlSettings.GLOBAL_GROUP, address, alone, true),
-                        new ReplicaSettings(GROUP, address, alone, false)));
+                        new ReplicaSettings(ControlSettings.GLOBAL_GROUP, address, replicas, true),
+                        new ReplicaSettings(GROUP, address, replicas, false)));
         String keyHash = MergedConfig.hash(options.adminKey().getBytes(java.nio.charset.StandardCharsets.UTF_8));
         ControlProcess.Options controlOptions = new ControlProcess.Options(
                 settings,
@@ -126,7 +126,7 @@
                 false,
                 true);
         return ControlProcess.start(
-                common(options, "control-1", address),
+                commonSettings(options, "control-1", address),
                 controlOptions,
                 () -> Runtime.getRuntime().halt(ExitCode.IO_ERROR));
     }
@@ -137,11 +137,14 @@
         int slots = service.isEmpty() ? Math.min(SLOTS, options.speed().slots()) : SLOTS;
         SidecarSettings settings = new SidecarSettings(service, kind, REGION, ZONE, vm, slots, true, List.of(control));
         return SidecarProcess.start(
-                common(options, vm, freeAddress()), settings, URI.create("http://" + HOST + ":" + upstreamPort), "/");
+                commonSettings(options, vm, freeAddress()),
+                settings,
+                URI.create("http://" + HOST + ":" + upstreamPort),
+                "/");
     }
 
-    private static CommonSettings common(Options options, String vm, Address listen) {
-        CommonSettings plain = CommonSettings.unencrypted(listen, REGION, ZONE, vm);
+    private static CommonSettings commonSettings(Options options, String vm, Address listen) {
+        CommonSettings defaults = CommonSettings.unencrypted(listen, REGION, ZONE, vm);
         return new CommonSettings(
                 listen,
                 REGION,
@@ -151,10 +154,10 @@
                 options.spanFile(),
                 Optional.empty(),
                 Optional.empty(),
-                plain.graceMillis());
+                defaults.graceMillis());
     }
 
-    /** Finds a port that is free now. */
+    /** Returns a loopback address with a port that is free now; another process may bind it before its use. */
     private static Address freeAddress() throws IOException {
         try (java.net.ServerSocket socket = new java.net.ServerSocket(0, 1, java.net.InetAddress.getByName(HOST))) {
             return Address.of(HOST + ":" + socket.getLocalPort());
@@ -162,7 +165,7 @@
     }
 
     /**
-     * The port of the callers' interface.
+     * Returns the port of the callers' interface.
      *
      * @return the port
      */
@@ -171,7 +174,7 @@
     }
 
     /**
-     * The port of the administration interface.
+     * Returns the port of the administration interface.
      *
      * @return the port
      */
@@ -180,7 +183,7 @@
     }
 
     /**
-     * The stand-in service, to see how often each title was given a number.
+     * Returns the stand-in service, which counts how often each request ran.
      *
      * @return the service
      */
@@ -189,7 +192,7 @@
     }
 
     /**
-     * The entry.
+     * Returns the entry process.
      *
      * @return the entry
      */
@@ -198,9 +201,9 @@
     }
 
     /**
-     * The ports of the stand-in engines.
+     * Returns the ports of the stand-in engines.
      *
-     * @return ports
+     * @return the ports
      */
     public List<Integer> enginePorts() {
         return standIns.stream()
@@ -233,7 +236,7 @@
             try {
                 standIn.close();
             } catch (Exception e) {
-                org.tinylog.Logger.debug("stand-in: A stand-in did not close cleanly: {}.", e.getMessage());
+                org.tinylog.Logger.debug("stand-in: A stand-in upstream failed to close: {}.", e.getMessage());
             }
         }
     }
--- a/src/main/java/org/cuminshelf/tools/StandaloneCommand.java
+++ b/src/main/java/org/cuminshelf/tools/StandaloneCommand.java
@@ -10,13 +10,13 @@
 import net.sourceforge.argparse4j.inf.Subparser;
 import org.cuminshelf.standin.EngineSpeed;
 
-/** Runs all roles in one process. */
+/** Runs all roles in one process, with stand-in upstreams. */
 final class StandaloneCommand implements Command {
 
-    private static final String CONFIG =
+    private static final String INITIAL_CONFIG =
             "{\"models\":{\"" + Standalone.MODEL + "\":{}},\"services\":{\"" + Standalone.SERVICE + "\":{}}}";
-    private static final long READY_MILLIS = 20_000;
-    private static final long LOOK_AGAIN_MILLIS = 100;
+    private static final long STARTUP_TIMEOUT_MILLIS = 20_000;
+    private static final long POLL_INTERVAL_MILLIS = 100;
 
     @Override
     public String name() {
@@ -25,16 +25,16 @@
 
     @Override
     public String summary() {
-        return "run all roles in one process, with stand-in upstreams, for a first try";
+        return "run all roles in one process with stand-in upstreams, to try the system";
     }
 
     @Override
     public void describe(Subparser parser) {
         Flags.add(parser, "callers-port", "port of the callers' interface", "8080");
         Flags.add(parser, "admin-port", "port of the administration interface", "7200");
-        Flags.add(parser, "engines", "stand-in engines", "2");
-        Flags.add(parser, "data", "data folder; a temporary one if absent", "");
-        Flags.add(parser, "span-file", "file to which spans are appended", "");
+        Flags.add(parser, "engines", "number of stand-in engines", "2");
+        Flags.add(parser, "data", "data folder; a temporary folder if absent", "");
+        Flags.add(parser, "span-file", "file to which trace spans are appended", "");
     }
 
     @Override
@@ -63,30 +63,34 @@
         return GracefulShutdown.awaitSignal(List.of(system));
     }
 
-    /** Applies the first configuration, unless the data folder holds one, and waits until callers are served. */
+    /**
+     * Applies the initial configuration, unless the data folder already contains one, and waits until the system serves
+     * callers.
+     */
     static void configure(Standalone system, String key) throws IOException, InterruptedException {
         try (AdminClient admin =
                 AdminClient.open(List.of("http://127.0.0.1:" + system.adminPort()), key, Optional.empty())) {
-            long end = System.nanoTime() + READY_MILLIS * 1_000_000;
-            while (System.nanoTime() < end) {
-                AdminClient.Answer answer = admin.post("config?base=0", CONFIG.getBytes(StandardCharsets.UTF_8));
+            long deadlineNanos = System.nanoTime() + STARTUP_TIMEOUT_MILLIS * 1_000_000;
+            while (System.nanoTime() < deadlineNanos) {
+                AdminClient.Answer answer =
+                        admin.post("config?base=0", INITIAL_CONFIG.getBytes(StandardCharsets.UTF_8));
                 boolean accepted = answer.status() == 200 || answer.status() == 409;
                 if (accepted && isServing(admin)) {
                     return;
                 }
-                Thread.sleep(LOOK_AGAIN_MILLIS);
+                Thread.sleep(POLL_INTERVAL_MILLIS);
             }
         }
-        throw new IOException("the system was not ready within " + READY_MILLIS + " ms");
+        throw new IOException("the system was not ready within " + STARTUP_TIMEOUT_MILLIS + " ms");
     }
 
     private static boolean isServing(AdminClient admin) throws IOException {
         AdminClient.Answer status = admin.get("status");
-        long lowest = status.body().path("lowest_version_in_force").asLong();
-        boolean allThere = true;
+        long lowestVersion = status.body().path("lowest_version_in_force").asLong();
+        boolean allAvailable = true;
         for (var upstream : status.body().path("upstreams")) {
-            allThere &= !upstream.path("leaving").asBoolean();
+            allAvailable &= !upstream.path("leaving").asBoolean();
         }
-        return lowest >= 1 && status.body().path("subscribers").asInt() > 0 && allThere;
+        return lowestVersion >= 1 && status.body().path("subscribers").asInt() > 0 && allAvailable;
     }
 }
--- a/src/main/java/org/cuminshelf/tools/StatusCommand.java
+++ b/src/main/java/org/cuminshelf/tools/StatusCommand.java
@@ -5,7 +5,7 @@
 import net.sourceforge.argparse4j.inf.Namespace;
 import net.sourceforge.argparse4j.inf.Subparser;
 
-/** Shows the state of the fleet. */
+/** Shows the state of the replication groups, the upstreams and the pending orders. */
 final class StatusCommand implements Command {
 
     @Override
@@ -15,7 +15,7 @@
 
     @Override
     public String summary() {
-        return "show groups, upstreams, pending orders and the configuration in force";
+        return "show replication groups, upstreams, pending orders and the configuration in force";
     }
 
     @Override
@@ -62,14 +62,14 @@
                     group.path("voters").size());
         }
         for (JsonNode upstream : status.path("upstreams")) {
-            String serves = upstream.path("service").asText();
+            String service = upstream.path("service").asText();
             System.out.printf(
                     "%-8s %-16s %-22s zone %-12s %s%s%n",
                     upstream.path("kind").asText(),
                     upstream.path("vm").asText(),
                     upstream.path("address").asText(),
                     upstream.path("zone").asText(),
-                    serves.isEmpty() ? upstream.path("role").asText() + " " + upstream.path("models") : serves,
+                    service.isEmpty() ? upstream.path("role").asText() + " " + upstream.path("models") : service,
                     upstream.path("leaving").asBoolean() ? "  (takes no new work)" : "");
         }
         for (JsonNode order : status.path("pending_orders")) {
--- a/src/main/java/org/cuminshelf/tools/UsageException.java
+++ b/src/main/java/org/cuminshelf/tools/UsageException.java
@@ -1,14 +1,14 @@
 package org.cuminshelf.tools;
 
-/** A flag or its environment variable has a value that can't be used. */
+/** Thrown if an argument or its environment variable is missing or invalid. */
 public final class UsageException extends Exception {
 
     private static final long serialVersionUID = 1L;
 
     /**
-     * Makes the exception.
+     * Creates the exception.
      *
-     * @param message which value, and what would be one that can be used
+     * @param message names the argument and its value, and states which values are valid
      */
     public UsageException(String message) {
         super(message);
--- a/src/main/java/org/cuminshelf/tools/package-info.java
+++ b/src/main/java/org/cuminshelf/tools/package-info.java
@@ -1,2 +1,2 @@
-/** The command line: one command for each role of a process, and those of operators. */
+/** The command line: a command to run each kind of process, and the commands for operators. */
 package org.cuminshelf.tools;
--- a/src/test/java/org/cuminshelf/tools/MultiProcessDeployment.java
+++ b/src/test/java/org/cuminshelf/tools/MultiProcessDeployment.java
@@ -14,15 +14,18 @@
 import java.util.Optional;
 import java.util.concurrent.TimeUnit;
 
-/** A small deployment as separate operating system processes on loopback. */
+/**
+ * A small deployment of separate operating system processes on loopback: control processes, entries, stand-in upstreams
+ * and their sidecars.
+ */
 final class MultiProcessDeployment implements AutoCloseable {
 
     private static final String HOST = "127.0.0.1";
-    private static final int CONTROL = 3;
-    private static final long PATIENCE_SECONDS = 40;
+    private static final int CONTROL_PROCESSES = 3;
+    private static final long TIMEOUT_SECONDS = 40;
     private static final String CONFIG = "{\"models\":{\"cataloguer\":{}},\"services\":{\"registry\":{}}}";
 
-    private final Path folder;
+    private final Path workFolder;
     private final Map<String, List<String>> commands = new LinkedHashMap<>();
     private final Map<String, Process> processes = new LinkedHashMap<>();
     private final List<Integer> adminPorts = new ArrayList<>();
@@ -30,33 +33,40 @@
     private final int servicePort;
 
     MultiProcessDeployment() throws IOException {
-        folder = Files.createTempDirectory("processes");
-        List<String> control = new ArrayList<>();
-        for (int i = 0; i < CONTROL; i++) {
-            control.add(address());
+        workFolder = Files.createTempDirectory("processes");
+        List<String> controlAddresses = new ArrayList<>();
+        for (int i = 0; i < CONTROL_PROCESSES; i++) {
+            controlAddresses.add(freeAddress());
         }
-        String all = String.join(",", control);
-        for (int i = 0; i < CONTROL; i++) {
+        String controlList = String.join(",", controlAddresses);
+        for (int i = 0; i < CONTROL_PROCESSES; i++) {
             int admin = freePort();
             adminPorts.add(admin);
-            String data = folder.resolve("control-" + i).toString();
-            add("control-" + i, control.get(i), "control", "--global", all, "--data", data);
+            String data = workFolder.resolve("control-" + i).toString();
+            add("control-" + i, controlAddresses.get(i), "control", "--global", controlList, "--data", data);
             commands.get("control-" + i).addAll(List.of("--admin", HOST + ":" + admin, "--admin-open"));
         }
         for (int i = 0; i < 2; i++) {
-            String engine = address();
+            String engine = freeAddress();
             commands.put("engine-" + i, List.of("stand-in", "--at", engine, "--speed", "instant"));
-            add("engine-sidecar-" + i, address(), "sidecar", "--control", all, "--upstream", "http://" + engine);
+            add(
+                    "engine-sidecar-" + i,
+                    freeAddress(),
+                    "sidecar",
+                    "--control",
+                    controlList,
+                    "--upstream",
+                    "http://" + engine);
         }
         servicePort = freePort();
         String service = HOST + ":" + servicePort;
         commands.put("service", List.of("stand-in", "--kind", "service", "--delay-ms", "20", "--at", service));
-        add("service-sidecar", address(), "sidecar", "--control", all, "--upstream", "http://" + service);
+        add("service-sidecar", freeAddress(), "sidecar", "--control", controlList, "--upstream", "http://" + service);
         commands.get("service-sidecar").addAll(List.of("--service", "registry"));
         for (int i = 0; i < 2; i++) {
             int callers = freePort();
             callersPorts.add(callers);
-            add("entry-" + i, address(), "entry", "--control", all, "--callers", HOST + ":" + callers);
+            add("entry-" + i, freeAddress(), "entry", "--control", controlList, "--callers", HOST + ":" + callers);
         }
     }
 
@@ -64,7 +74,7 @@
         for (String name : commands.keySet()) {
             start(name);
         }
-        configure();
+        awaitReady();
     }
 
     List<Integer> callersPorts() {
@@ -87,7 +97,7 @@
                 System.getProperty("java.class.path"),
                 "org.cuminshelf.tools.Main"));
         command.addAll(commands.get(name));
-        File log = folder.resolve(name + ".log").toFile();
+        File log = workFolder.resolve(name + ".log").toFile();
         processes.put(
                 name,
                 new ProcessBuilder(command)
@@ -100,11 +110,11 @@
         processes.get(name).destroyForcibly().waitFor();
     }
 
-    /** Asks a process to stop and tells its exit code. */
+    /** Sends SIGTERM to a process and returns its exit code, or -1 if it does not stop in time. */
     int stopGracefully(String name) throws InterruptedException {
         Process process = processes.get(name);
         process.destroy();
-        return process.waitFor(PATIENCE_SECONDS, TimeUnit.SECONDS) ? process.exitValue() : -1;
+        return process.waitFor(TIMEOUT_SECONDS, TimeUnit.SECONDS) ? process.exitValue() : -1;
     }
 
     void signal(String name, String signal) throws IOException, InterruptedException {
@@ -112,22 +122,22 @@
         new ProcessBuilder("kill", "-" + signal, pid).start().waitFor();
     }
 
-    /** The name of the control process that leads a group now. */
+    /** Returns the name of the control process that currently leads a group, and waits for one to be elected. */
     String leader(String group) throws IOException, InterruptedException {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_SECONDS);
-        while (System.nanoTime() < end) {
-            for (int i = 0; i < CONTROL; i++) {
-                if (leads(adminPorts.get(i), group)) {
+        long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS);
+        while (System.nanoTime() < deadlineNanos) {
+            for (int i = 0; i < CONTROL_PROCESSES; i++) {
+                if (isLeader(adminPorts.get(i), group)) {
                     return "control-" + i;
                 }
             }
             Thread.sleep(100);
         }
-        throw new IOException("no leader in time; logs are in " + folder);
+        throw new IOException("no leader was elected in time; logs are in " + workFolder);
     }
 
-    private static boolean leads(int adminPort, String group) {
-        try (AdminClient admin = admin(List.of(adminPort))) {
+    private static boolean isLeader(int adminPort, String group) {
+        try (AdminClient admin = openAdminClient(List.of(adminPort))) {
             for (var status : admin.get("status").body().path("groups")) {
                 boolean leader = status.path("role").asText().equals("leader");
                 if (leader && status.path("group").asText().equals(group)) {
@@ -135,13 +145,13 @@
                 }
             }
             return false;
-        } catch (IOException down) {
+        } catch (IOException unavailable) {
             return false;
         }
     }
 
-    String logs() {
-        return folder.toString();
+    String workFolder() {
+        return workFolder.toString();
     }
 
     @Override
@@ -149,19 +159,19 @@
         processes.values().forEach(Process::destroyForcibly);
     }
 
-    private void configure() throws IOException, InterruptedException {
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_SECONDS);
-        while (System.nanoTime() < end) {
-            if (isConfigured()) {
+    private void awaitReady() throws IOException, InterruptedException {
+        long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS);
+        while (System.nanoTime() < deadlineNanos) {
+            if (applyConfigAndCheckReady()) {
                 return;
             }
             Thread.sleep(200);
         }
-        throw new IOException("the deployment was not ready in time; logs are in " + folder);
+        throw new IOException("the deployment was not ready in time; logs are in " + workFolder);
     }
 
-    private boolean isConfigured() {
-        try (AdminClient admin = admin(adminPorts)) {
+    private boolean applyConfigAndCheckReady() {
+        try (AdminClient admin = openAdminClient(adminPorts)) {
             int status = admin.post("config?base=0", CONFIG.getBytes(StandardCharsets.UTF_8))
                     .status();
             var body = admin.get("status").body();
@@ -175,7 +185,7 @@
         }
     }
 
-    private static AdminClient admin(List<Integer> ports) throws IOException {
+    private static AdminClient openAdminClient(List<Integer> ports) throws IOException {
         List<String> addresses =
                 ports.stream().map(port -> "http://" + HOST + ":" + port).toList();
         return AdminClient.open(addresses, "", Optional.empty());
@@ -188,7 +198,7 @@
         commands.put(name, command);
     }
 
-    private static String address() throws IOException {
+    private static String freeAddress() throws IOException {
         return HOST + ":" + freePort();
     }
 
--- a/src/test/java/org/cuminshelf/tools/ProcessFailureTest.java
+++ b/src/test/java/org/cuminshelf/tools/ProcessFailureTest.java
@@ -20,138 +20,143 @@
 import org.cuminshelf.http.CallerApiHandler;
 import org.cuminshelf.standin.StandInText;
 
-/** Real processes on loopback, killed, stopped and restarted under load. */
+/** Kills, suspends, stops and restarts operating system processes on loopback under load. */
 class ProcessFailureTest {
 
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final int MOST_TRIES = 60;
-    private static final int TOKENS = 30;
+    private static final int MAX_ATTEMPTS = 60;
+    private static final int TOKENS_PER_DRAFT = 30;
 
     private final HttpClient client = HttpClient.newBuilder()
             .version(HttpClient.Version.HTTP_1_1)
             .connectTimeout(Duration.ofSeconds(2))
             .build();
     private final AtomicBoolean stop = new AtomicBoolean();
-    private final AtomicInteger next = new AtomicInteger();
-    private final AtomicInteger whole = new AtomicInteger();
-    private final AtomicInteger streams = new AtomicInteger();
-    private final AtomicInteger mixed = new AtomicInteger();
-    private final AtomicInteger cut = new AtomicInteger();
-    private final AtomicInteger lost = new AtomicInteger();
-    private final AtomicInteger unresolved = new AtomicInteger();
-    private final Map<String, Long> numbers = new ConcurrentHashMap<>();
+    private final AtomicInteger nextId = new AtomicInteger();
+    private final AtomicInteger titlesNumbered = new AtomicInteger();
+    private final AtomicInteger completedStreams = new AtomicInteger();
+    private final AtomicInteger mixedUpAnswers = new AtomicInteger();
+    private final AtomicInteger truncatedStreams = new AtomicInteger();
+    private final AtomicInteger titlesWithoutAnswer = new AtomicInteger();
+    private final AtomicInteger titlesUnresolved = new AtomicInteger();
+    private final Map<String, Long> numbersByTitle = new ConcurrentHashMap<>();
 
     /*
-     * A title is lost or gets two numbers, or a draft stops in the middle, while VMs die. Under load the leading
-     * control process is killed, a sidecar of each kind is killed, an engine's sidecar and a control process stand
-     * still, and an entry is stopped as planned; each comes back. Cause: any of these at a bad moment.
+     * Guards against a title without an answer, a title that runs twice, an answer to another request, and a truncated
+     * draft when processes fail. Under load, the leading control process and a sidecar of each kind are killed, an
+     * engine's sidecar and a control process are suspended, and an entry is stopped gracefully; each is then restarted
+     * or resumed.
      */
     @Example
-    void nothingIsLostDoubledMixedOrCutWhileProcessesDie() throws Exception {
-        try (MultiProcessDeployment fleet = new MultiProcessDeployment()) {
-            fleet.startAll();
+    void noRequestIsLostDuplicatedMixedUpOrTruncatedWhileProcessesFail() throws Exception {
+        try (MultiProcessDeployment deployment = new MultiProcessDeployment()) {
+            deployment.startAll();
             List<Thread> callers = new ArrayList<>();
             for (int i = 0; i < 4; i++) {
-                callers.add(Thread.ofPlatform().start(() -> assignNumbers(fleet.callersPorts())));
+                callers.add(Thread.ofPlatform().start(() -> assignNumbers(deployment.callersPorts())));
                 callers.add(Thread.ofPlatform()
-                        .start(() -> streamDrafts(fleet.callersPorts().getFirst())));
+                        .start(() -> streamDrafts(deployment.callersPorts().getFirst())));
             }
-            breakThings(fleet);
+            injectFailures(deployment);
             stop.set(true);
             for (Thread caller : callers) {
                 caller.join();
             }
-            check(fleet);
+            check(deployment);
         }
     }
 
-    private void breakThings(MultiProcessDeployment fleet) throws Exception {
-        settle();
-        String leader = fleet.leader("region");
-        fleet.kill(leader);
-        settle();
-        fleet.start(leader);
-        fleet.kill("engine-sidecar-0");
-        settle();
-        fleet.start("engine-sidecar-0");
-        settle();
-        fleet.signal("engine-sidecar-1", "STOP");
-        settle();
-        settle();
-        fleet.signal("engine-sidecar-1", "CONT");
-        fleet.kill("service-sidecar");
-        settle();
-        fleet.start("service-sidecar");
-        String second = fleet.leader("region");
-        fleet.signal(second, "STOP");
-        settle();
-        fleet.signal(second, "CONT");
-        assertThat(fleet.stopGracefully("entry-1")).isZero();
-        settle();
-        fleet.start("entry-1");
-        settle();
-        settle();
+    private void injectFailures(MultiProcessDeployment deployment) throws Exception {
+        runUnderLoad();
+        String leader = deployment.leader("region");
+        deployment.kill(leader);
+        runUnderLoad();
+        deployment.start(leader);
+        deployment.kill("engine-sidecar-0");
+        runUnderLoad();
+        deployment.start("engine-sidecar-0");
+        runUnderLoad();
+        deployment.signal("engine-sidecar-1", "STOP");
+        runUnderLoad();
+        runUnderLoad();
+        deployment.signal("engine-sidecar-1", "CONT");
+        deployment.kill("service-sidecar");
+        runUnderLoad();
+        deployment.start("service-sidecar");
+        String secondLeader = deployment.leader("region");
+        deployment.signal(secondLeader, "STOP");
+        runUnderLoad();
+        deployment.signal(secondLeader, "CONT");
+        assertThat(deployment.stopGracefully("entry-1")).isZero();
+        runUnderLoad();
+        deployment.start("entry-1");
+        runUnderLoad();
+        runUnderLoad();
     }
 
-    /** Lets load run for a while; nothing is asserted about time. */
-    private static void settle() throws InterruptedException {
+    /** Lets the load continue for a while; no assertion depends on the duration. */
+    private static void runUnderLoad() throws InterruptedException {
         Thread.sleep(1_500);
     }
 
-    private void check(MultiProcessDeployment fleet) throws IOException, InterruptedException {
-        HttpRequest request = HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + fleet.servicePort() + "/runs"))
+    private void check(MultiProcessDeployment deployment) throws IOException, InterruptedException {
+        HttpRequest request = HttpRequest.newBuilder(
+                        URI.create("http://127.0.0.1:" + deployment.servicePort() + "/runs"))
                 .build();
         JsonNode runs = JSON.readTree(
                 client.send(request, HttpResponse.BodyHandlers.ofString()).body());
-        int doubled = 0;
+        int duplicated = 0;
         for (JsonNode count : runs) {
-            doubled += count.asInt() > 1 ? 1 : 0;
+            duplicated += count.asInt() > 1 ? 1 : 0;
         }
-        System.out.println(whole + " titles numbered, " + unresolved + " told they may have run, " + streams
-                + " drafts; lost " + lost + ", doubled " + doubled + ", mixed " + mixed + ", cut " + cut);
-        assertThat(whole.get()).as("titles numbered; logs in " + fleet.logs()).isPositive();
-        assertThat(streams.get()).isPositive();
-        assertThat(lost.get()).isZero();
-        assertThat(doubled).isZero();
-        assertThat(mixed.get()).isZero();
-        assertThat(cut.get()).isZero();
-        assertThat(numbers.values()).doesNotHaveDuplicates();
+        System.out.println(titlesNumbered + " titles numbered, " + titlesUnresolved + " told they may have run, "
+                + completedStreams + " drafts; lost " + titlesWithoutAnswer + ", doubled " + duplicated + ", mixed "
+                + mixedUpAnswers + ", cut " + truncatedStreams);
+        assertThat(titlesNumbered.get())
+                .as("titles numbered; logs in " + deployment.workFolder())
+                .isPositive();
+        assertThat(completedStreams.get()).isPositive();
+        assertThat(titlesWithoutAnswer.get()).isZero();
+        assertThat(duplicated).isZero();
+        assertThat(mixedUpAnswers.get()).isZero();
+        assertThat(truncatedStreams.get()).isZero();
+        assertThat(numbersByTitle.values()).doesNotHaveDuplicates();
     }
 
     private void assignNumbers(List<Integer> ports) {
         while (!stop.get()) {
-            int id = next.incrementAndGet();
-            assign("title-" + id, ports, id);
+            int id = nextId.incrementAndGet();
+            assignNumber("title-" + id, ports, id);
         }
     }
 
-    /** Sends one title until it has a number, or is told that its outcome is unknown. */
-    private void assign(String title, List<Integer> ports, int first) {
-        for (int attempt = 0; attempt < MOST_TRIES; attempt++) {
+    /** Sends one title until it has a number, or until the answer states that its outcome is unknown. */
+    private void assignNumber(String title, List<Integer> ports, int firstPort) {
+        for (int attempt = 0; attempt < MAX_ATTEMPTS; attempt++) {
             try {
-                int port = ports.get((first + attempt) % ports.size());
+                int port = ports.get((firstPort + attempt) % ports.size());
                 HttpResponse<String> answer =
                         client.send(numberRequest(port, title), HttpResponse.BodyHandlers.ofString());
                 JsonNode body = JSON.readTree(answer.body());
                 if (answer.statusCode() == 200) {
-                    whole.incrementAndGet();
-                    mixed.addAndGet(body.path("title").asText().equals(title) ? 0 : 1);
-                    numbers.put(title, body.path("number").asLong());
+                    titlesNumbered.incrementAndGet();
+                    mixedUpAnswers.addAndGet(body.path("title").asText().equals(title) ? 0 : 1);
+                    numbersByTitle.put(title, body.path("number").asLong());
                     return;
                 }
                 if (body.path("title").asText().equals("key unresolved")) {
-                    unresolved.incrementAndGet();
+                    titlesUnresolved.incrementAndGet();
                     return;
                 }
                 Thread.sleep(200);
             } catch (IOException brokenConnection) {
-                // The caller does not know; it sends the same again.
+                // The outcome is unknown to the caller, which sends the request again with the same key.
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
                 return;
             }
         }
-        lost.incrementAndGet();
+        titlesWithoutAnswer.incrementAndGet();
     }
 
     private static HttpRequest numberRequest(int port, String title) {
@@ -164,11 +169,11 @@
 
     private void streamDrafts(int port) {
         while (!stop.get()) {
-            String prompt = "draft " + next.incrementAndGet();
+            String prompt = "draft " + nextId.incrementAndGet();
             try {
-                stream(port, prompt);
+                streamDraft(port, prompt);
             } catch (IOException e) {
-                cut.incrementAndGet();
+                truncatedStreams.incrementAndGet();
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
                 return;
@@ -176,8 +181,8 @@
         }
     }
 
-    private void stream(int port, String prompt) throws IOException, InterruptedException {
-        String body = "{\"model\":\"cataloguer\",\"prompt\":\"" + prompt + "\",\"max_tokens\":" + TOKENS
+    private void streamDraft(int port, String prompt) throws IOException, InterruptedException {
+        String body = "{\"model\":\"cataloguer\",\"prompt\":\"" + prompt + "\",\"max_tokens\":" + TOKENS_PER_DRAFT
                 + ",\"stream\":true}";
         HttpRequest request = HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + port + "/v1/completions"))
                 .timeout(Duration.ofSeconds(90))
@@ -185,20 +190,20 @@
                 .build();
         HttpResponse<String> answer = client.send(request, HttpResponse.BodyHandlers.ofString());
         if (answer.statusCode() != 200) {
-            // Refused before it ran: neither lost nor cut.
+            // Refused before it ran, so the draft is neither lost nor truncated.
             Thread.sleep(100);
             return;
         }
         StringBuilder text = new StringBuilder();
-        answer.body().lines().filter(line -> line.startsWith("data: {")).forEach(line -> text.append(token(line)));
-        boolean isWhole = answer.body().endsWith("data: [DONE]\n\n");
-        boolean isOwn = text.toString().equals(String.join("", StandInText.answer(prompt, TOKENS)));
-        cut.addAndGet(isWhole ? 0 : 1);
-        mixed.addAndGet(isWhole && !isOwn ? 1 : 0);
-        streams.incrementAndGet();
+        answer.body().lines().filter(line -> line.startsWith("data: {")).forEach(line -> text.append(parseToken(line)));
+        boolean isComplete = answer.body().endsWith("data: [DONE]\n\n");
+        boolean isExpectedText = text.toString().equals(String.join("", StandInText.answer(prompt, TOKENS_PER_DRAFT)));
+        truncatedStreams.addAndGet(isComplete ? 0 : 1);
+        mixedUpAnswers.addAndGet(isComplete && !isExpectedText ? 1 : 0);
+        completedStreams.incrementAndGet();
     }
 
-    private static String token(String line) {
+    private static String parseToken(String line) {
         try {
             return JSON.readTree(line.substring("data: ".length()))
                     .path("choices")
--- a/src/test/java/org/cuminshelf/tools/StandaloneTest.java
+++ b/src/test/java/org/cuminshelf/tools/StandaloneTest.java
@@ -16,7 +16,7 @@
 import org.cuminshelf.standin.EngineSpeed;
 import org.cuminshelf.standin.StandInText;
 
-/** The whole path in one process: caller, entry, sidecar, upstream and back, with a control process beside it. */
+/** Requests that pass through entry, sidecar and stand-in upstream in one process, with a control process. */
 class StandaloneTest {
 
     private static final HttpClient CLIENT = HttpClient.newHttpClient();
@@ -50,7 +50,7 @@
     }
 
     @Example
-    void aWholeChatCompletionCountsItsTokens() throws Exception {
+    void aChatCompletionWithoutStreamingReportsItsTokenCount() throws Exception {
         HttpResponse<String> answer = post(
                 "/v1/chat/completions",
                 "{\"model\":\"cataloguer\",\"max_tokens\":12,\"messages\":[{\"role\":\"user\",\"content\":\"hi\"}]}");
@@ -61,11 +61,11 @@
     }
 
     /*
-     * A caller loses its answer and sends its request again with the same key. It must get the number it was given
-     * the first time, and the registry must have given one number only.
+     * Guards against a second run when a caller did not receive its answer and sends its request again with the same
+     * key. The caller must get the first answer again, and the registry must have run the request once.
      */
     @Example
-    void aResendWithTheSameKeyGetsTheSameAnswerAndRunsOnce() throws Exception {
+    void aRetryWithTheSameKeyGetsTheSameAnswerAndRunsOnce() throws Exception {
         String first = postWithKey("A book", "key-1").body();
         String second = postWithKey("A book", "key-1").body();
         assertThat(second).isEqualTo(first);
@@ -73,7 +73,7 @@
     }
 
     @Example
-    void aKeyUsedWithAnotherBodyIsAConflictThatDidNotRun() throws Exception {
+    void aKeyReusedWithAnotherBodyIsAConflictThatDidNotRun() throws Exception {
         postWithKey("One title", "key-2");
         HttpResponse<String> answer = postWithKey("Another title", "key-2");
         assertThat(answer.statusCode()).isEqualTo(422);
@@ -82,7 +82,7 @@
     }
 
     @Example
-    void anUnknownModelIsToldApartFromAnUnknownService() throws Exception {
+    void anUnknownModelAndAnUnknownServiceGetDifferentErrors() throws Exception {
         assertThat(post("/v1/completions", "{\"model\":\"nobody\",\"prompt\":\"x\"}")
                         .body())
                 .contains("unknown model");
@@ -104,7 +104,7 @@
     }
 
     @Example
-    void aPriorityOutOfRangeIsRefusedWithTheRange() throws Exception {
+    void aPriorityOutOfRangeIsRefusedWithTheValidRange() throws Exception {
         HttpRequest request = HttpRequest.newBuilder(uri("/services/registry/numbers"))
                 .header(CallerApiHandler.PRIORITY_HEADER, "12")
                 .POST(HttpRequest.BodyPublishers.ofString("x"))
@@ -115,15 +115,15 @@
     }
 
     /*
-     * A publisher's connection breaks in the middle of its request. The half that came must not run, and others must be
-     * served meanwhile. Cause: a request whose length was promised and not kept.
+     * Guards against running an incomplete request. The connection of a caller breaks before the body has the length
+     * that Content-Length states; the received part must not run, and other callers must be served.
      */
     @Example
-    void aHalfSentRequestRunsNothing() throws Exception {
+    void anIncompleteRequestDoesNotRun() throws Exception {
         try (java.net.Socket socket = new java.net.Socket("127.0.0.1", system.callersPort())) {
-            String half =
+            String incompleteRequest =
                     "POST /services/registry/numbers HTTP/1.1\r\nHost: x\r\nContent-Length: 100\r\n\r\nHalf a title";
-            socket.getOutputStream().write(half.getBytes(java.nio.charset.StandardCharsets.US_ASCII));
+            socket.getOutputStream().write(incompleteRequest.getBytes(java.nio.charset.StandardCharsets.US_ASCII));
             socket.getOutputStream().flush();
         }
         postWithKey("A whole title", "key-3");
@@ -131,7 +131,7 @@
     }
 
     @Example
-    void operatorsNeedAKeyAndTheCommandsUseIt() throws Exception {
+    void operatorCommandsNeedAValidKey() throws Exception {
         String admin = "http://127.0.0.1:" + system.adminPort();
         assertThat(Main.run("status", "--admin", admin, "--key", "wrong")).isEqualTo(ExitCode.FAILURE);
         assertThat(Main.run("status", "--admin", admin, "--key", "key")).isEqualTo(ExitCode.SUCCESS);
@@ -140,10 +140,11 @@
         assertThat(Main.run("status", "--admin", "http://127.0.0.1:1")).isEqualTo(ExitCode.UNAVAILABLE);
         assertThat(Main.run("quarantine", "list", "--admin", admin, "--key", "key"))
                 .isEqualTo(ExitCode.SUCCESS);
-        String nobody = "0".repeat(32);
-        assertThat(Main.run("quarantine", "release", nobody, "--reason", "x", "--admin", admin, "--key", "key"))
+        String unknownFingerprint = "0".repeat(32);
+        assertThat(Main.run(
+                        "quarantine", "release", unknownFingerprint, "--reason", "x", "--admin", admin, "--key", "key"))
                 .isEqualTo(ExitCode.FAILURE);
-        assertThat(Main.run("quarantine", "release", nobody, "--admin", admin, "--key", "key"))
+        assertThat(Main.run("quarantine", "release", unknownFingerprint, "--admin", admin, "--key", "key"))
                 .isEqualTo(ExitCode.USAGE);
         assertThat(Main.run("quarantine", "release", "--reason", "x", "--admin", admin, "--key", "key"))
                 .isEqualTo(ExitCode.USAGE);
@@ -152,11 +153,11 @@
     }
 
     /*
-     * A caller is told that the upstream is broken where it only refused the caller's password. Cause: the HTTP client
-     * beside the upstream acted on the answer, a status 401 without a challenge, in place of passing it on.
+     * Guards against reporting a broken upstream when the service only rejected the caller's credentials. This
+     * happens if the HTTP client of the upstream handles a status 401 without a challenge itself.
      */
     @Example
-    void anAnswerOfAPlainServiceIsPassedOnAsItIs() throws Exception {
+    void aResponseOfAPlainServiceIsForwardedUnchanged() throws Exception {
         HttpRequest request =
                 HttpRequest.newBuilder(uri("/services/registry/closed")).build();
         HttpResponse<String> answer = CLIENT.send(request, HttpResponse.BodyHandlers.ofString());
@@ -165,7 +166,7 @@
     }
 
     @Example
-    void aWrongFlagIsToldByItsName() {
+    void anInvalidFlagValueOrUnknownCommandIsAUsageError() {
         assertThat(Main.run("standalone", "--engines", "none")).isEqualTo(ExitCode.USAGE);
         assertThat(Main.run("no-such-command")).isEqualTo(ExitCode.USAGE);
     }
