--- a/src/main/java/org/cuminshelf/tools/AdminClient.java
+++ b/src/main/java/org/cuminshelf/tools/AdminClient.java
@@ -142,7 +142,7 @@
                         .append(';');
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
-                throw new IOException("interrupted while waiting for the administration interface", e);
+                throw new IOException("interrupted", e);
             }
         }
         throw new IOException("no administration interface answered:" + failures);
--- a/src/main/java/org/cuminshelf/upstream/EngineUpstream.java
+++ b/src/main/java/org/cuminshelf/upstream/EngineUpstream.java
@@ -65,7 +65,7 @@
      * Creates a client for an engine and starts to poll the engine's state.
      *
      * @param baseUri         base URI of the engine, such as {@code http://127.0.0.1:8081}
-     * @param slots           maximum number of concurrent streams
+     * @param slots           maximum number of concurrent streams; up to 4 further connections serve state and orders
      * @param messageListener receives the parts and ends of attempts, the state and the results of orders
      * @return the upstream
      * @throws IOException if the HTTP client can't be started
@@ -168,7 +168,7 @@
     private void cancel(long attempt) {
         Request request = requestsByAttempt.remove(attempt);
         if (request != null) {
-            request.abort(new IOException("the attempt was cancelled"));
+            request.abort(new IOException("cancelled"));
         }
     }
 
--- a/src/main/java/org/cuminshelf/upstream/ServiceUpstream.java
+++ b/src/main/java/org/cuminshelf/upstream/ServiceUpstream.java
@@ -53,7 +53,7 @@
      *
      * @param baseUri         base URI of the service, such as {@code http://127.0.0.1:8081}
      * @param healthPath      path that returns a status below 500 while the service is healthy
-     * @param slots           maximum number of concurrent exchanges
+     * @param slots           maximum number of concurrent exchanges; health checks may use up to 4 further connections
      * @param messageListener receives the responses of attempts and the state of the service
      * @return the upstream
      * @throws IOException if the HTTP client can't be started
