--- a/src/main/java/org/cuminshelf/replica/ClusterFormation.java
+++ b/src/main/java/org/cuminshelf/replica/ClusterFormation.java
@@ -16,22 +16,24 @@
 import org.cuminshelf.message.ReplicaHeader;
 
 /**
- * How a group comes to be, and how a replica without one finds it.
+ * Forms the cluster of a new group, or finds the existing cluster for a replica that belongs to none.
  *
- * <p>Failure it guards against: a replica whose disk was lost makes a second, empty cluster under the same settings.
- * Only the first of the peers forms a cluster, and only when every other said that it belongs to none; otherwise it
- * asks to join the one that is there.
+ * <p>Guards against a replica that lost its disk and forms a second, empty cluster under the same settings. Only the
+ * configured peer with the lowest address forms a cluster, and only after every other peer has answered that it belongs
+ * to none; otherwise the replica asks to join the existing cluster.
  */
 final class ClusterFormation {
 
     private final ReplicaSettings settings;
+    /** Answers received since the last query, by sender. */
     private final Map<Address, FormationAnswer> answers = new HashMap<>();
 
     ClusterFormation(ReplicaSettings settings) {
         this.settings = settings;
     }
 
-    void answer(Address to, long identity, long cluster, Outbox out) {
+    /** Answers a formation query with this replica's identity and cluster. */
+    void sendAnswer(Address to, long identity, long cluster, Outbox out) {
         FormationAnswer answer = FormationAnswer.newBuilder()
                 .setGroup(settings.group())
                 .setIdentity(identity)
@@ -40,51 +42,56 @@
         out.send(to, Envelope.newBuilder().setFormationAnswer(answer));
     }
 
-    /** Notes a peer's answer. Returns whether this replica may now form the cluster. */
+    /** Records a peer's answer. Returns whether this replica may now form the cluster. */
     boolean onAnswer(Address from, FormationAnswer answer) {
-        boolean asked = settings.peers().contains(from);
-        if (!asked && !settings.membership().isOpen()) {
+        boolean isConfiguredPeer = settings.peers().contains(from);
+        if (!isConfiguredPeer && !settings.membershipPolicy().isOpen()) {
             return false;
         }
         answers.put(from, answer);
-        if (!asked || !settings.membership().mayForm()) {
+        if (!isConfiguredPeer || !settings.membershipPolicy().mayForm()) {
             return false;
         }
-        boolean first = settings.peers().stream()
+        boolean isLowestAddress = settings.peers().stream()
                 .min(Address::compareTo)
                 .filter(settings.self()::equals)
                 .isPresent();
-        return first
-                && answers.keySet().containsAll(others())
+        return isLowestAddress
+                && answers.keySet().containsAll(otherPeers())
                 && answers.values().stream().allMatch(peer -> peer.getCluster() == 0);
     }
 
-    Membership firstMembership(long identity) {
+    /** The membership of a new cluster: this replica and all peers, with the identities from their answers. */
+    Membership initialMembership(long identity) {
         Membership.Builder membership = Membership.newBuilder().addVoters(Memberships.voter(settings.self(), identity));
-        others().forEach(peer ->
-                membership.addVoters(Memberships.voter(peer, answers.get(peer).getIdentity())));
+        otherPeers()
+                .forEach(peer -> membership.addVoters(
+                        Memberships.voter(peer, answers.get(peer).getIdentity())));
         return membership.build();
     }
 
-    private List<Address> others() {
+    private List<Address> otherPeers() {
         return settings.peers().stream()
                 .filter(peer -> !peer.equals(settings.self()))
                 .toList();
     }
 
     /**
-     * Asks every peer for its cluster, and to be taken in where one is known to be there.
+     * Sends a formation query to every peer, and a join request too where a cluster is known to exist.
      *
-     * @param members addresses of members that this replica's own log names
+     * @param header   the header of the join request
+     * @param hasNoVote whether this replica belongs to a cluster in which it has no vote
+     * @param members  the addresses of the members in this replica's own log
+     * @param out      receives the messages
      */
-    void ask(ReplicaHeader header, boolean outsider, Collection<Address> members, Outbox out) {
-        boolean known = answers.values().stream().anyMatch(answer -> answer.getCluster() != 0);
+    void queryPeers(ReplicaHeader header, boolean hasNoVote, Collection<Address> members, Outbox out) {
+        boolean clusterExists = answers.values().stream().anyMatch(answer -> answer.getCluster() != 0);
         answers.clear();
-        Set<Address> asked = new TreeSet<>(others());
-        asked.addAll(members);
-        asked.remove(settings.self());
-        for (Address peer : asked) {
-            if (known || outsider) {
+        Set<Address> recipients = new TreeSet<>(otherPeers());
+        recipients.addAll(members);
+        recipients.remove(settings.self());
+        for (Address peer : recipients) {
+            if (clusterExists || hasNoVote) {
                 JoinRequest join = JoinRequest.newBuilder()
                         .setHeader(header)
                         .setAddress(settings.self().value())
--- a/src/main/java/org/cuminshelf/replica/DurabilityTracker.java
+++ b/src/main/java/org/cuminshelf/replica/DurabilityTracker.java
@@ -11,94 +11,102 @@
 import org.cuminshelf.message.Persist;
 
 /**
- * Holds back what depends on the disk. Failure it guards against: a replica promises a vote or an entry, loses power
- * before its disk holds it, and comes back not knowing the promise; a message that carries a promise leaves only after
- * the records before it are synced.
+ * Collects the records to persist, and delays messages until the records that they depend on are synced. Guards against
+ * a replica that grants a vote or acknowledges an entry, loses power before that is on its disk, and restarts without
+ * it.
  */
 final class DurabilityTracker {
 
-    private record Held(long sequence, Address to, Envelope.Builder message) {}
+    /** A message that is sent once the write with the given sequence number is synced. */
+    private record DelayedMessage(long sequence, Address to, Envelope.Builder message) {}
 
-    private static final class Mark {
+    /** A write in progress, and the last log index and the commit index that are durable once it is synced. */
+    private static final class PendingWrite {
         private final long sequence;
-        private final long commit;
+        private final long commitIndex;
         private long lastIndex;
 
-        private Mark(long sequence, long lastIndex, long commit) {
+        private PendingWrite(long sequence, long lastIndex, long commitIndex) {
             this.sequence = sequence;
-            this.commit = commit;
+            this.commitIndex = commitIndex;
             this.lastIndex = lastIndex;
         }
     }
 
     private final String group;
-    private final List<LogRecord> unsaved = new ArrayList<>();
-    private final List<Held> waiting = new ArrayList<>();
-    private final Deque<Held> held = new ArrayDeque<>();
-    private final Deque<Mark> marks = new ArrayDeque<>();
+    /** Records not yet handed to the storage. */
+    private final List<LogRecord> unsavedRecords = new ArrayList<>();
+    /** Messages of the current tick, which depend on {@link #unsavedRecords} and on the writes in progress. */
+    private final List<DelayedMessage> newMessages = new ArrayList<>();
+    /** Messages that wait for a write in progress. */
+    private final Deque<DelayedMessage> delayedMessages = new ArrayDeque<>();
+    /** Writes handed to the storage and not yet synced. */
+    private final Deque<PendingWrite> pendingWrites = new ArrayDeque<>();
+
     private long sequence;
     private long durableIndex;
-    private long durableCommit;
+    private long durableCommitIndex;
 
-    DurabilityTracker(String group, long durableIndex, long durableCommit) {
+    DurabilityTracker(String group, long durableIndex, long durableCommitIndex) {
         this.group = group;
         this.durableIndex = durableIndex;
-        this.durableCommit = durableCommit;
+        this.durableCommitIndex = durableCommitIndex;
     }
 
-    void save(LogRecord.Builder record) {
-        unsaved.add(record.build());
+    /** Adds a record to the next write. */
+    void addRecord(LogRecord.Builder record) {
+        unsavedRecords.add(record.build());
     }
 
-    /** Entries from here on are being replaced: what was synced of them no longer counts. */
-    void cutFrom(long index) {
+    /** Entries from the given index on are being replaced and no longer count as durable. */
+    void discardFrom(long index) {
         durableIndex = Math.min(durableIndex, index - 1);
-        marks.forEach(mark -> mark.lastIndex = Math.min(mark.lastIndex, index - 1));
+        pendingWrites.forEach(write -> write.lastIndex = Math.min(write.lastIndex, index - 1));
     }
 
-    /** Sends once everything saved up to now is synced. */
+    /** Sends a message once all records saved so far are synced. */
     void sendWhenDurable(Address to, Envelope.Builder message) {
-        waiting.add(new Held(0, to, message));
+        newMessages.add(new DelayedMessage(0, to, message));
     }
 
-    /** Hands the records of this tick to the disk in one piece; the newest of them names the commit given. */
-    void flush(long lastIndex, long commit, Outbox out) {
-        if (!unsaved.isEmpty()) {
+    /** Hands the records of this tick to the storage in one write, after which the given indexes are durable. */
+    void flush(long lastIndex, long commitIndex, Outbox out) {
+        if (!unsavedRecords.isEmpty()) {
             sequence++;
-            marks.add(new Mark(sequence, lastIndex, commit));
+            pendingWrites.add(new PendingWrite(sequence, lastIndex, commitIndex));
             Persist persist = Persist.newBuilder()
                     .setGroup(group)
                     .setSequence(sequence)
-                    .addAllRecords(unsaved)
+                    .addAllRecords(unsavedRecords)
                     .build();
-            unsaved.clear();
+            unsavedRecords.clear();
             out.send(Address.STORAGE, Envelope.newBuilder().setPersist(persist));
         }
-        for (Held message : waiting) {
-            if (marks.isEmpty()) {
+        for (DelayedMessage message : newMessages) {
+            if (pendingWrites.isEmpty()) {
                 out.send(message.to, message.message);
             } else {
-                held.add(new Held(sequence, message.to, message.message));
+                delayedMessages.add(new DelayedMessage(sequence, message.to, message.message));
             }
         }
-        waiting.clear();
+        newMessages.clear();
     }
 
-    /** Everything up to a sequence is synced. */
-    void onPersisted(long upTo, Outbox out) {
-        while (!marks.isEmpty() && marks.peek().sequence <= upTo) {
-            Mark mark = marks.poll();
-            durableIndex = Math.max(durableIndex, mark.lastIndex);
-            durableCommit = Math.max(durableCommit, mark.commit);
+    /** All writes up to the given sequence number are synced: sends the messages that waited for them. */
+    void onPersisted(long syncedSequence, Outbox out) {
+        while (!pendingWrites.isEmpty() && pendingWrites.peek().sequence <= syncedSequence) {
+            PendingWrite write = pendingWrites.poll();
+            durableIndex = Math.max(durableIndex, write.lastIndex);
+            durableCommitIndex = Math.max(durableCommitIndex, write.commitIndex);
         }
-        while (!held.isEmpty() && held.peek().sequence <= upTo) {
-            Held message = held.poll();
+        while (!delayedMessages.isEmpty() && delayedMessages.peek().sequence <= syncedSequence) {
+            DelayedMessage message = delayedMessages.poll();
             out.send(message.to, message.message);
         }
     }
 
-    long durableCommit() {
-        return durableCommit;
+    long durableCommitIndex() {
+        return durableCommitIndex;
     }
 
     long durableIndex() {
--- a/src/main/java/org/cuminshelf/replica/DurableState.java
+++ b/src/main/java/org/cuminshelf/replica/DurableState.java
@@ -7,9 +7,9 @@
 import org.cuminshelf.message.Snapshot;
 
 /**
- * What a replica finds on its disk at the start.
+ * The persistent state of a replica, read from its disk at the start.
  *
- * @param hardState cluster, identity, term and vote
+ * @param hardState the cluster, identity, term, vote and commit index
  * @param snapshot  the newest snapshot
  * @param entries   the entries after it
  */
@@ -18,7 +18,7 @@
     /**
      * The state of a replica with a new, empty disk.
      *
-     * @param identity the identity made for this disk, never used before
+     * @param identity the identity generated for this disk, never used before
      * @return the state
      */
     public static DurableState fresh(long identity) {
--- a/src/main/java/org/cuminshelf/replica/MembershipMaintenance.java
+++ b/src/main/java/org/cuminshelf/replica/MembershipMaintenance.java
@@ -6,46 +6,52 @@
 import org.cuminshelf.message.Voter;
 
 /**
- * How a settled leader mends the membership of its group, one step at a time: a learner that caught up first takes the
- * old identity's place away, then votes.
+ * Chooses the membership changes that a leader makes by itself, one at a time: removes unreachable members, and
+ * promotes a learner that has caught up after the removal of the identity that it replaces.
  *
- * <p>Failure it guards against: a VM is gone for good, another takes its place, and then one more is lost. The group
- * must by then count three living replicas and not four with a dead one, of which a single loss more leaves no quorum.
- * So where membership is open, a voter that is silent leaves before a learner votes, and leaves a group of even size by
- * itself: that costs no tolerance, as a group of four bears one loss like a group of three.
+ * <p>Guards against the loss of a quorum when a VM is lost for good, a new one replaces it, and a second VM is lost.
+ * With three live voters the group tolerates that second loss; with four voters of which one is dead it doesn't. Where
+ * membership is open, an unreachable voter is therefore removed before a learner is promoted, and is removed from a
+ * group of even size even without a replacement: that costs no fault tolerance, as both four and three voters tolerate
+ * one loss.
  */
 final class MembershipMaintenance {
 
-    /** Silence after which a voter gives way to a learner that caught up; longer than an election takes. */
-    private static final long SILENT_REPLACED = Durations.nanos(1_300);
-    /** Silence after which a voter leaves a group of even size; longer than a process takes to restart. */
-    private static final long SILENT_REMOVED = Durations.nanos(3_000);
-    /** Silence after which a learner is forgotten; it asks again when it is back. */
-    private static final long SILENT_LEARNER = Durations.nanos(6_000);
-    /** A learner that was heard within this time is there to vote; as long as a follower waits for its leader. */
-    private static final long HEARD_WITHIN = Durations.nanos(600);
+    /** Time without an answer after which a learner that has caught up replaces a voter; longer than an election. */
+    private static final long VOTER_REPLACED_AFTER_NANOS = Durations.nanos(1_300);
+    /**
+     * Time without an answer after which a voter is removed from a group of even size; longer than a process restart.
+     */
+    private static final long VOTER_REMOVED_AFTER_NANOS = Durations.nanos(3_000);
+    /** Time without an answer after which a learner is removed; it asks to join again when it is back. */
+    private static final long LEARNER_REMOVED_AFTER_NANOS = Durations.nanos(6_000);
+    /** A learner is promoted only if it answered within this time, the shortest election timeout of a follower. */
+    private static final long MAX_LEARNER_ANSWER_AGE_NANOS = Durations.nanos(600);
 
     private MembershipMaintenance() {}
 
-    /** The next step, if one is due. */
+    /** The next membership to propose, if a change is due. */
     static Optional<Membership> next(
-            long now, Membership membership, PeerTable peers, long commit, MembershipPolicy policy) {
+            long now, Membership membership, PeerTable peers, long commitIndex, MembershipPolicy policy) {
         Optional<Membership> without =
-                policy.isOpen() ? withoutSilent(now, membership, peers, commit) : Optional.empty();
-        return without.isPresent() ? without : withLearnerPromoted(now, membership, peers, commit);
+                policy.isOpen() ? withoutUnreachable(now, membership, peers, commitIndex) : Optional.empty();
+        return without.isPresent() ? without : withLearnerPromoted(now, membership, peers, commitIndex);
     }
 
-    private static Optional<Membership> withoutSilent(long now, Membership membership, PeerTable peers, long commit) {
-        boolean learnerReady = peers.all().stream().anyMatch(peer -> peer.learner && isCaughtUp(now, peer, commit));
-        long voters = membership.getVotersList().stream()
+    private static Optional<Membership> withoutUnreachable(
+            long now, Membership membership, PeerTable peers, long commitIndex) {
+        boolean hasReadyLearner =
+                peers.all().stream().anyMatch(peer -> peer.learner && isCaughtUp(now, peer, commitIndex));
+        long voterCount = membership.getVotersList().stream()
                 .filter(voter -> !voter.getLearner())
                 .count();
-        boolean even = voters % 2 == 0;
+        boolean isEven = voterCount % 2 == 0;
         for (Peer peer : peers.all()) {
-            long silent = now - peer.heardAt;
-            boolean replaceable = learnerReady && silent > SILENT_REPLACED || even && silent > SILENT_REMOVED;
-            boolean leaves = peer.learner ? silent > SILENT_LEARNER : replaceable;
-            if (leaves) {
+            long sinceLastAnswer = now - peer.lastAnswerAt;
+            boolean replaceable = hasReadyLearner && sinceLastAnswer > VOTER_REPLACED_AFTER_NANOS
+                    || isEven && sinceLastAnswer > VOTER_REMOVED_AFTER_NANOS;
+            boolean isRemoved = peer.learner ? sinceLastAnswer > LEARNER_REMOVED_AFTER_NANOS : replaceable;
+            if (isRemoved) {
                 return Optional.of(Memberships.without(membership, peer.identity));
             }
         }
@@ -53,19 +59,21 @@
     }
 
     private static Optional<Membership> withLearnerPromoted(
-            long now, Membership membership, PeerTable peers, long commit) {
+            long now, Membership membership, PeerTable peers, long commitIndex) {
         for (Voter learner : membership.getVotersList()) {
-            boolean ready = peers.peer(learner.getIdentity())
-                    .filter(known -> isCaughtUp(now, known, commit))
+            boolean isReady = peers.peer(learner.getIdentity())
+                    .filter(known -> isCaughtUp(now, known, commitIndex))
                     .isPresent();
-            if (learner.getLearner() && ready) {
-                return Optional.of(Memberships.promoted(membership, learner));
+            if (learner.getLearner() && isReady) {
+                return Optional.of(Memberships.withLearnerPromoted(membership, learner));
             }
         }
         return Optional.empty();
     }
 
-    private static boolean isCaughtUp(long now, Peer peer, long commit) {
-        return peer.match >= commit && peer.match > 0 && now - peer.heardAt < HEARD_WITHIN;
+    private static boolean isCaughtUp(long now, Peer peer, long commitIndex) {
+        return peer.matchIndex >= commitIndex
+                && peer.matchIndex > 0
+                && now - peer.lastAnswerAt < MAX_LEARNER_ANSWER_AGE_NANOS;
     }
 }
--- a/src/main/java/org/cuminshelf/replica/Memberships.java
+++ b/src/main/java/org/cuminshelf/replica/Memberships.java
@@ -6,7 +6,7 @@
 import org.cuminshelf.message.Membership;
 import org.cuminshelf.message.Voter;
 
-/** Questions about a membership, and the steps that change it one at a time. */
+/** Queries on a {@link Membership}, and the changes of it, each of which adds, removes or promotes one member. */
 final class Memberships {
 
     private Memberships() {}
@@ -18,6 +18,7 @@
                 .build();
     }
 
+    /** Whether the identity is a voter or a learner. */
     static boolean isMember(Membership membership, long identity) {
         return membership.getVotersList().stream().anyMatch(voter -> voter.getIdentity() == identity);
     }
@@ -33,6 +34,7 @@
                 .toList();
     }
 
+    /** The number of voters that make a majority. */
     static int quorum(Membership membership) {
         long voters = membership.getVotersList().stream()
                 .filter(voter -> !voter.getLearner())
@@ -55,21 +57,22 @@
     }
 
     /**
-     * The next step for a learner that caught up: first the identity whose disk was lost goes, so that no two
-     * identities of one address count, then the learner votes.
+     * The next change for a learner that has caught up. If a member with another identity has the same address (its
+     * disk was lost), that member is removed first, so that no two identities of one address count in a quorum; the
+     * next call makes the learner a voter.
      */
-    static Membership promoted(Membership membership, Voter learner) {
-        Optional<Voter> old = membership.getVotersList().stream()
+    static Membership withLearnerPromoted(Membership membership, Voter learner) {
+        Optional<Voter> replaced = membership.getVotersList().stream()
                 .filter(voter -> voter.getAddress().equals(learner.getAddress()))
                 .filter(voter -> voter.getIdentity() != learner.getIdentity())
                 .findFirst();
         Membership.Builder next = Membership.newBuilder();
         for (Voter voter : membership.getVotersList()) {
-            if (old.isPresent() && voter.equals(old.get())) {
+            if (replaced.isPresent() && voter.equals(replaced.get())) {
                 continue;
             }
-            boolean promoted = old.isEmpty() && voter.equals(learner);
-            next.addVoters(promoted ? voter.toBuilder().setLearner(false).build() : voter);
+            boolean isPromoted = replaced.isEmpty() && voter.equals(learner);
+            next.addVoters(isPromoted ? voter.toBuilder().setLearner(false).build() : voter);
         }
         return next.build();
     }
--- a/src/main/java/org/cuminshelf/replica/Peer.java
+++ b/src/main/java/org/cuminshelf/replica/Peer.java
@@ -3,29 +3,32 @@
 import org.cuminshelf.core.Address;
 import org.cuminshelf.message.Voter;
 
-/** What a leader knows of another replica. */
+/** A leader's view of another replica. Times are in nanoseconds of the leader's monotonic clock. */
 final class Peer {
 
     final long identity;
     final Address address;
     boolean learner;
-    /** Next index to send. */
-    long next;
-    /** Last index known to be durable there. */
-    long match;
+    /** The next log index to send. */
+    long nextIndex;
+    /** The highest log index known to be durable on the peer. */
+    long matchIndex;
 
-    long ackedRound;
-    /** When the newest round that was acknowledged was sent. */
-    long ackedRoundSentAt = Long.MIN_VALUE;
+    /** The newest heartbeat round that the peer has acknowledged. */
+    long acknowledgedRound;
+    /** Send time of {@link #acknowledgedRound}. */
+    long acknowledgedRoundSentAt = Long.MIN_VALUE;
 
+    /** When entries or a snapshot were last sent. */
     long sentAt;
-    long heardAt;
+    /** When the peer last answered; the time of its addition before its first answer. */
+    long lastAnswerAt;
 
-    Peer(Voter voter, long next, long now) {
+    Peer(Voter voter, long nextIndex, long now) {
         this.identity = voter.getIdentity();
         this.address = Address.of(voter.getAddress());
         this.learner = voter.getLearner();
-        this.next = next;
-        this.heardAt = now;
+        this.nextIndex = nextIndex;
+        this.lastAnswerAt = now;
     }
 }
--- a/src/main/java/org/cuminshelf/replica/PeerTable.java
+++ b/src/main/java/org/cuminshelf/replica/PeerTable.java
@@ -13,19 +13,27 @@
 import org.cuminshelf.message.Membership;
 import org.cuminshelf.message.Voter;
 
-/** What a leader knows of the other replicas, and what a quorum of them has reached. */
+/**
+ * A leader's view of the other replicas: replication progress of each, and the round, time and index that a quorum has
+ * acknowledged. Times are in nanoseconds of the local monotonic clock.
+ */
 final class PeerTable {
 
-    private static final int ROUNDS_REMEMBERED = 64;
-    private static final long NEVER_HEARD = Long.MIN_VALUE / 2;
+    private static final int MAX_REMEMBERED_ROUNDS = 64;
+    private static final long NEVER_ACKNOWLEDGED_NANOS = Long.MIN_VALUE / 2;
 
+    /** The identity of this replica. */
     private final long self;
+
     private final Map<Long, Peer> peers = new TreeMap<>();
-    private final TreeMap<Long, Long> rounds = new TreeMap<>();
+    /** Send time of each recent heartbeat round, by its number. */
+    private final TreeMap<Long, Long> roundSentAt = new TreeMap<>();
+
     private Membership membership = Membership.getDefaultInstance();
+    /** The number of the newest heartbeat round. */
     private long round;
-    /** Answers to what was sent before this time don't count for the lease. */
-    private long leaseNotBefore = NEVER_HEARD;
+    /** The lease is invalid until a quorum acknowledges a round that was sent at or after this time. */
+    private long leaseValidFrom = NEVER_ACKNOWLEDGED_NANOS;
 
     PeerTable(long self) {
         this.self = self;
@@ -39,14 +47,17 @@
         return Optional.ofNullable(peers.get(identity));
     }
 
-    /** Starts over, as a new leader does. The rounds go on counting: an old answer must not pass for a new one. */
+    /**
+     * Resets the table for a new leadership. The round number isn't reset, so that a late answer to an earlier
+     * leadership isn't taken for an answer to this one.
+     */
     void clear() {
         peers.clear();
-        rounds.clear();
+        roundSentAt.clear();
     }
 
-    /** Follows a change of membership. */
-    void sync(Membership changed, long lastIndex, long now) {
+    /** Adds and removes peers according to a changed membership; a new peer is first sent the entry after the last. */
+    void updateMembership(Membership changed, long lastIndex, long now) {
         membership = changed;
         Set<Long> members = new HashSet<>();
         for (Voter voter : changed.getVotersList()) {
@@ -65,53 +76,55 @@
 
     void startRound(long now) {
         round++;
-        rounds.put(round, now);
-        if (rounds.size() > ROUNDS_REMEMBERED) {
-            rounds.pollFirstEntry();
+        roundSentAt.put(round, now);
+        if (roundSentAt.size() > MAX_REMEMBERED_ROUNDS) {
+            roundSentAt.pollFirstEntry();
         }
     }
 
-    void answered(Peer peer, long answeredRound, long now) {
-        peer.heardAt = now;
-        Long sentAt = rounds.get(answeredRound);
-        if (sentAt != null && answeredRound > peer.ackedRound) {
-            peer.ackedRound = answeredRound;
-            peer.ackedRoundSentAt = sentAt;
+    /** Records an answer of a peer, and the round that it acknowledges. */
+    void recordAnswer(Peer peer, long acknowledgedRound, long now) {
+        peer.lastAnswerAt = now;
+        Long sentAt = roundSentAt.get(acknowledgedRound);
+        if (sentAt != null && acknowledgedRound > peer.acknowledgedRound) {
+            peer.acknowledgedRound = acknowledgedRound;
+            peer.acknowledgedRoundSentAt = sentAt;
         }
     }
 
-    /** Whether another identity at the same address is on its way to take the peer's place. */
-    boolean isReplaced(Peer peer) {
+    /** Whether a learner with another identity at the same address is joining to replace the voter. */
+    boolean isBeingReplaced(Peer peer) {
         return !peer.learner
                 && peers.values().stream().anyMatch(other -> other.learner && other.address.equals(peer.address));
     }
 
-    /** The newest time at which a quorum still heard the leader. */
+    /** The send time of the newest heartbeat round that a quorum has acknowledged; the lease starts at it. */
     long leaseStart(long now) {
-        return reached(now, peer -> peer.ackedRoundSentAt, NEVER_HEARD);
+        return quorumValue(now, peer -> peer.acknowledgedRoundSentAt, NEVER_ACKNOWLEDGED_NANOS);
     }
 
-    /** Has the lease begin with answers to what is sent from now on. */
-    void voidLease(long now) {
-        leaseNotBefore = now;
+    /** Invalidates the lease until a quorum acknowledges a round that is sent from now on. */
+    void invalidateLease(long now) {
+        leaseValidFrom = now;
     }
 
-    /** Whether no quorum has answered since the lease was made void. */
-    boolean isLeaseVoid(long now) {
-        return leaseStart(now) < leaseNotBefore;
+    /** Whether no quorum has acknowledged a round sent since the lease was invalidated. */
+    boolean isLeaseInvalidated(long now) {
+        return leaseStart(now) < leaseValidFrom;
     }
 
-    /** The newest round that a quorum answered. */
-    long quorumRound() {
-        return reached(round, peer -> peer.ackedRound, 0);
+    /** The newest heartbeat round that a quorum has acknowledged. */
+    long quorumAcknowledgedRound() {
+        return quorumValue(round, peer -> peer.acknowledgedRound, 0);
     }
 
     /** The highest index that is durable on a quorum. */
-    long quorumMatch(long durableIndex) {
-        return reached(durableIndex, peer -> peer.match, 0);
+    long quorumMatchIndex(long durableIndex) {
+        return quorumValue(durableIndex, peer -> peer.matchIndex, 0);
     }
 
-    private long reached(long own, ToLongFunction<Peer> value, long none) {
+    /** The highest value that a quorum of the voters has reached, or {@code none} where too few voters are known. */
+    private long quorumValue(long own, ToLongFunction<Peer> value, long none) {
         int quorum = Memberships.quorum(membership);
         List<Long> values = new ArrayList<>();
         if (Memberships.isVoter(membership, self)) {
--- a/src/main/java/org/cuminshelf/replica/PendingReads.java
+++ b/src/main/java/org/cuminshelf/replica/PendingReads.java
@@ -4,30 +4,33 @@
 import java.util.List;
 import java.util.TreeMap;
 
-/** Questions of a leader that wait for a round of heartbeats which a quorum answers, and those whose round was. */
+/**
+ * Linearizable reads that wait until a quorum acknowledges a heartbeat round that was sent after them, and reads that
+ * have been confirmed in this way. A read is named by its token.
+ */
 final class PendingReads {
 
-    private final TreeMap<Long, List<Long>> byRound = new TreeMap<>();
+    private final TreeMap<Long, List<Long>> tokensByRound = new TreeMap<>();
     private final List<Long> confirmed = new ArrayList<>();
 
-    /** Has a question wait for the first round that is sent after it. */
+    /** Adds a read that waits for the given round, the first one that is sent after the read. */
     void add(long round, long token) {
-        byRound.computeIfAbsent(round, key -> new ArrayList<>()).add(token);
+        tokensByRound.computeIfAbsent(round, key -> new ArrayList<>()).add(token);
     }
 
-    /** Whether a question waits for a round that has not been sent. */
-    boolean needsRoundAfter(long sent) {
-        return !byRound.isEmpty() && byRound.lastKey() > sent;
+    /** Whether a read waits for a round later than the newest one that was sent. */
+    boolean needsRoundAfter(long newestSentRound) {
+        return !tokensByRound.isEmpty() && tokensByRound.lastKey() > newestSentRound;
     }
 
-    /** Takes note of the newest round that a quorum answered. */
-    void reached(long round) {
-        while (!byRound.isEmpty() && byRound.firstKey() <= round) {
-            confirmed.addAll(byRound.pollFirstEntry().getValue());
+    /** Confirms the reads that wait for the given round or an earlier one, which a quorum has acknowledged. */
+    void confirmUpTo(long round) {
+        while (!tokensByRound.isEmpty() && tokensByRound.firstKey() <= round) {
+            confirmed.addAll(tokensByRound.pollFirstEntry().getValue());
         }
     }
 
-    /** Takes the questions that are confirmed. */
+    /** Returns and removes the tokens of the confirmed reads. */
     List<Long> takeConfirmed() {
         if (confirmed.isEmpty()) {
             return List.of();
@@ -38,7 +41,7 @@
     }
 
     void clear() {
-        byRound.clear();
+        tokensByRound.clear();
         confirmed.clear();
     }
 }
--- a/src/main/java/org/cuminshelf/replica/Replica.java
+++ b/src/main/java/org/cuminshelf/replica/Replica.java
@@ -27,47 +27,53 @@
 import org.cuminshelf.message.Voter;
 
 /**
- * One replica of a group: votes, leads, follows, and hands committed entries to its machine.
+ * One replica of a Raft group: takes part in elections, replicates the log as a leader or follower, and applies
+ * committed entries to the state machine. Times are in nanoseconds of the local monotonic clock.
  *
- * <p>Failures it guards against beyond those of plain Raft:
+ * <p>Guards against these failures beyond those covered by plain Raft:
  * <ul>
- *   <li>A replica comes back with an empty or older disk and votes again in a term it voted in. Members are known by
- *       an identity that was made with their disk; an unknown identity has no vote, and joins as a learner.</li>
- *   <li>A replica that was cut off returns with a high term and deposes a working leader. Trial votes, and the refusal
- *       of votes while a leader is heard, keep it from that.</li>
- *   <li>A leader cut off by a partition believes in itself. Its lease ends before any other replica may vote, and it
- *       steps down when it has heard of no quorum for an election timeout.</li>
+ *   <li>A replica restarts with an empty or older disk and votes a second time in the same term. Members are known by
+ *       an identity that is generated with their disk; an unknown identity has no vote and joins as a learner.</li>
+ *   <li>A replica that was partitioned returns with a high term and deposes a working leader. Trial votes (Raft's
+ *       pre-votes) prevent that, as does the refusal of votes by replicas that are in contact with a leader.</li>
+ *   <li>A partitioned leader goes on acting as the leader. Its lease ends before any other replica may vote, and it
+ *       steps down when no quorum has answered for the longest election timeout.</li>
  * </ul>
  */
 public final class Replica {
 
-    /** How a replica takes part. */
+    /** The role of a replica in its group. */
     public enum Role {
-        /** Belongs to no cluster yet. */
+        /** Belongs to no cluster. */
         UNFORMED,
-        /** Follows a leader, or waits for one. */
+        /** Follows a leader, or waits for an election timeout. */
         FOLLOWER,
-        /** Asks whether it would be elected. */
+        /** Collects trial votes, without a change of its term. */
         TRIAL,
-        /** Stands for election. */
+        /** Collects votes for a new term. */
         CANDIDATE,
-        /** Leads. */
+        /** Leads the group in its term. */
         LEADER
     }
 
-    private static final long HEARTBEAT = Durations.nanos(100);
-    private static final long ELECTION_SHORTEST = Durations.nanos(600);
-    private static final long ELECTION_SPREAD = Durations.nanos(300);
-    private static final long LEASE = Durations.nanos(450);
-    private static final long RESEND_AFTER = Durations.nanos(300);
-    private static final long FORMATION_AGAIN = Durations.nanos(300);
-    private static final int MOST_ENTRIES = 512;
-    private static final long MOST_BYTES = 1L << 20;
-    private static final int ENTRIES_BEFORE_SNAPSHOT = 2_000;
-    private static final int ENTRIES_KEPT = 500;
+    private static final long HEARTBEAT_INTERVAL_NANOS = Durations.nanos(100);
+    /** Also the time after the last contact with a leader in which a replica grants no vote. */
+    private static final long MIN_ELECTION_TIMEOUT_NANOS = Durations.nanos(600);
+    /** Width of the random part that is added to {@link #MIN_ELECTION_TIMEOUT_NANOS}. */
+    private static final long ELECTION_TIMEOUT_SPREAD_NANOS = Durations.nanos(300);
+    /** Shorter than {@link #MIN_ELECTION_TIMEOUT_NANOS}, so that the lease ends before another replica may vote. */
+    private static final long LEASE_NANOS = Durations.nanos(450);
+
+    private static final long RESEND_AFTER_NANOS = Durations.nanos(300);
+    private static final long FORMATION_RETRY_NANOS = Durations.nanos(300);
+    private static final int MAX_APPEND_ENTRIES = 512;
+    private static final long MAX_APPEND_BYTES = 1L << 20;
+    private static final int SNAPSHOT_INTERVAL_ENTRIES = 2_000;
+    /** Entries before a snapshot that stay in memory, so that a slightly lagging follower needs no snapshot. */
+    private static final int ENTRIES_KEPT_BEFORE_SNAPSHOT = 500;
 
     private final ReplicaSettings settings;
-    private final ReplicatedStateMachine machine;
+    private final ReplicatedStateMachine stateMachine;
     private final UniformRandomProvider random;
     private final Invariants invariants;
     private final long identity;
@@ -76,90 +82,99 @@
     private final PeerTable peers;
     private final Set<Long> votes = new HashSet<>();
     private final ClusterFormation formation;
-    private final PendingReads reads = new PendingReads();
+    private final PendingReads pendingReads = new PendingReads();
 
-    private long cluster;
+    private long clusterId;
     private volatile long term;
+    /** The identity that got this replica's vote in the term, or empty. */
     private String votedFor = "";
+
     private Role role;
     private volatile Optional<Address> leader = Optional.empty();
-    private long commit;
-    private long savedCommit;
-    private volatile long applied;
+    private long commitIndex;
+    /** The commit index in the newest hard state handed to {@link #durability}. */
+    private long savedCommitIndex;
+
+    private volatile long appliedIndex;
     private long electionDue;
-    private boolean ticked;
-    private long leaderHeardAt;
+    private boolean hasTicked;
+    private long lastLeaderContact;
     private long nextHeartbeat;
 
-    private long ledSince;
-    private long clockAtLead;
-    private long termStart;
-    private boolean appendDue;
+    private long leaderSince;
+    /** The group's clock, in milliseconds, when this replica became the leader. */
+    private long clockAtElectionMillis;
+
+    private long termFirstIndex;
+    /** Whether entries are to be sent before the next heartbeat. */
+    private boolean hasEntriesToSend;
 
     private Replica(
             ReplicaSettings settings,
-            DurableState durable,
-            ReplicatedStateMachine machine,
+            DurableState durableState,
+            ReplicatedStateMachine stateMachine,
             long now,
             UniformRandomProvider random,
             Invariants invariants) {
         this.settings = settings;
         this.formation = new ClusterFormation(settings);
-        this.machine = machine;
+        this.stateMachine = stateMachine;
         this.random = random;
         this.invariants = invariants;
-        this.identity = durable.hardState().getIdentity();
+        this.identity = durableState.hardState().getIdentity();
         this.peers = new PeerTable(identity);
-        this.cluster = durable.hardState().getCluster();
-        this.term = durable.hardState().getTerm();
-        this.votedFor = durable.hardState().getVotedFor();
-        durable.snapshot().ifPresent(this::load);
-        durable.entries().forEach(log::append);
-        this.commit = Math.max(commit, Math.min(durable.hardState().getCommit(), log.lastIndex()));
-        this.savedCommit = commit;
-        this.durability = new DurabilityTracker(settings.group(), log.lastIndex(), commit);
-        this.role = cluster == 0 ? Role.UNFORMED : Role.FOLLOWER;
-        // A vote right after its former life ended could break the lease of a leader this replica has forgotten.
-        this.leaderHeardAt = now;
+        this.clusterId = durableState.hardState().getCluster();
+        this.term = durableState.hardState().getTerm();
+        this.votedFor = durableState.hardState().getVotedFor();
+        durableState.snapshot().ifPresent(this::restore);
+        durableState.entries().forEach(log::append);
+        this.commitIndex =
+                Math.max(commitIndex, Math.min(durableState.hardState().getCommit(), log.lastIndex()));
+        this.savedCommitIndex = commitIndex;
+        this.durability = new DurabilityTracker(settings.group(), log.lastIndex(), commitIndex);
+        this.role = clusterId == 0 ? Role.UNFORMED : Role.FOLLOWER;
+        // Grants no vote right after a restart: the lease of a leader that it acknowledged before may not have ended.
+        this.lastLeaderContact = now;
         this.electionDue = now + electionTimeout();
     }
 
     /**
-     * Starts a replica from what its disk holds.
+     * Starts a replica from its persistent state.
      *
-     * @param settings   its group and peers
-     * @param durable    what its disk holds
-     * @param machine    what the log is applied to, in its first state
-     * @param now        the time in nanoseconds, or an earlier one since which no former life has said anything
-     * @param random     the seeded source of election timeouts
-     * @param invariants receives the outcome of assertions
+     * @param settings   the configuration
+     * @param durableState the state read from the disk
+     * @param stateMachine the state machine, in its initial state
+     * @param now        the time in nanoseconds, or any earlier time after the last message of an earlier process with
+     *                   this disk; votes are withheld and the election timeout runs from this time
+     * @param random     the seeded source of election timeouts and cluster ids
+     * @param invariants receives the results of invariant checks
      * @return the replica
      */
     public static Replica start(
             ReplicaSettings settings,
-            DurableState durable,
-            ReplicatedStateMachine machine,
+            DurableState durableState,
+            ReplicatedStateMachine stateMachine,
             long now,
             UniformRandomProvider random,
             Invariants invariants) {
-        return new Replica(settings, durable, machine, now, random, invariants);
+        return new Replica(settings, durableState, stateMachine, now, random, invariants);
     }
 
     /**
-     * Takes a message from another replica, or from the disk.
+     * Processes a message from another replica or from the storage. Ignores messages of other kinds.
      *
      * @param now   the time in nanoseconds
      * @param from  the sender
      * @param input the message
-     * @param out   receives what is to be sent
+     * @param out   receives the messages to send
      */
     public void accept(long now, Address from, Envelope input, Outbox out) {
         switch (input.getBodyCase()) {
-            case FORMATION_QUERY -> formation.answer(from, identity, cluster, out);
+            case FORMATION_QUERY -> formation.sendAnswer(from, identity, clusterId, out);
             case FORMATION_ANSWER -> {
                 boolean mayForm = formation.onAnswer(from, input.getFormationAnswer());
                 if (mayForm && role == Role.UNFORMED) {
-                    form(now);
+                    formCluster(now);
                 }
             }
             case JOIN_REQUEST -> onJoin(now, from, input.getJoinRequest(), out);
@@ -174,189 +189,171 @@
                 advanceCommit();
             }
             default -> {
-                // Not a message for a replica.
+                // Not addressed to a replica.
             }
         }
     }
 
     /**
-     * Runs what is due, applies what is committed and hands records to the disk.
+     * Runs elections and heartbeats that are due, applies committed entries and hands records to the storage.
      *
      * @param now the time in nanoseconds
-     * @param out receives what is to be sent
+     * @param out receives the messages to send
      */
     public void tick(long now, Outbox out) {
-        if (!ticked) {
-            ticked = true;
-            // Processes that start together must not all stand at once, however long their programs took to start.
-            electionDue = Math.max(electionDue, now + random.nextLong(ELECTION_SPREAD));
+        if (!hasTicked) {
+            hasTicked = true;
+            // Spreads the first elections of processes that start at the same time, regardless of their startup times.
+            electionDue = Math.max(electionDue, now + random.nextLong(ELECTION_TIMEOUT_SPREAD_NANOS));
         }
         if (now >= electionDue && role != Role.LEADER) {
-            onElectionDue(now, out);
+            onElectionTimeout(now, out);
         }
         if (role == Role.LEADER) {
-            lead(now, out);
+            tickLeader(now, out);
         }
-        if (settings.recordsCommit() && commit > savedCommit) {
+        if (settings.persistsCommitIndex() && commitIndex > savedCommitIndex) {
             saveHardState();
         }
         applyCommitted();
-        compactIfLong();
-        durability.flush(log.lastIndex(), savedCommit, out);
+        compactIfDue();
+        durability.flush(log.lastIndex(), savedCommitIndex, out);
     }
 
     /**
-     * Tells when the next tick is due.
+     * Returns when the next tick is due.
      *
-     * @return the time in nanoseconds
+     * @return the time in nanoseconds, 0 for at once
      */
     public long nextDue() {
         if (role == Role.LEADER) {
-            return appendDue || reads.needsRoundAfter(peers.round()) ? 0 : nextHeartbeat;
+            return hasEntriesToSend || pendingReads.needsRoundAfter(peers.round()) ? 0 : nextHeartbeat;
         }
         return electionDue;
     }
 
     /**
-     * Proposes an entry; only a leader can.
+     * Appends an entry to the log, if this replica is the leader.
      *
      * @param now     the time in nanoseconds
      * @param command the entry without index, term and clock
-     * @return the index it will have if it is committed in this term, or nothing where this replica doesn't lead
+     * @return the index of the entry, which a later leader may still replace; empty if this replica isn't the leader
      */
     public Optional<Long> propose(long now, LogEntry.Builder command) {
         if (role != Role.LEADER) {
             return Optional.empty();
         }
-        long clock = Math.max(log.lastClock(), clockAtLead + Durations.millis(now - ledSince));
+        long clockMillis = Math.max(log.lastClock(), clockAtElectionMillis + Durations.millis(now - leaderSince));
         LogEntry entry = command.setIndex(log.lastIndex() + 1)
                 .setTerm(term)
-                .setClockMs(clock)
+                .setClockMs(clockMillis)
                 .build();
         append(entry);
-        appendDue = true;
+        hasEntriesToSend = true;
         return Optional.of(entry.getIndex());
     }
 
     /**
-     * Asks for confirmation that this replica still leads; the token comes back from {@link #takeConfirmedReads()}.
+     * Requests a linearizable read: {@link #takeConfirmedReads()} returns the token once a quorum has confirmed that
+     * this replica still leads.
      *
-     * @param token names the question
-     * @return whether this replica believes it leads and has asked
+     * @param token identifies the read
+     * @return whether the read was accepted; false if this replica isn't the leader
      */
     public boolean confirmRead(long token) {
         if (role != Role.LEADER) {
             return false;
         }
-        reads.add(peers.round() + 1, token);
+        pendingReads.add(peers.round() + 1, token);
         return true;
     }
 
     /**
-     * Takes the questions confirmed by a quorum; what the machine holds now is no older than when they were asked.
+     * Returns and removes the confirmed reads. The state machine now includes every entry committed before they were
+     * requested.
      *
-     * @return their tokens
+     * @return the tokens of the reads
      */
     public List<Long> takeConfirmedReads() {
-        return reads.takeConfirmed();
+        return pendingReads.takeConfirmed();
     }
 
-    /**
-     * Tells whether this replica leads.
-     *
-     * @return true for the leader of its term
-     */
+    /** {@return whether this replica is the leader of its term, even if a later term has another leader} */
     public boolean isLeader() {
         return role == Role.LEADER;
     }
 
     /**
-     * Tells whether no other replica can lead now, by this replica's clock.
+     * Returns whether this replica is the leader and, by its clock, no other replica can be one.
      *
      * @param now the time in nanoseconds
      * @return true while the lease holds
      */
     public boolean hasLease(long now) {
-        return role == Role.LEADER && commit >= termStart && !peers.isLeaseVoid(now) && now < leaseEnd(now);
+        return role == Role.LEADER
+                && commitIndex >= termFirstIndex
+                && !peers.isLeaseInvalidated(now)
+                && now < leaseEnd(now);
     }
 
     /**
-     * Tells until when no other replica can lead, if this one leads.
+     * Returns until when no other replica can become the leader. Meaningful only on the leader.
      *
      * @param now the time in nanoseconds
      * @return the end of the lease in nanoseconds
      */
     public long leaseEnd(long now) {
-        return peers.leaseStart(now) + LEASE;
+        return peers.leaseStart(now) + LEASE_NANOS;
     }
 
     /**
-     * Voids the lease until a quorum answers what is sent from now on. Guards against a leader whose VM stood still
-     * without its monotonic clock: it wakes, and believes in a lease that ended long ago.
+     * Invalidates the lease until a quorum acknowledges a message sent from now on. Guards against a leader whose VM
+     * was suspended together with its monotonic clock, and which would resume with a lease that has ended.
      *
      * @param now the time in nanoseconds
      */
     public void onClockJump(long now) {
-        peers.voidLease(now);
+        peers.invalidateLease(now);
     }
 
     /**
-     * Tells whether this replica knows at least all that it ever told: it is a voter by its own log, and what it has
-     * applied is durably known to be committed.
+     * Returns whether this replica still knows every committed entry that it has ever published: it is a voter by its
+     * own log, and the entries it has applied are covered by its durable commit index.
      *
      * @return true if so
      */
     public boolean isVoterWithDurableCommit() {
-        return isVoter(identity) && (!settings.recordsCommit() || applied <= durability.durableCommit());
+        return isVoter(identity)
+                && (!settings.persistsCommitIndex() || appliedIndex <= durability.durableCommitIndex());
     }
 
-    /**
-     * The leader as far as this replica knows.
-     *
-     * @return its address
-     */
+    /** {@return the address of the leader that this replica follows or is, empty if none is known} */
     public Optional<Address> leader() {
         return leader;
     }
 
-    /**
-     * The addresses of all members, learners among them, by this replica's log.
-     *
-     * @return the addresses
-     */
+    /** {@return the addresses of all members in this replica's log, including learners} */
     public List<Address> memberAddresses() {
         return Memberships.addresses(log.membership());
     }
 
-    /**
-     * The current term.
-     *
-     * @return the term
-     */
+    /** {@return the current term} */
     public long term() {
         return term;
     }
 
-    /**
-     * The last index applied to the machine.
-     *
-     * @return the index
-     */
+    /** {@return the index of the last entry applied to the state machine} */
     public long appliedIndex() {
-        return applied;
+        return appliedIndex;
     }
 
-    /**
-     * Describes this replica for operators.
-     *
-     * @return its state
-     */
+    /** {@return the status shown to operators} */
     public GroupStatus status() {
         return GroupStatus.newBuilder()
                 .setGroup(settings.group())
                 .setRole(role.name())
                 .setTerm(term)
-                .setCommit(commit)
+                .setCommit(commitIndex)
                 .setLeader(leader.map(Address::value).orElse(""))
                 .addAllVoters(log.membership().getVotersList())
                 .setFirstIndex(log.firstIndex())
@@ -365,64 +362,64 @@
     }
 
     // ---- formation
-    // -----------------------------------------------------------------------------------------------
 
-    private void form(long now) {
-        cluster = Math.max(1, random.nextLong() & Long.MAX_VALUE);
+    private void formCluster(long now) {
+        clusterId = Math.max(1, random.nextLong() & Long.MAX_VALUE);
         Snapshot first = Snapshot.newBuilder()
                 .setIndex(1)
                 .setTerm(1)
-                .setMembership(formation.firstMembership(identity))
-                .setState(machine.save())
+                .setMembership(formation.initialMembership(identity))
+                .setState(stateMachine.save())
                 .build();
         term = 1;
-        load(first);
+        restore(first);
         saveHardState();
-        durability.save(LogRecord.newBuilder().setSnapshot(first));
+        durability.addRecord(LogRecord.newBuilder().setSnapshot(first));
         role = Role.FOLLOWER;
         electionDue = now;
-        leaderHeardAt = now - ELECTION_SHORTEST;
+        lastLeaderContact = now - MIN_ELECTION_TIMEOUT_NANOS;
     }
 
-    /** Takes a replica in as a learner, or goes the next step with one whose disk was replaced. */
+    /** Adds the sender to the membership as a learner, or forwards its request to the leader. */
     private void onJoin(long now, Address from, JoinRequest request, Outbox out) {
         ReplicaHeader header = request.getHeader();
-        boolean open = settings.membership().isOpen();
-        if (role != Role.LEADER && open) {
-            passOnJoin(from, request, out);
+        boolean isOpen = settings.membershipPolicy().isOpen();
+        if (role != Role.LEADER && isOpen) {
+            forwardJoin(from, request, out);
             return;
         }
-        Address joining = open && !request.getAddress().isEmpty() ? Address.of(request.getAddress()) : from;
-        boolean allowed = open || settings.peers().contains(joining);
-        if (!isSettledLeader() || !allowed || Memberships.isMember(log.membership(), header.getIdentity())) {
+        Address joiningAddress = isOpen && !request.getAddress().isEmpty() ? Address.of(request.getAddress()) : from;
+        boolean allowed = isOpen || settings.peers().contains(joiningAddress);
+        if (!canChangeMembership() || !allowed || Memberships.isMember(log.membership(), header.getIdentity())) {
             return;
         }
-        changeMembership(now, Memberships.withLearner(log.membership(), joining, header.getIdentity()));
+        changeMembership(now, Memberships.withLearner(log.membership(), joiningAddress, header.getIdentity()));
     }
 
-    /** A replica that joins may know only followers: its question goes on to the leader, once. */
-    private void passOnJoin(Address from, JoinRequest request, Outbox out) {
-        boolean firstHand = request.getAddress().equals(from.value());
-        if (firstHand) {
+    /** Forwards a join request to the leader, as the sender may know only followers. Forwards it only once. */
+    private void forwardJoin(Address from, JoinRequest request, Outbox out) {
+        boolean isFromJoiningReplica = request.getAddress().equals(from.value());
+        if (isFromJoiningReplica) {
             leader.filter(known -> !known.equals(settings.self()))
                     .ifPresent(known -> out.send(known, Envelope.newBuilder().setJoinRequest(request)));
         }
     }
 
-    private boolean isSettledLeader() {
-        return role == Role.LEADER && commit >= termStart && log.lastMembershipIndex() <= commit;
+    /** Whether this leader has committed an entry of its term and no membership change is in progress. */
+    private boolean canChangeMembership() {
+        return role == Role.LEADER && commitIndex >= termFirstIndex && log.lastMembershipIndex() <= commitIndex;
     }
 
-    private void mendMembership(long now) {
-        if (isSettledLeader()) {
-            MembershipMaintenance.next(now, log.membership(), peers, commit, settings.membership())
+    private void maintainMembership(long now) {
+        if (canChangeMembership()) {
+            MembershipMaintenance.next(now, log.membership(), peers, commitIndex, settings.membershipPolicy())
                     .ifPresent(next -> changeMembership(now, next));
         }
     }
 
     private void changeMembership(long now, Membership next) {
         propose(now, LogEntry.newBuilder().setMembership(next));
-        peers.sync(log.membership(), log.lastIndex(), now);
+        peers.updateMembership(log.membership(), log.lastIndex(), now);
     }
 
     private boolean isVoter(long candidate) {
@@ -430,29 +427,28 @@
     }
 
     // ---- elections
-    // -----------------------------------------------------------------------------------------------
 
-    private void onElectionDue(long now, Outbox out) {
+    private void onElectionTimeout(long now, Outbox out) {
         if (role == Role.UNFORMED) {
-            boolean alone = settings.peers().equals(List.of(settings.self()));
-            if (alone && settings.membership().mayForm()) {
-                form(now);
+            boolean isOnlyPeer = settings.peers().equals(List.of(settings.self()));
+            if (isOnlyPeer && settings.membershipPolicy().mayForm()) {
+                formCluster(now);
             } else {
-                formation.ask(header(), role != Role.UNFORMED, Memberships.addresses(log.membership()), out);
-                electionDue = now + FORMATION_AGAIN;
+                formation.queryPeers(header(), role != Role.UNFORMED, Memberships.addresses(log.membership()), out);
+                electionDue = now + FORMATION_RETRY_NANOS;
             }
             return;
         }
         electionDue = now + electionTimeout();
         if (isVoter(identity)) {
-            stand(now, true);
+            startElection(now, true);
         } else {
             leader = Optional.empty();
-            formation.ask(header(), role != Role.UNFORMED, Memberships.addresses(log.membership()), out);
+            formation.queryPeers(header(), role != Role.UNFORMED, Memberships.addresses(log.membership()), out);
         }
     }
 
-    private void stand(long now, boolean trial) {
+    private void startElection(long now, boolean trial) {
         role = trial ? Role.TRIAL : Role.CANDIDATE;
         leader = Optional.empty();
         votes.clear();
@@ -464,13 +460,13 @@
         }
         for (Voter voter : log.membership().getVotersList()) {
             if (voter.getIdentity() != identity && !voter.getLearner()) {
-                askForVote(voter, trial);
+                requestVote(voter, trial);
             }
         }
         countVotes(now);
     }
 
-    private void askForVote(Voter voter, boolean trial) {
+    private void requestVote(Voter voter, boolean trial) {
         VoteRequest request = VoteRequest.newBuilder()
                 .setHeader(headerTo(voter.getIdentity()).toBuilder().setTerm(trial ? term + 1 : term))
                 .setLastIndex(log.lastIndex())
@@ -483,24 +479,24 @@
 
     private void onVoteRequest(long now, Address from, VoteRequest request) {
         ReplicaHeader header = request.getHeader();
-        if (!belongs(header)) {
+        if (!acceptsHeader(header)) {
             return;
         }
-        boolean leaderHeard = now - leaderHeardAt < ELECTION_SHORTEST || role == Role.LEADER;
-        boolean upToDate = request.getLastTerm() > log.lastTerm()
+        boolean isLeaderAlive = now - lastLeaderContact < MIN_ELECTION_TIMEOUT_NANOS || role == Role.LEADER;
+        boolean isLogUpToDate = request.getLastTerm() > log.lastTerm()
                 || request.getLastTerm() == log.lastTerm() && request.getLastIndex() >= log.lastIndex();
-        if (leaderHeard) {
+        if (isLeaderAlive) {
             answerVote(from, header.getTerm(), false, request.getTrial());
             return;
         }
         if (!request.getTrial() && header.getTerm() > term) {
             becomeFollower(now, header.getTerm(), Optional.empty());
         }
-        boolean free = request.getTrial()
+        boolean mayVote = request.getTrial()
                 ? header.getTerm() > term
                 : header.getTerm() == term
                         && (votedFor.isEmpty() || votedFor.equals(String.valueOf(header.getIdentity())));
-        boolean granted = free && upToDate && role != Role.LEADER;
+        boolean granted = mayVote && isLogUpToDate && role != Role.LEADER;
         if (granted && !request.getTrial()) {
             votedFor = String.valueOf(header.getIdentity());
             electionDue = now + electionTimeout();
@@ -520,12 +516,12 @@
 
     private void onVoteAnswer(long now, VoteAnswer answer) {
         ReplicaHeader header = answer.getHeader();
-        if (!belongs(header) || !isVoter(header.getIdentity())) {
+        if (!acceptsHeader(header) || !isVoter(header.getIdentity())) {
             return;
         }
-        Role asked = answer.getTrial() ? Role.TRIAL : Role.CANDIDATE;
+        Role askedRole = answer.getTrial() ? Role.TRIAL : Role.CANDIDATE;
         long askedTerm = answer.getTrial() ? term + 1 : term;
-        if (answer.getGranted() && role == asked && header.getTerm() == askedTerm) {
+        if (answer.getGranted() && role == askedRole && header.getTerm() == askedTerm) {
             votes.add(header.getIdentity());
             countVotes(now);
         } else if (!answer.getGranted() && header.getTerm() > term && !answer.getTrial()) {
@@ -534,12 +530,12 @@
     }
 
     private void countVotes(long now) {
-        long counted = votes.stream().filter(this::isVoter).count();
-        if (counted < Memberships.quorum(log.membership())) {
+        long voteCount = votes.stream().filter(this::isVoter).count();
+        if (voteCount < Memberships.quorum(log.membership())) {
             return;
         }
         if (role == Role.TRIAL) {
-            stand(now, false);
+            startElection(now, false);
         } else if (role == Role.CANDIDATE) {
             becomeLeader(now);
         }
@@ -548,12 +544,12 @@
     private void becomeLeader(long now) {
         role = Role.LEADER;
         leader = Optional.of(settings.self());
-        ledSince = now;
-        clockAtLead = log.lastClock();
+        leaderSince = now;
+        clockAtElectionMillis = log.lastClock();
         peers.clear();
-        reads.clear();
-        peers.sync(log.membership(), log.lastIndex(), now);
-        termStart = log.lastIndex() + 1;
+        pendingReads.clear();
+        peers.updateMembership(log.membership(), log.lastIndex(), now);
+        termFirstIndex = log.lastIndex() + 1;
         nextHeartbeat = now;
         propose(now, LogEntry.newBuilder().setNone(true));
     }
@@ -568,34 +564,34 @@
             saveHardState();
         }
         if (wasLeader) {
-            reads.clear();
+            pendingReads.clear();
             electionDue = now + electionTimeout();
         }
     }
 
     /**
-     * Whether a message is of this replica's cluster and meant for it. Failure this guards against: a disk is replaced,
-     * and the leader goes on writing to the address for the identity that died with the old one. The new identity would
-     * follow without being a member, never ask to join, and its log would never be counted.
+     * Whether a message belongs to this replica's cluster and is addressed to its identity. A replica without a cluster
+     * adopts that of the message. Guards against a leader that goes on sending to the identity of a replaced disk: the
+     * new identity at that address would follow without being a member, never ask to join, and never count in a quorum.
      */
-    private boolean belongs(ReplicaHeader header) {
-        boolean meant = header.getTarget() == 0 || header.getTarget() == identity;
-        if (!header.getGroup().equals(settings.group()) || header.getCluster() == 0 || !meant) {
+    private boolean acceptsHeader(ReplicaHeader header) {
+        boolean isAddressee = header.getTarget() == 0 || header.getTarget() == identity;
+        if (!header.getGroup().equals(settings.group()) || header.getCluster() == 0 || !isAddressee) {
             return false;
         }
-        if (cluster == 0) {
-            cluster = header.getCluster();
+        if (clusterId == 0) {
+            clusterId = header.getCluster();
             role = Role.FOLLOWER;
             saveHardState();
         }
-        return cluster == header.getCluster();
+        return clusterId == header.getCluster();
     }
 
-    // ---- following
-    // -----------------------------------------------------------------------------------------------
+    // ---- follower
 
-    private boolean followsSender(long now, Address from, ReplicaHeader header) {
-        if (!belongs(header) || header.getTerm() < term) {
+    /** Whether the sender leads a term that isn't older than this replica's; if so, this replica follows it. */
+    private boolean followIfLeader(long now, Address from, ReplicaHeader header) {
+        if (!acceptsHeader(header) || header.getTerm() < term) {
             return false;
         }
         invariants.check(
@@ -603,156 +599,159 @@
                 "one-leader-in-a-term",
                 () -> settings.group() + " has two leaders in term " + term);
         becomeFollower(now, header.getTerm(), Optional.of(from));
-        leaderHeardAt = now;
+        lastLeaderContact = now;
         electionDue = now + electionTimeout();
         return true;
     }
 
     private void onAppend(long now, Address from, AppendRequest request) {
-        if (!followsSender(now, from, request.getHeader())) {
-            if (cluster == request.getHeader().getCluster()
+        if (!followIfLeader(now, from, request.getHeader())) {
+            if (clusterId == request.getHeader().getCluster()
                     && request.getHeader().getTerm() < term) {
                 answerAppend(from, false, log.lastIndex(), request.getRound());
             }
             return;
         }
-        long previous = request.getPreviousIndex();
-        boolean matches = previous < log.firstIndex() - 1
-                || log.term(previous)
-                        .filter(held -> held == request.getPreviousTerm())
+        long previousIndex = request.getPreviousIndex();
+        boolean matches = previousIndex < log.firstIndex() - 1
+                || log.term(previousIndex)
+                        .filter(storedTerm -> storedTerm == request.getPreviousTerm())
                         .isPresent();
         if (!matches) {
-            long hint = Math.min(previous - 1, log.lastIndex());
-            answerAppend(from, false, Math.max(hint, commit), request.getRound());
+            long hint = Math.min(previousIndex - 1, log.lastIndex());
+            answerAppend(from, false, Math.max(hint, commitIndex), request.getRound());
             return;
         }
         for (LogEntry entry : request.getEntriesList()) {
-            takeEntry(entry);
+            storeEntry(entry);
         }
-        long matched = previous + request.getEntriesCount();
-        commit = Math.max(commit, Math.min(request.getCommit(), matched));
+        long matched = previousIndex + request.getEntriesCount();
+        commitIndex = Math.max(commitIndex, Math.min(request.getCommit(), matched));
         answerAppend(from, true, matched, request.getRound());
     }
 
-    private void takeEntry(LogEntry entry) {
+    private void storeEntry(LogEntry entry) {
         if (entry.getIndex() < log.firstIndex()) {
             return;
         }
-        Optional<Long> held = log.term(entry.getIndex());
-        if (held.isPresent() && held.get() == entry.getTerm()) {
+        Optional<Long> storedTerm = log.term(entry.getIndex());
+        if (storedTerm.isPresent() && storedTerm.get() == entry.getTerm()) {
             return;
         }
-        if (held.isPresent()) {
+        if (storedTerm.isPresent()) {
             invariants.check(
-                    entry.getIndex() > commit,
+                    entry.getIndex() > commitIndex,
                     "committed-entries-stay",
                     () -> settings.group() + " would replace committed entry " + entry.getIndex());
-            log.cutFrom(entry.getIndex());
-            durability.cutFrom(entry.getIndex());
-            durability.save(LogRecord.newBuilder().setCutFrom(entry.getIndex()));
+            log.truncateFrom(entry.getIndex());
+            durability.discardFrom(entry.getIndex());
+            durability.addRecord(LogRecord.newBuilder().setCutFrom(entry.getIndex()));
         }
         append(entry);
     }
 
-    private void answerAppend(Address to, boolean matched, long index, long answeredRound) {
+    private void answerAppend(Address to, boolean matched, long index, long acknowledgedRound) {
         AppendAnswer answer = AppendAnswer.newBuilder()
                 .setHeader(header())
                 .setMatched(matched)
                 .setIndex(index)
-                .setRound(answeredRound)
+                .setRound(acknowledgedRound)
                 .build();
         durability.sendWhenDurable(to, Envelope.newBuilder().setAppendAnswer(answer));
     }
 
     private void onSnapshot(long now, Address from, SnapshotPart part) {
-        if (!followsSender(now, from, part.getHeader())) {
-            // A leader of an older term must hear of the newer one: it would go on sending what is never followed.
-            if (cluster == part.getHeader().getCluster() && part.getHeader().getTerm() < term) {
+        if (!followIfLeader(now, from, part.getHeader())) {
+            // Informs a leader of an older term of the newer one; it would otherwise go on sending snapshots in vain.
+            if (clusterId == part.getHeader().getCluster() && part.getHeader().getTerm() < term) {
                 answerSnapshot(from, 0, part.getRound());
             }
             return;
         }
         Snapshot snapshot = part.getSnapshot();
-        if (snapshot.getIndex() > commit) {
+        if (snapshot.getIndex() > commitIndex) {
             if (snapshot.getIndex() < log.lastIndex()) {
-                durability.cutFrom(snapshot.getIndex() + 1);
+                durability.discardFrom(snapshot.getIndex() + 1);
             }
-            load(snapshot);
-            durability.save(LogRecord.newBuilder().setSnapshot(snapshot));
+            restore(snapshot);
+            durability.addRecord(LogRecord.newBuilder().setSnapshot(snapshot));
             for (long index = log.firstIndex(); index <= log.lastIndex(); index++) {
-                durability.save(LogRecord.newBuilder().setEntry(log.get(index)));
+                durability.addRecord(LogRecord.newBuilder().setEntry(log.entry(index)));
             }
         }
         answerSnapshot(from, snapshot.getIndex(), part.getRound());
     }
 
-    private void answerSnapshot(Address to, long index, long answeredRound) {
+    private void answerSnapshot(Address to, long index, long acknowledgedRound) {
         SnapshotAnswer answer = SnapshotAnswer.newBuilder()
                 .setHeader(header())
                 .setIndex(index)
-                .setRound(answeredRound)
+                .setRound(acknowledgedRound)
                 .build();
         durability.sendWhenDurable(to, Envelope.newBuilder().setSnapshotAnswer(answer));
     }
 
-    // ---- leading
-    // -------------------------------------------------------------------------------------------------
+    // ---- leader
 
-    private void lead(long now, Outbox out) {
-        boolean lost = now - peers.leaseStart(now) > ELECTION_SHORTEST + ELECTION_SPREAD;
-        if (lost && now - ledSince > ELECTION_SHORTEST + ELECTION_SPREAD) {
+    private void tickLeader(long now, Outbox out) {
+        boolean hasLostQuorum =
+                now - peers.leaseStart(now) > MIN_ELECTION_TIMEOUT_NANOS + ELECTION_TIMEOUT_SPREAD_NANOS;
+        if (hasLostQuorum && now - leaderSince > MIN_ELECTION_TIMEOUT_NANOS + ELECTION_TIMEOUT_SPREAD_NANOS) {
             becomeFollower(now, term, Optional.empty());
             return;
         }
-        boolean readDue = reads.needsRoundAfter(peers.round());
-        if (now >= nextHeartbeat || readDue) {
-            nextHeartbeat = now + HEARTBEAT;
+        boolean hasPendingReads = pendingReads.needsRoundAfter(peers.round());
+        if (now >= nextHeartbeat || hasPendingReads) {
+            nextHeartbeat = now + HEARTBEAT_INTERVAL_NANOS;
             peers.startRound(now);
-            mendMembership(now);
-            peers.all().forEach(peer -> sendTo(now, peer, out));
-        } else if (appendDue) {
-            peers.all().forEach(peer -> sendNew(now, peer, out));
+            maintainMembership(now);
+            peers.all().forEach(peer -> replicateTo(now, peer, out));
+        } else if (hasEntriesToSend) {
+            peers.all().forEach(peer -> sendNewEntries(now, peer, out));
         }
-        appendDue = false;
+        hasEntriesToSend = false;
         advanceCommit();
         confirmReads();
     }
 
-    private void sendNew(long now, Peer peer, Outbox out) {
-        if (peer.next <= log.lastIndex() && now - peer.heardAt < ELECTION_SHORTEST) {
-            sendTo(now, peer, out);
+    private void sendNewEntries(long now, Peer peer, Outbox out) {
+        if (peer.nextIndex <= log.lastIndex() && now - peer.lastAnswerAt < MIN_ELECTION_TIMEOUT_NANOS) {
+            replicateTo(now, peer, out);
         }
     }
 
-    private void sendTo(long now, Peer peer, Outbox out) {
-        if (peers.isReplaced(peer)) {
+    /** Sends a heartbeat with the next entries, or a snapshot if the entries that the peer needs are compacted away. */
+    private void replicateTo(long now, Peer peer, Outbox out) {
+        if (peers.isBeingReplaced(peer)) {
             return;
         }
-        if (peer.next <= log.lastIndex() && peer.next > peer.match + 1 && now - peer.sentAt > RESEND_AFTER) {
-            peer.next = peer.match + 1;
+        if (peer.nextIndex <= log.lastIndex()
+                && peer.nextIndex > peer.matchIndex + 1
+                && now - peer.sentAt > RESEND_AFTER_NANOS) {
+            peer.nextIndex = peer.matchIndex + 1;
         }
-        if (peer.next < log.firstIndex() || log.term(peer.next - 1).isEmpty()) {
+        if (peer.nextIndex < log.firstIndex() || log.term(peer.nextIndex - 1).isEmpty()) {
             sendSnapshot(now, peer, out);
             return;
         }
-        List<LogEntry> entries = log.from(peer.next, MOST_ENTRIES, MOST_BYTES);
+        List<LogEntry> entries = log.entriesFrom(peer.nextIndex, MAX_APPEND_ENTRIES, MAX_APPEND_BYTES);
         AppendRequest request = AppendRequest.newBuilder()
                 .setHeader(headerTo(peer.identity))
-                .setPreviousIndex(peer.next - 1)
-                .setPreviousTerm(log.term(peer.next - 1).orElseThrow())
+                .setPreviousIndex(peer.nextIndex - 1)
+                .setPreviousTerm(log.term(peer.nextIndex - 1).orElseThrow())
                 .addAllEntries(entries)
-                .setCommit(settledCommit())
+                .setCommit(publishableCommitIndex())
                 .setRound(peers.round())
                 .build();
         if (!entries.isEmpty()) {
             peer.sentAt = now;
         }
-        peer.next += entries.size();
+        peer.nextIndex += entries.size();
         out.send(peer.address, Envelope.newBuilder().setAppendRequest(request));
     }
 
     private void sendSnapshot(long now, Peer peer, Outbox out) {
-        if (now - peer.sentAt < RESEND_AFTER && peer.sentAt != 0) {
+        if (now - peer.sentAt < RESEND_AFTER_NANOS && peer.sentAt != 0) {
             return;
         }
         peer.sentAt = now;
@@ -764,8 +763,8 @@
         out.send(peer.address, Envelope.newBuilder().setSnapshotPart(part));
     }
 
-    private Optional<Peer> answeringPeer(long now, ReplicaHeader header, long answeredRound) {
-        if (!belongs(header)) {
+    private Optional<Peer> recordAnswer(long now, ReplicaHeader header, long acknowledgedRound) {
+        if (!acceptsHeader(header)) {
             return Optional.empty();
         }
         if (header.getTerm() > term) {
@@ -775,106 +774,108 @@
         if (role != Role.LEADER || peer.isEmpty() || header.getTerm() != term) {
             return Optional.empty();
         }
-        peers.answered(peer.get(), answeredRound, now);
+        peers.recordAnswer(peer.get(), acknowledgedRound, now);
         return peer;
     }
 
     private void onAppendAnswer(long now, AppendAnswer answer) {
-        Optional<Peer> found = answeringPeer(now, answer.getHeader(), answer.getRound());
-        if (found.isEmpty()) {
+        Optional<Peer> answering = recordAnswer(now, answer.getHeader(), answer.getRound());
+        if (answering.isEmpty()) {
             return;
         }
-        Peer peer = found.get();
+        Peer peer = answering.get();
         if (answer.getMatched()) {
-            peer.match = Math.max(peer.match, answer.getIndex());
-            peer.next = Math.max(peer.next, peer.match + 1);
+            peer.matchIndex = Math.max(peer.matchIndex, answer.getIndex());
+            peer.nextIndex = Math.max(peer.nextIndex, peer.matchIndex + 1);
             advanceCommit();
         } else {
-            peer.next = Math.max(peer.match, Math.min(peer.next - 1, answer.getIndex())) + 1;
+            peer.nextIndex = Math.max(peer.matchIndex, Math.min(peer.nextIndex - 1, answer.getIndex())) + 1;
         }
-        appendDue |= peer.next <= log.lastIndex();
+        hasEntriesToSend |= peer.nextIndex <= log.lastIndex();
         confirmReads();
     }
 
     private void onSnapshotAnswer(long now, SnapshotAnswer answer) {
-        answeringPeer(now, answer.getHeader(), answer.getRound()).ifPresent(peer -> {
-            peer.match = Math.max(peer.match, answer.getIndex());
-            peer.next = Math.max(peer.next, peer.match + 1);
-            appendDue = true;
+        recordAnswer(now, answer.getHeader(), answer.getRound()).ifPresent(peer -> {
+            peer.matchIndex = Math.max(peer.matchIndex, answer.getIndex());
+            peer.nextIndex = Math.max(peer.nextIndex, peer.matchIndex + 1);
+            hasEntriesToSend = true;
             advanceCommit();
         });
     }
 
+    /** Confirms reads, once an entry of this term is committed and all committed entries are applied. */
     private void confirmReads() {
-        if (applied >= termStart && applied >= commit) {
-            reads.reached(peers.quorumRound());
+        if (appliedIndex >= termFirstIndex && appliedIndex >= commitIndex) {
+            pendingReads.confirmUpTo(peers.quorumAcknowledgedRound());
         }
     }
 
+    /** Commits what is durable on a quorum, only up to an entry of this leader's own term, as Raft requires. */
     private void advanceCommit() {
         if (role != Role.LEADER) {
             return;
         }
-        long reached = peers.quorumMatch(durability.durableIndex());
-        boolean ownTerm = log.term(reached).filter(held -> held == term).isPresent();
-        if (reached > commit && ownTerm) {
-            commit = reached;
+        long quorumIndex = peers.quorumMatchIndex(durability.durableIndex());
+        boolean isOwnTerm =
+                log.term(quorumIndex).filter(storedTerm -> storedTerm == term).isPresent();
+        if (quorumIndex > commitIndex && isOwnTerm) {
+            commitIndex = quorumIndex;
         }
     }
 
-    // ---- the log and the machine
-    // ---------------------------------------------------------------------------------
+    // ---- log and state machine
 
     private void append(LogEntry entry) {
         log.append(entry);
-        durability.save(LogRecord.newBuilder().setEntry(entry));
+        durability.addRecord(LogRecord.newBuilder().setEntry(entry));
     }
 
     private void saveHardState() {
         HardState state = HardState.newBuilder()
-                .setCluster(cluster)
+                .setCluster(clusterId)
                 .setIdentity(identity)
                 .setTerm(term)
                 .setVotedFor(votedFor)
-                .setCommit(settings.recordsCommit() ? commit : 0)
+                .setCommit(settings.persistsCommitIndex() ? commitIndex : 0)
                 .build();
-        savedCommit = commit;
-        durability.save(LogRecord.newBuilder().setHardState(state));
+        savedCommitIndex = commitIndex;
+        durability.addRecord(LogRecord.newBuilder().setHardState(state));
     }
 
-    private void load(Snapshot snapshot) {
+    private void restore(Snapshot snapshot) {
         log.restore(snapshot);
-        machine.load(snapshot.getState());
-        commit = Math.max(commit, snapshot.getIndex());
-        applied = snapshot.getIndex();
+        stateMachine.load(snapshot.getState());
+        commitIndex = Math.max(commitIndex, snapshot.getIndex());
+        appliedIndex = snapshot.getIndex();
     }
 
     private void applyCommitted() {
-        while (applied < settledCommit() && log.holds(applied + 1)) {
-            applied++;
-            machine.apply(log.get(applied));
+        while (appliedIndex < publishableCommitIndex() && log.holds(appliedIndex + 1)) {
+            appliedIndex++;
+            stateMachine.apply(log.entry(appliedIndex));
         }
         confirmReads();
     }
 
-    /** What may be applied and told: in a group that records its commit, what is durably known to be committed. */
-    private long settledCommit() {
-        return settings.recordsCommit() ? Math.min(commit, durability.durableCommit()) : commit;
+    /** The highest index that may be applied and sent to followers: the durable commit index if it is persisted. */
+    private long publishableCommitIndex() {
+        return settings.persistsCommitIndex() ? Math.min(commitIndex, durability.durableCommitIndex()) : commitIndex;
     }
 
-    private void compactIfLong() {
-        if (applied - log.snapshot().getIndex() < ENTRIES_BEFORE_SNAPSHOT) {
+    private void compactIfDue() {
+        if (appliedIndex - log.snapshot().getIndex() < SNAPSHOT_INTERVAL_ENTRIES) {
             return;
         }
         Snapshot snapshot = Snapshot.newBuilder()
-                .setIndex(applied)
-                .setTerm(log.term(applied).orElseThrow())
-                .setMembership(log.membershipBefore(applied + 1))
-                .setState(machine.save())
-                .setClockMs(log.clock(applied))
+                .setIndex(appliedIndex)
+                .setTerm(log.term(appliedIndex).orElseThrow())
+                .setMembership(log.membershipBefore(appliedIndex + 1))
+                .setState(stateMachine.save())
+                .setClockMs(log.clock(appliedIndex))
                 .build();
-        log.compact(snapshot, ENTRIES_KEPT);
-        durability.save(LogRecord.newBuilder().setSnapshot(snapshot));
+        log.compact(snapshot, ENTRIES_KEPT_BEFORE_SNAPSHOT);
+        durability.addRecord(LogRecord.newBuilder().setSnapshot(snapshot));
     }
 
     private ReplicaHeader headerTo(long target) {
@@ -884,13 +885,13 @@
     private ReplicaHeader header() {
         return ReplicaHeader.newBuilder()
                 .setGroup(settings.group())
-                .setCluster(cluster)
+                .setCluster(clusterId)
                 .setTerm(term)
                 .setIdentity(identity)
                 .build();
     }
 
     private long electionTimeout() {
-        return ELECTION_SHORTEST + random.nextLong(ELECTION_SPREAD);
+        return MIN_ELECTION_TIMEOUT_NANOS + random.nextLong(ELECTION_TIMEOUT_SPREAD_NANOS);
     }
 }
--- a/src/main/java/org/cuminshelf/replica/ReplicaSettings.java
+++ b/src/main/java/org/cuminshelf/replica/ReplicaSettings.java
@@ -4,27 +4,31 @@
 import org.cuminshelf.core.Address;
 
 /**
- * The place of a replica in its group.
+ * The configuration of a replica.
  *
  * @param group the name of the group
- * @param self  the own address
- * @param peers the addresses of all replicas of the group, the own among them
- * @param recordsCommit whether what is committed is itself made durable before it is applied, so that a replica that
- *                      restarts without a quorum still knows all that it ever told others
- * @param membership    how the group comes to be and who may join it
+ * @param self  the address of this replica
+ * @param peers the addresses of the configured replicas of the group, including this one
+ * @param persistsCommitIndex whether the commit index is made durable before entries are applied, so that a replica
+ *                         that restarts without a quorum still knows every committed entry that it has published
+ * @param membershipPolicy how the group is formed and which replicas may join it
  */
 public record ReplicaSettings(
-        String group, Address self, List<Address> peers, boolean recordsCommit, MembershipPolicy membership) {
+        String group,
+        Address self,
+        List<Address> peers,
+        boolean persistsCommitIndex,
+        MembershipPolicy membershipPolicy) {
 
     /**
-     * Settings of a group whose replicas are all named at the start.
+     * Settings of a group with {@link MembershipPolicy#FIXED}.
      *
      * @param group         the name of the group
-     * @param self          the own address
-     * @param peers         the addresses of all replicas of the group, the own among them
-     * @param recordsCommit whether what is committed is made durable before it is applied
+     * @param self          the address of this replica
+     * @param peers         the addresses of all replicas of the group, including this one
+     * @param persistsCommitIndex whether the commit index is made durable before entries are applied
      */
-    public ReplicaSettings(String group, Address self, List<Address> peers, boolean recordsCommit) {
-        this(group, self, peers, recordsCommit, MembershipPolicy.FIXED);
+    public ReplicaSettings(String group, Address self, List<Address> peers, boolean persistsCommitIndex) {
+        this(group, self, peers, persistsCommitIndex, MembershipPolicy.FIXED);
     }
 }
--- a/src/main/java/org/cuminshelf/replica/ReplicatedLog.java
+++ b/src/main/java/org/cuminshelf/replica/ReplicatedLog.java
@@ -7,15 +7,19 @@
 import org.cuminshelf.message.Membership;
 import org.cuminshelf.message.Snapshot;
 
-/** The log of a replica in memory: a snapshot and the entries after it. */
+/** The log of a replica in memory: a snapshot, the entries after it, and some entries before it. */
 final class ReplicatedLog {
 
     private final List<LogEntry> entries = new ArrayList<>();
-    /** Index and term of the entry before the first one held. */
+    /** Index of the entry before the first one held. */
     private long baseIndex;
 
+    /** Term of the entry at {@link #baseIndex}. */
     private long baseTerm;
+
+    /** Membership in force at {@link #baseIndex}. */
     private Membership baseMembership = Membership.getDefaultInstance();
+
     private Snapshot snapshot = Snapshot.getDefaultInstance();
 
     long firstIndex() {
@@ -30,32 +34,33 @@
         return entries.isEmpty() ? baseTerm : entries.getLast().getTerm();
     }
 
+    /** The group's clock, in milliseconds, at the last entry or at the snapshot. */
     long lastClock() {
         return entries.isEmpty() ? snapshot.getClockMs() : entries.getLast().getClockMs();
     }
 
-    /** The group's clock at an index held, or at the snapshot. */
+    /** The group's clock, in milliseconds, at the given index, or that of the snapshot if the index isn't held. */
     long clock(long index) {
-        return holds(index) ? get(index).getClockMs() : snapshot.getClockMs();
+        return holds(index) ? entry(index).getClockMs() : snapshot.getClockMs();
     }
 
     Snapshot snapshot() {
         return snapshot;
     }
 
-    /** The term of an entry, or nothing where it is no longer or not yet held. */
+    /** The term of the entry at an index; empty if the entry was compacted away or doesn't exist yet. */
     Optional<Long> term(long index) {
         if (index == baseIndex) {
             return Optional.of(baseTerm);
         }
-        return holds(index) ? Optional.of(get(index).getTerm()) : Optional.empty();
+        return holds(index) ? Optional.of(entry(index).getTerm()) : Optional.empty();
     }
 
     boolean holds(long index) {
         return index > baseIndex && index <= lastIndex();
     }
 
-    LogEntry get(long index) {
+    LogEntry entry(long index) {
         return entries.get((int) (index - baseIndex - 1));
     }
 
@@ -63,27 +68,32 @@
         entries.add(entry);
     }
 
-    void cutFrom(long index) {
+    /** Removes the entries from the given index on. */
+    void truncateFrom(long index) {
         entries.subList((int) (index - baseIndex - 1), entries.size()).clear();
     }
 
-    /** Entries from an index on, at most so many and so many bytes, at least one. */
-    List<LogEntry> from(long index, int most, long mostBytes) {
+    /**
+     * Returns entries from an index on, at most {@code maxEntries}. Stops after the entry that reaches
+     * {@code maxBytes}, so it returns at least one entry where one exists.
+     */
+    List<LogEntry> entriesFrom(long index, int maxEntries, long maxBytes) {
         List<LogEntry> part = new ArrayList<>();
         long bytes = 0;
-        for (long next = index; next <= lastIndex() && part.size() < most && bytes < mostBytes; next++) {
-            LogEntry entry = get(next);
+        for (long next = index; next <= lastIndex() && part.size() < maxEntries && bytes < maxBytes; next++) {
+            LogEntry entry = entry(next);
             part.add(entry);
             bytes += entry.getSerializedSize();
         }
         return part;
     }
 
-    /** The membership in force: the newest in the log, committed or not. */
+    /** The membership in force: the newest one in the log, whether committed or not. */
     Membership membership() {
         return membershipBefore(lastIndex() + 1);
     }
 
+    /** The membership in force before the entry at the given index. */
     Membership membershipBefore(long index) {
         for (int i = (int) (index - baseIndex - 2); i >= 0; i--) {
             LogEntry entry = entries.get(i);
@@ -94,6 +104,7 @@
         return baseMembership;
     }
 
+    /** Index of the newest membership entry, or the base index if no entry held has one. */
     long lastMembershipIndex() {
         for (int i = entries.size() - 1; i >= 0; i--) {
             if (entries.get(i).hasMembership()) {
@@ -103,26 +114,26 @@
         return baseIndex;
     }
 
-    /** Takes a snapshot of an index held, keeping some entries before it for replicas that lag a little. */
-    void compact(Snapshot taken, int keep) {
-        snapshot = taken;
-        long newBase = Math.max(baseIndex, taken.getIndex() - keep);
-        if (newBase > baseIndex) {
-            Membership membership = membershipBefore(newBase + 1);
-            long newTerm = term(newBase).orElse(baseTerm);
-            entries.subList(0, (int) (newBase - baseIndex)).clear();
+    /** Installs a snapshot of this log, and keeps some entries before it for replicas that lag slightly. */
+    void compact(Snapshot newSnapshot, int keptEntries) {
+        snapshot = newSnapshot;
+        long newBaseIndex = Math.max(baseIndex, newSnapshot.getIndex() - keptEntries);
+        if (newBaseIndex > baseIndex) {
+            Membership membership = membershipBefore(newBaseIndex + 1);
+            long newBaseTerm = term(newBaseIndex).orElse(baseTerm);
+            entries.subList(0, (int) (newBaseIndex - baseIndex)).clear();
             baseMembership = membership;
-            baseTerm = newTerm;
-            baseIndex = newBase;
+            baseTerm = newBaseTerm;
+            baseIndex = newBaseIndex;
         }
     }
 
-    /** Replaces the log by a snapshot; entries after it are kept where they follow from it. */
+    /** Replaces the log by a received snapshot; keeps the entries after it if the log contains its last entry. */
     void restore(Snapshot received) {
-        boolean follows = term(received.getIndex())
+        boolean containsSnapshot = term(received.getIndex())
                 .filter(term -> term == received.getTerm())
                 .isPresent();
-        if (follows && received.getIndex() >= baseIndex) {
+        if (containsSnapshot && received.getIndex() >= baseIndex) {
             entries.subList(0, (int) (received.getIndex() - baseIndex)).clear();
         } else {
             entries.clear();
--- a/src/test/java/org/cuminshelf/replica/OpenMembershipTest.java
+++ b/src/test/java/org/cuminshelf/replica/OpenMembershipTest.java
@@ -25,14 +25,14 @@
 import org.cuminshelf.message.Snapshot;
 import org.cuminshelf.message.Voter;
 
-/** Groups that find each other by seeds and mend their membership by themselves. */
+/** Groups with an open membership: formation by seeds, and automatic replacement and removal of members. */
 class OpenMembershipTest {
 
     private static final List<Address> SEEDS = List.of(address(1), address(2), address(3));
 
     private record Message(Address from, Address to, Envelope body) {}
 
-    /** A replica with its disk. */
+    /** A replica with a simulated disk, on which every write succeeds at once. */
     private final class Node {
         private final Address self;
         private final long identity;
@@ -48,13 +48,13 @@
             start(seeds, policy, now);
         }
 
-        /** Starts in a program that began at a time. */
-        private void start(List<Address> seeds, MembershipPolicy policy, long began) {
+        /** Starts in a process that was launched at the given time. */
+        private void start(List<Address> seeds, MembershipPolicy policy, long processStart) {
             replica = Replica.start(
                     new ReplicaSettings("g", self, seeds, true, policy),
                     recovered(),
-                    new CountingMachine(),
-                    began,
+                    new StatelessMachine(),
+                    processStart,
                     RandomSource.XO_RO_SHI_RO_128_PP.create(identity),
                     Invariants.throwing());
         }
@@ -79,11 +79,11 @@
         }
     }
 
-    /** Keeps nothing but how much it applied. */
-    private static final class CountingMachine implements ReplicatedStateMachine {
+    /** Keeps no state; the tests examine the log. */
+    private static final class StatelessMachine implements ReplicatedStateMachine {
         @Override
         public void apply(LogEntry entry) {
-            // The log itself is what is looked at.
+            // No state to change.
         }
 
         @Override
@@ -93,7 +93,7 @@
 
         @Override
         public void load(ByteString state) {
-            // Nothing was saved.
+            // No state to replace.
         }
     }
 
@@ -105,7 +105,7 @@
         return Address.of("10.0.0." + number + ":7000");
     }
 
-    private Node add(int number, long identity, MembershipPolicy policy) {
+    private Node addReplica(int number, long identity, MembershipPolicy policy) {
         Node node = new Node(address(number), identity);
         node.start(SEEDS, policy);
         nodes.put(node.self, node);
@@ -115,139 +115,139 @@
 
     private void formThree() {
         for (int number = 1; number <= 3; number++) {
-            add(number, number, MembershipPolicy.OPEN);
+            addReplica(number, number, MembershipPolicy.OPEN);
         }
-        pass(5_000);
+        advance(5_000);
         assertThat(leader()).isPresent();
         assertThat(voters()).containsExactlyInAnyOrder(1L, 2L, 3L);
     }
 
     /*
-     * A VM is gone for good and an empty one takes its place at another address; seconds later one more is lost. The
-     * group must go on with the two that are left.
+     * Guards against the loss of a quorum when a VM is lost for good, an empty one replaces it at another address, and
+     * seconds later a second VM is lost. The group must go on with the two remaining members.
      */
     @Example
-    void anEmptyNewcomerTakesThePlaceOfTheOneThatIsGoneBeforeAnotherIsLost() {
+    void aLostVoterIsReplacedByAnEmptyReplicaBeforeASecondLoss() {
         formThree();
         down.add(address(3));
-        pass(1_000);
-        add(4, 4, MembershipPolicy.JOIN_ONLY);
-        pass(4_000);
+        advance(1_000);
+        addReplica(4, 4, MembershipPolicy.JOIN_ONLY);
+        advance(4_000);
         assertThat(voters()).containsExactlyInAnyOrder(1L, 2L, 4L);
         down.add(leader().orElseThrow().self);
-        pass(4_000);
-        assertThat(commits()).isTrue();
+        advance(4_000);
+        assertThat(commitsAnEntry()).isTrue();
     }
 
     /*
-     * A VM is replaced as planned: the new one comes first, then the old one goes. Four voters with one dead one would
-     * not bear another loss.
+     * Planned replacement of a VM: the new one is added before the old one is stopped. The group must not stay at four
+     * voters of which one is dead, as it wouldn't tolerate another loss.
      */
     @Example
-    void aPlannedReplacementLeavesNoDeadVoterBehind() {
+    void aPlannedReplacementRemovesTheStoppedVoter() {
         formThree();
-        add(4, 4, MembershipPolicy.JOIN_ONLY);
-        pass(3_000);
+        addReplica(4, 4, MembershipPolicy.JOIN_ONLY);
+        advance(3_000);
         assertThat(voters()).hasSize(4);
         down.add(address(2));
-        pass(6_000);
+        advance(6_000);
         assertThat(voters()).containsExactlyInAnyOrder(1L, 3L, 4L);
     }
 
     @Example
-    void aVoterThatIsDownForAWhileKeepsItsPlaceInAGroupOfThree() {
+    void aVoterThatIsDownTemporarilyStaysInAGroupOfThree() {
         formThree();
         down.add(address(2));
-        pass(8_000);
+        advance(8_000);
         down.remove(address(2));
-        pass(2_000);
+        advance(2_000);
         assertThat(voters()).containsExactlyInAnyOrder(1L, 2L, 3L);
     }
 
     /*
-     * What was accepted is gone: two VMs come back with empty disks, find each other and make an empty group.
+     * Guards against the loss of accepted entries: two VMs restart with empty disks and form an empty group.
      */
     @Example
-    void emptyDisksThatComeBackMakeNoGroupOfTheirOwn() {
+    void replicasThatRestartWithEmptyDisksFormNoNewGroup() {
         formThree();
         down.addAll(SEEDS);
-        add(1, 11, MembershipPolicy.JOIN_ONLY);
-        add(2, 12, MembershipPolicy.JOIN_ONLY);
-        pass(10_000);
+        addReplica(1, 11, MembershipPolicy.JOIN_ONLY);
+        addReplica(2, 12, MembershipPolicy.JOIN_ONLY);
+        advance(10_000);
         assertThat(leader()).isEmpty();
         down.remove(address(3));
-        pass(5_000);
+        advance(5_000);
         assertThat(leader()).isEmpty();
     }
 
     /*
-     * A disk is lost right after its VM acknowledged something, and comes back empty under the same address. It joins
-     * anew under another identity and does not vote as the one it was.
+     * A VM loses its disk right after it acknowledged an entry, and restarts at the same address. It must join under a
+     * new identity and not vote under the old one.
      */
     @Example
-    void aWipedVoterComesBackAsANewcomer() {
+    void aVoterThatLostItsDiskRejoinsUnderANewIdentity() {
         formThree();
         down.add(address(3));
-        pass(500);
-        add(3, 13, MembershipPolicy.JOIN_ONLY);
-        pass(5_000);
+        advance(500);
+        addReplica(3, 13, MembershipPolicy.JOIN_ONLY);
+        advance(5_000);
         assertThat(voters()).containsExactlyInAnyOrder(1L, 2L, 13L);
     }
 
     @Example
-    void allKilledAtOnceComeBackWithTheirMembership() {
+    void aGroupWhoseReplicasAreAllKilledAtOnceKeepsItsMembership() {
         formThree();
         Set<Long> before = voters();
         nodes.values().forEach(node -> node.start(SEEDS, MembershipPolicy.JOIN_ONLY));
-        pass(5_000);
+        advance(5_000);
         assertThat(leader()).isPresent();
         assertThat(voters()).isEqualTo(before);
-        assertThat(commits()).isTrue();
+        assertThat(commitsAnEntry()).isTrue();
     }
 
     /*
-     * All processes are killed at once, and nothing is served for 0.7 s after they listen again: each waits for a lease
-     * to end that it might have forgotten. It ended while their programs started.
+     * Guards against an unnecessary outage of 0.7 s after all processes were killed at once: each waited, from the end
+     * of its startup, for a lease that it might have acknowledged before. That lease had ended during the startup.
      */
     @Example
-    void programsThatTookLongerToStartThanALeaseLastsHaveALeaderSoon() {
+    void processesThatStartMoreSlowlyThanTheLeaseElectALeaderSoon() {
         formThree();
-        long began = now;
+        long processStart = now;
         now += Durations.nanos(700);
-        nodes.values().forEach(node -> node.start(SEEDS, MembershipPolicy.JOIN_ONLY, began));
-        pass(300);
+        nodes.values().forEach(node -> node.start(SEEDS, MembershipPolicy.JOIN_ONLY, processStart));
+        advance(300);
         assertThat(leader()).isPresent();
     }
 
     /*
-     * Two leaders give orders at once: the followers of one that is cut off are killed, start again within a moment and
-     * elect another, as they have forgotten what they answered the first.
+     * Guards against two leaders at once: a leader is partitioned, its followers are killed and restart at once, and
+     * they elect another leader because they have no record of the lease that they acknowledged.
      */
     @Example
-    void followersThatStartAgainElectNobodyBeforeTheLeaseTheyForgotIsOver() {
+    void restartedFollowersElectNoLeaderBeforeTheOldLeaseEnds() {
         formThree();
-        Node leads = leader().orElseThrow();
-        down.add(leads.self);
-        long began = now;
+        Node leader = leader().orElseThrow();
+        down.add(leader.self);
+        long processStart = now;
         for (Node node : nodes.values()) {
-            if (node != leads) {
-                node.start(SEEDS, MembershipPolicy.JOIN_ONLY, began);
+            if (node != leader) {
+                node.start(SEEDS, MembershipPolicy.JOIN_ONLY, processStart);
             }
         }
-        pass(
+        advance(
                 1_500,
-                () -> assertThat(leads.replica.hasLease(now) && leader().isPresent())
+                () -> assertThat(leader.replica.hasLease(now) && leader().isPresent())
                         .as("two leases")
                         .isFalse());
         assertThat(leader()).isPresent();
     }
 
-    private boolean commits() {
-        Node leads = leader().orElseThrow();
+    private boolean commitsAnEntry() {
+        Node leader = leader().orElseThrow();
         long index =
-                leads.replica.propose(now, LogEntry.newBuilder().setNone(true)).orElseThrow();
-        pass(1_000);
-        return leads.replica.appliedIndex() >= index;
+                leader.replica.propose(now, LogEntry.newBuilder().setNone(true)).orElseThrow();
+        advance(1_000);
+        return leader.replica.appliedIndex() >= index;
     }
 
     private Optional<Node> leader() {
@@ -265,32 +265,32 @@
         return found;
     }
 
-    private void pass(long millis) {
-        pass(millis, () -> {});
+    private void advance(long millis) {
+        advance(millis, () -> {});
     }
 
-    private void pass(long millis, Runnable afterEachStep) {
-        List<Message> onTheWay = new ArrayList<>();
-        for (long passed = 0; passed < millis; passed += 5) {
+    private void advance(long millis, Runnable afterEachStep) {
+        List<Message> inFlight = new ArrayList<>();
+        for (long elapsed = 0; elapsed < millis; elapsed += 5) {
             now += Durations.nanos(5);
-            List<Message> arriving = List.copyOf(onTheWay);
-            onTheWay.clear();
-            for (Message message : arriving) {
+            List<Message> delivered = List.copyOf(inFlight);
+            inFlight.clear();
+            for (Message message : delivered) {
                 Node to = nodes.get(message.to);
                 if (to != null && !down.contains(message.to)) {
-                    to.replica.accept(now, message.from, message.body, outbox(to, onTheWay));
+                    to.replica.accept(now, message.from, message.body, outbox(to, inFlight));
                 }
             }
             for (Node node : nodes.values()) {
                 if (!down.contains(node.self)) {
-                    node.replica.tick(now, outbox(node, onTheWay));
+                    node.replica.tick(now, outbox(node, inFlight));
                 }
             }
             afterEachStep.run();
         }
     }
 
-    private Outbox outbox(Node from, List<Message> onTheWay) {
+    private Outbox outbox(Node from, List<Message> inFlight) {
         return new Outbox() {
             @Override
             public void send(Address to, Envelope.Builder message) {
@@ -301,12 +301,12 @@
                             .setGroup("g")
                             .setSequence(persist.getSequence())
                             .build();
-                    onTheWay.add(new Message(
+                    inFlight.add(new Message(
                             Address.STORAGE,
                             from.self,
                             Envelope.newBuilder().setPersisted(done).build()));
                 } else {
-                    onTheWay.add(new Message(from.self, to, message.build()));
+                    inFlight.add(new Message(from.self, to, message.build()));
                 }
             }
 
--- a/src/test/java/org/cuminshelf/replica/ReplicaTest.java
+++ b/src/test/java/org/cuminshelf/replica/ReplicaTest.java
@@ -23,26 +23,26 @@
 import org.cuminshelf.message.VoteRequest;
 import org.cuminshelf.message.Voter;
 
-/** Single steps of a replica; whole groups are tested by the randomised check. */
+/** Single steps of a replica; the randomised check tests whole groups. */
 class ReplicaTest {
 
     private static final Address SELF = Address.of("10.0.0.1:7000");
     private static final Address OTHER = Address.of("10.0.0.2:7000");
     private static final Address THIRD = Address.of("10.0.0.3:7000");
-    private static final long OWN = 1;
-    private static final long OTHERS = 2;
+    private static final long OWN_IDENTITY = 1;
+    private static final long OTHER_IDENTITY = 2;
     private final RecordingOutbox out = new RecordingOutbox();
     private long now = Durations.nanos(1_000);
 
     /*
-     * A configuration that was accepted is gone. A replica grants its vote, loses power before the vote is on its disk,
-     * and votes again in the same term for another. Cause: a promise that leaves before it is durable.
+     * Guards against the loss of an accepted configuration: a replica grants a vote, loses power before the vote is on
+     * its disk, and grants a second vote in the same term.
      */
     @Example
-    void aVoteLeavesOnlyAfterItIsDurable() {
-        Replica replica = member(OWN);
+    void aVoteIsSentOnlyAfterItIsDurable() {
+        Replica replica = member(OWN_IDENTITY);
         now += Durations.nanos(2_000);
-        replica.accept(now, OTHER, vote(5), out);
+        replica.accept(now, OTHER, voteRequest(5), out);
         replica.tick(now, out);
         assertThat(out.take(Envelope::hasVoteAnswer)).isEmpty();
         replica.accept(now, Address.STORAGE, persisted(1), out);
@@ -51,24 +51,24 @@
     }
 
     @Example
-    void aReplicaThatJustStartedDoesNotVoteYet() {
-        Replica replica = member(OWN);
-        replica.accept(now, OTHER, vote(5), out);
+    void aReplicaGrantsNoVoteRightAfterItsStart() {
+        Replica replica = member(OWN_IDENTITY);
+        replica.accept(now, OTHER, voteRequest(5), out);
         replica.tick(now, out);
         assertThat(out.take(Envelope::hasVoteAnswer).getFirst().getVoteAnswer().getGranted())
                 .isFalse();
     }
 
     /*
-     * A group of three runs on two disks for good. A disk is replaced, and the leader writes on to the address for the
-     * identity that died with it; the new replica follows, never asks to join, and its log is never counted. Cause:
-     * messages that named an address but no identity.
+     * Guards against a group of three that stays at two disks: a disk is replaced, and the leader goes on sending to
+     * the address for the identity of the old disk. With messages that named only an address, the new replica followed,
+     * never asked to join, and its log never counted.
      */
     @Example
-    void anAppendMeantForALostDiskIsNotFollowed() {
+    void anAppendForTheIdentityOfALostDiskIsIgnored() {
         Replica fresh = start(DurableState.fresh(99));
         AppendRequest append = AppendRequest.newBuilder()
-                .setHeader(header(3, OWN))
+                .setHeader(header(3, OWN_IDENTITY))
                 .setPreviousIndex(1)
                 .setPreviousTerm(1)
                 .build();
@@ -82,20 +82,20 @@
     }
 
     /*
-     * A repaired replica never catches up and the group runs on two disks. It stood for election and has a newer term
-     * than the leader, which sends it a snapshot again and again. Cause: a snapshot of an older term was dropped in
-     * silence, so the leader never heard of the term and never stepped down for a new election.
+     * Guards against a replica that never catches up: it was a candidate and has a newer term than the leader, which
+     * sends it the same snapshot repeatedly. When the replica dropped snapshots of an older term without an answer, the
+     * leader never learned of the newer term and never stepped down.
      */
     @Example
-    void aLeaderThatSendsASnapshotInAnOlderTermIsToldOfTheNewerOne() {
-        Replica replica = member(OWN);
+    void aSnapshotOfAnOlderTermIsAnsweredWithTheNewerTerm() {
+        Replica replica = member(OWN_IDENTITY);
         now += Durations.nanos(2_000);
-        replica.accept(now, OTHER, vote(5), out);
+        replica.accept(now, OTHER, voteRequest(5), out);
         replica.tick(now, out);
         replica.accept(now, Address.STORAGE, persisted(1), out);
         out.take(message -> true);
         SnapshotPart old = SnapshotPart.newBuilder()
-                .setHeader(header(3, OWN))
+                .setHeader(header(3, OWN_IDENTITY))
                 .setSnapshot(snapshot())
                 .build();
         replica.accept(now, OTHER, Envelope.newBuilder().setSnapshotPart(old).build(), out);
@@ -109,25 +109,26 @@
     }
 
     @Example
-    void anIdentityThatIsNoMemberDoesNotStandForElection() {
-        Replica stranger = member(99);
-        stranger.tick(now, out);
+    void aReplicaThatIsNoMemberAsksToJoinAndStartsNoElection() {
+        Replica nonMember = member(99);
+        nonMember.tick(now, out);
         now += Durations.nanos(5_000);
-        stranger.tick(now, out);
+        nonMember.tick(now, out);
         assertThat(out.take(message -> message.hasVoteRequest() || message.hasJoinRequest()))
                 .isNotEmpty()
                 .allMatch(Envelope::hasJoinRequest);
     }
 
     /*
-     * After a restart without a quorum an entry goes back to an older configuration. Its control process had told it a
-     * version, restarted, and no longer knew that the version was committed. Cause: the commit index lived in memory.
+     * Guards against an entry that returns to an older configuration after a restart without a quorum: its control
+     * process had published a version, restarted, and no longer knew that the version was committed, as the commit
+     * index was only in memory.
      */
     @Example
-    void whatWasToldAsAcceptedIsStillKnownAfterARestartWithoutAQuorum() {
+    void aPublishedCommitIsKnownAfterARestartWithoutAQuorum() {
         HardState hard = HardState.newBuilder()
                 .setCluster(1)
-                .setIdentity(OWN)
+                .setIdentity(OWN_IDENTITY)
                 .setTerm(1)
                 .setCommit(2)
                 .build();
@@ -152,7 +153,7 @@
         return Replica.start(
                 settings,
                 state,
-                new NoMachine(),
+                new EmptyStateMachine(),
                 now,
                 RandomSource.XO_RO_SHI_RO_128_PP.create(1),
                 Invariants.throwing());
@@ -160,8 +161,8 @@
 
     private static Snapshot snapshot() {
         Membership membership = Membership.newBuilder()
-                .addVoters(voter(SELF, OWN))
-                .addVoters(voter(OTHER, OTHERS))
+                .addVoters(voter(SELF, OWN_IDENTITY))
+                .addVoters(voter(OTHER, OTHER_IDENTITY))
                 .addVoters(voter(THIRD, 3))
                 .build();
         return Snapshot.newBuilder()
@@ -183,14 +184,14 @@
                 .setGroup("g")
                 .setCluster(1)
                 .setTerm(term)
-                .setIdentity(OTHERS)
+                .setIdentity(OTHER_IDENTITY)
                 .setTarget(target)
                 .build();
     }
 
-    private static Envelope vote(long term) {
+    private static Envelope voteRequest(long term) {
         VoteRequest request = VoteRequest.newBuilder()
-                .setHeader(header(term, OWN))
+                .setHeader(header(term, OWN_IDENTITY))
                 .setLastIndex(1)
                 .setLastTerm(1)
                 .build();
@@ -203,8 +204,8 @@
                 .build();
     }
 
-    /** A machine without state. */
-    private static final class NoMachine implements ReplicatedStateMachine {
+    /** A state machine without state. */
+    private static final class EmptyStateMachine implements ReplicatedStateMachine {
         @Override
         public void apply(LogEntry entry) {
             // Nothing to change.
