--- a/src/main/java/org/cuminshelf/storage/CorruptLogException.java
+++ b/src/main/java/org/cuminshelf/storage/CorruptLogException.java
@@ -2,15 +2,18 @@
 
 import java.io.IOException;
 
-/** A log has a bad record before one that was synced: what it promised can't be known, so it must not be used. */
+/**
+ * Thrown when a log has an invalid record before a record that was synced later. The replica may have granted votes or
+ * acknowledged entries that can't be read any more, so the log must not be used.
+ */
 public final class CorruptLogException extends IOException {
 
     private static final long serialVersionUID = 1L;
 
     /**
-     * Says where the damage is.
+     * Creates the exception.
      *
-     * @param message what was found, and what to do
+     * @param message the file, the position of the invalid record, and how to recover
      */
     public CorruptLogException(String message) {
         super(message);
--- a/src/main/java/org/cuminshelf/storage/FileLogDevice.java
+++ b/src/main/java/org/cuminshelf/storage/FileLogDevice.java
@@ -10,7 +10,7 @@
 import java.nio.file.StandardCopyOption;
 import java.nio.file.StandardOpenOption;
 
-/** A log in a file of the data folder. */
+/** A log device backed by a file, which is locked against other processes through a {@code .lock} file beside it. */
 public final class FileLogDevice implements LogDevice {
 
     private final Path file;
@@ -26,11 +26,11 @@
     }
 
     /**
-     * Opens the file, making it and its folder where they are absent.
+     * Opens and locks the file, after creating it and its folder if they don't exist.
      *
      * @param file the file
      * @return the device
-     * @throws IOException if it can't be opened, or another process holds it
+     * @throws IOException if the file can't be opened, or is locked by another process or device
      */
     public static FileLogDevice open(Path file) throws IOException {
         Files.createDirectories(file.getParent());
@@ -39,7 +39,8 @@
         FileLock lock = tryLock(lockChannel);
         if (lock == null) {
             lockChannel.close();
-            throw new IOException(file + ": another process uses this data folder; stop it or name another folder");
+            throw new IOException(
+                    file + ": another process uses this data folder; stop that process or configure another folder");
         }
         FileLogDevice device = new FileLogDevice(file, lockChannel, lock);
         syncFolder(file.getParent());
@@ -49,21 +50,21 @@
     private static FileLock tryLock(FileChannel channel) throws IOException {
         try {
             return channel.tryLock();
-        } catch (OverlappingFileLockException heldHere) {
+        } catch (OverlappingFileLockException lockedInThisProcess) {
             return null;
         }
     }
 
     private static FileChannel openAtEnd(Path file) throws IOException {
-        FileChannel opened =
+        FileChannel openedChannel =
                 FileChannel.open(file, StandardOpenOption.CREATE, StandardOpenOption.READ, StandardOpenOption.WRITE);
-        opened.position(opened.size());
-        return opened;
+        openedChannel.position(openedChannel.size());
+        return openedChannel;
     }
 
     private static void syncFolder(Path folder) throws IOException {
-        try (FileChannel opened = FileChannel.open(folder, StandardOpenOption.READ)) {
-            opened.force(true);
+        try (FileChannel openedChannel = FileChannel.open(folder, StandardOpenOption.READ)) {
+            openedChannel.force(true);
         }
     }
 
@@ -94,9 +95,12 @@
 
     @Override
     public void replace(byte[] content) throws IOException {
-        Path fresh = file.resolveSibling(file.getFileName() + ".new");
+        Path replacement = file.resolveSibling(file.getFileName() + ".new");
         try (FileChannel target = FileChannel.open(
-                fresh, StandardOpenOption.CREATE, StandardOpenOption.WRITE, StandardOpenOption.TRUNCATE_EXISTING)) {
+                replacement,
+                StandardOpenOption.CREATE,
+                StandardOpenOption.WRITE,
+                StandardOpenOption.TRUNCATE_EXISTING)) {
             ByteBuffer buffer = ByteBuffer.wrap(content);
             while (buffer.hasRemaining()) {
                 target.write(buffer);
@@ -104,7 +108,7 @@
             target.force(true);
         }
         channel.close();
-        Files.move(fresh, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+        Files.move(replacement, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
         syncFolder(file.getParent());
         channel = openAtEnd(file);
     }
--- a/src/main/java/org/cuminshelf/storage/GroupLog.java
+++ b/src/main/java/org/cuminshelf/storage/GroupLog.java
@@ -15,25 +15,31 @@
 import org.cuminshelf.replica.DurableState;
 
 /**
- * The durable log of one group. Each record stands behind a header: a mark, its length, a CRC-32C over the rest, and
- * the length of the log that was already synced when it was written.
+ * The durable log of one group. Each record is preceded by a header: magic number, payload length, CRC-32C of the
+ * remaining header and the payload, and the length of the log that was synced when the record was written.
  *
- * <p>A bad record at the end was never synced, so nothing was promised on it, and it is cut. A bad record before one
- * that was written when the bad one was synced already is damage: the log is refused, for the replica may have
- * promised what it can no longer read.
+ * <p>An invalid record at the end was never synced, so no message depended on it, and the log is truncated there. An
+ * invalid record is corruption if a later valid record shows that it had been synced: opening the log then fails, as
+ * the replica may have granted votes or acknowledged entries that it can no longer read.
  */
 public final class GroupLog implements AutoCloseable {
 
-    private static final int MARK = 0x43554d31;
-    private static final int HEADER = 4 + 4 + 4 + 8;
-    private static final int CHECKED_FROM = 12;
-    private static final int LARGEST_RECORD = 256 << 20;
+    /** The start of each record: "CUM1" in ASCII. */
+    private static final int MAGIC = 0x43554d31;
+    /** Magic number, payload length, checksum, synced length. */
+    private static final int HEADER_BYTES = 4 + 4 + 4 + 8;
+    /** Offset in a record of the synced length, where the checksummed part starts. */
+    private static final int SYNCED_LENGTH_OFFSET = 12;
+
+    private static final int MAX_PAYLOAD_BYTES = 256 << 20;
 
     private final LogDevice device;
     private final String name;
     private DurableState recovered;
+    /** Length of the log in bytes. */
     private long length;
-    private long synced;
+    /** Length of the synced part in bytes. */
+    private long syncedLength;
 
     private GroupLog(LogDevice device, String name) {
         this.device = device;
@@ -41,13 +47,14 @@
     }
 
     /**
-     * Opens a log and recovers what it holds. A new log is given its identity at once, durably.
+     * Opens a log and recovers its state. A new log is given an identity, which is synced before this method returns.
      *
-     * @param device      where it lies
-     * @param name        how to name it in errors
-     * @param newIdentity identity to take if the log is new, never used before
+     * @param device      the storage of the log
+     * @param name        the name of the log in error messages
+     * @param newIdentity the identity for a new log, never used before
      * @return the log
-     * @throws IOException if it can't be read or is damaged
+     * @throws CorruptLogException if a synced record is invalid
+     * @throws IOException if the log can't be read or written
      */
     public static GroupLog open(LogDevice device, String name, long newIdentity) throws IOException {
         GroupLog log = new GroupLog(device, name);
@@ -63,7 +70,7 @@
     }
 
     /**
-     * What was found when the log was opened.
+     * Returns the state that was recovered when the log was opened.
      *
      * @return the state
      */
@@ -72,39 +79,39 @@
     }
 
     /**
-     * Writes records; they are durable after {@link #sync()}. A snapshot also drops what it replaces.
+     * Writes records, which are durable after {@link #sync()}. A snapshot record compacts the log.
      *
      * @param records the records in order
-     * @throws IOException if they can't be written; the log must not be used any more
+     * @throws IOException if the records can't be written; the log must not be used any more
      */
     public void write(List<LogRecord> records) throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-        boolean compact = false;
+        boolean hasSnapshot = false;
         for (LogRecord record : records) {
             encode(record, bytes);
-            compact |= record.hasSnapshot();
+            hasSnapshot |= record.hasSnapshot();
         }
         device.append(bytes.toByteArray());
         length += bytes.size();
-        if (compact) {
+        if (hasSnapshot) {
             compact();
         }
     }
 
     /**
-     * Makes all records written durable.
+     * Makes all written records durable.
      *
-     * @throws IOException if that can't be known; the log must not be used any more
+     * @throws IOException if the records may not be durable; the log must not be used any more
      */
     public void sync() throws IOException {
         device.sync();
-        synced = length;
+        syncedLength = length;
     }
 
     /**
-     * The length of the log.
+     * Returns the length of the log.
      *
-     * @return bytes
+     * @return the length in bytes
      */
     public long length() {
         return length;
@@ -117,15 +124,19 @@
 
     private void encode(LogRecord record, ByteArrayOutputStream target) {
         byte[] payload = record.toByteArray();
-        ByteBuffer buffer = ByteBuffer.allocate(HEADER + payload.length);
-        buffer.putInt(MARK).putInt(payload.length).putInt(0).putLong(synced).put(payload);
+        ByteBuffer buffer = ByteBuffer.allocate(HEADER_BYTES + payload.length);
+        buffer.putInt(MAGIC)
+                .putInt(payload.length)
+                .putInt(0)
+                .putLong(syncedLength)
+                .put(payload);
         buffer.putInt(8, checksum(buffer.array(), 0, payload.length));
         target.writeBytes(buffer.array());
     }
 
     private static int checksum(byte[] content, int start, int payloadLength) {
         CRC32C crc = new CRC32C();
-        crc.update(content, start + CHECKED_FROM, 8 + payloadLength);
+        crc.update(content, start + SYNCED_LENGTH_OFFSET, 8 + payloadLength);
         return (int) crc.getValue();
     }
 
@@ -139,14 +150,14 @@
                 break;
             }
             replay.add(record.get());
-            position += HEADER + payloadLength(content, position);
+            position += HEADER_BYTES + payloadLength(content, position);
         }
         if (position < content.length) {
-            refuseIfDamaged(content, position);
+            failIfSynced(content, position);
             device.truncate(position);
         }
         length = position;
-        synced = position;
+        syncedLength = position;
         recovered = replay.state();
     }
 
@@ -155,63 +166,65 @@
     }
 
     private static Optional<LogRecord> decode(byte[] content, int position) {
-        if (content.length - position < HEADER) {
+        if (content.length - position < HEADER_BYTES) {
             return Optional.empty();
         }
         ByteBuffer buffer = ByteBuffer.wrap(content);
         int payload = buffer.getInt(position + 4);
-        boolean plausible = buffer.getInt(position) == MARK
+        boolean plausible = buffer.getInt(position) == MAGIC
                 && payload >= 0
-                && payload <= LARGEST_RECORD
-                && payload <= content.length - position - HEADER;
+                && payload <= MAX_PAYLOAD_BYTES
+                && payload <= content.length - position - HEADER_BYTES;
         if (!plausible || buffer.getInt(position + 8) != checksum(content, position, payload)) {
             return Optional.empty();
         }
         try {
-            return Optional.of(LogRecord.parser().parseFrom(content, position + HEADER, payload));
+            return Optional.of(LogRecord.parser().parseFrom(content, position + HEADER_BYTES, payload));
         } catch (InvalidProtocolBufferException e) {
             return Optional.empty();
         }
     }
 
-    private void refuseIfDamaged(byte[] content, int bad) throws CorruptLogException {
+    /** Throws if a valid record after the invalid one was written when the invalid one had been synced. */
+    private void failIfSynced(byte[] content, int invalidPosition) throws CorruptLogException {
         ByteBuffer buffer = ByteBuffer.wrap(content);
-        for (int position = bad + 1; position <= content.length - HEADER; position++) {
-            boolean readable =
-                    buffer.getInt(position) == MARK && decode(content, position).isPresent();
-            if (readable && buffer.getLong(position + CHECKED_FROM) > bad) {
-                throw new CorruptLogException(name + ": damaged at byte " + bad
-                        + ", before records that were synced; move the folder away and start this replica anew,"
+        for (int position = invalidPosition + 1; position <= content.length - HEADER_BYTES; position++) {
+            boolean readable = buffer.getInt(position) == MAGIC
+                    && decode(content, position).isPresent();
+            if (readable && buffer.getLong(position + SYNCED_LENGTH_OFFSET) > invalidPosition) {
+                throw new CorruptLogException(name + ": corrupt record at byte " + invalidPosition
+                        + ", before synced records; move the folder away and start this replica anew,"
                         + " so that it joins as a learner");
             }
         }
     }
 
+    /** Replaces the log by one that holds only the current state. */
     private void compact() throws IOException {
         Replay replay = new Replay();
         byte[] content = device.read();
         int position = 0;
         while (position < length) {
             replay.add(decode(content, position)
-                    .orElseThrow(() -> new CorruptLogException(name + ": can't be read back")));
-            position += HEADER + payloadLength(content, position);
+                    .orElseThrow(() -> new CorruptLogException(name + ": invalid record found during compaction")));
+            position += HEADER_BYTES + payloadLength(content, position);
         }
         DurableState state = replay.state();
-        synced = 0;
-        ByteArrayOutputStream fresh = new ByteArrayOutputStream();
-        encode(LogRecord.newBuilder().setHardState(state.hardState()).build(), fresh);
+        syncedLength = 0;
+        ByteArrayOutputStream compacted = new ByteArrayOutputStream();
+        encode(LogRecord.newBuilder().setHardState(state.hardState()).build(), compacted);
         state.snapshot()
                 .ifPresent(snapshot ->
-                        encode(LogRecord.newBuilder().setSnapshot(snapshot).build(), fresh));
+                        encode(LogRecord.newBuilder().setSnapshot(snapshot).build(), compacted));
         for (LogEntry entry : state.entries()) {
-            encode(LogRecord.newBuilder().setEntry(entry).build(), fresh);
+            encode(LogRecord.newBuilder().setEntry(entry).build(), compacted);
         }
-        device.replace(fresh.toByteArray());
-        length = fresh.size();
-        synced = length;
+        device.replace(compacted.toByteArray());
+        length = compacted.size();
+        syncedLength = length;
     }
 
-    /** Gathers the state from records in order. */
+    /** Rebuilds the state from the records in their order. */
     private static final class Replay {
 
         private HardState hardState = HardState.getDefaultInstance();
@@ -222,29 +235,30 @@
             switch (record.getRecordCase()) {
                 case HARD_STATE -> hardState = record.getHardState();
                 case ENTRY -> {
-                    cutFrom(record.getEntry().getIndex());
+                    truncateFrom(record.getEntry().getIndex());
                     entries.add(record.getEntry());
                 }
-                case CUT_FROM -> cutFrom(record.getCutFrom());
-                case SNAPSHOT -> take(record.getSnapshot());
+                case CUT_FROM -> truncateFrom(record.getCutFrom());
+                case SNAPSHOT -> installSnapshot(record.getSnapshot());
                 case RECORD_NOT_SET -> {
-                    // A record of a later version; nothing in it concerns this one.
+                    // Written by a later version, which allows this one to ignore it.
                 }
             }
         }
 
-        private void cutFrom(long index) {
+        private void truncateFrom(long index) {
             while (!entries.isEmpty() && entries.getLast().getIndex() >= index) {
                 entries.removeLast();
             }
         }
 
-        private void take(Snapshot taken) {
-            snapshot = Optional.of(taken);
-            boolean follows = entries.stream()
-                    .anyMatch(entry -> entry.getIndex() == taken.getIndex() && entry.getTerm() == taken.getTerm());
-            if (follows) {
-                entries.removeIf(entry -> entry.getIndex() <= taken.getIndex());
+        private void installSnapshot(Snapshot installed) {
+            snapshot = Optional.of(installed);
+            boolean containsSnapshot = entries.stream()
+                    .anyMatch(entry ->
+                            entry.getIndex() == installed.getIndex() && entry.getTerm() == installed.getTerm());
+            if (containsSnapshot) {
+                entries.removeIf(entry -> entry.getIndex() <= installed.getIndex());
             } else {
                 entries.clear();
             }
--- a/src/main/java/org/cuminshelf/storage/LogDevice.java
+++ b/src/main/java/org/cuminshelf/storage/LogDevice.java
@@ -2,46 +2,46 @@
 
 import java.io.IOException;
 
-/** Where a group's log lies. What was appended is durable only after {@link #sync()} returned. */
+/** The storage of a group's log. Appended bytes are durable only after {@link #sync()} has returned. */
 public interface LogDevice extends AutoCloseable {
 
     /**
-     * Reads everything.
+     * Reads the whole content.
      *
      * @return the content, empty for a new device
-     * @throws IOException if it can't be read
+     * @throws IOException if the content can't be read
      */
     byte[] read() throws IOException;
 
     /**
-     * Appends bytes.
+     * Appends bytes to the content.
      *
      * @param bytes the bytes
-     * @throws IOException if they can't be written
+     * @throws IOException if the bytes can't be written
      */
     void append(byte[] bytes) throws IOException;
 
     /**
-     * Makes everything appended durable. An error is final: the system may have dropped the bytes, so a second call
-     * would report success for bytes that are lost.
+     * Makes all appended bytes durable. Must not be retried after an error: the operating system may have dropped the
+     * bytes, and a second call would report success although they are lost.
      *
-     * @throws IOException if it can't be known to be durable
+     * @throws IOException if the bytes may not be durable
      */
     void sync() throws IOException;
 
     /**
-     * Cuts the content, durably.
+     * Truncates the content durably.
      *
-     * @param length the length to keep
-     * @throws IOException if it can't be cut
+     * @param length the remaining length in bytes
+     * @throws IOException if the content can't be truncated
      */
     void truncate(long length) throws IOException;
 
     /**
-     * Replaces the whole content at once, durably: after a crash either the old or the new content is there.
+     * Replaces the whole content atomically and durably: after a crash either the old or the new content exists.
      *
      * @param content the new content
-     * @throws IOException if it can't be replaced
+     * @throws IOException if the content can't be replaced
      */
     void replace(byte[] content) throws IOException;
 
--- a/src/main/java/org/cuminshelf/storage/package-info.java
+++ b/src/main/java/org/cuminshelf/storage/package-info.java
@@ -1,5 +1,4 @@
 /**
- * The files of a control process: one synced, checksummed log for each group. The format is described in
- * docs/STORAGE.md.
+ * Durable storage of a control process: one checksummed log for each group. docs/STORAGE.md describes the format.
  */
 package org.cuminshelf.storage;
--- a/src/test/java/org/cuminshelf/storage/GroupLogTest.java
+++ b/src/test/java/org/cuminshelf/storage/GroupLogTest.java
@@ -17,13 +17,13 @@
 import org.cuminshelf.message.Snapshot;
 import org.cuminshelf.replica.DurableState;
 
-/** The durable log and what is left of it after a crash, cut at every place. */
+/** The durable log and its recovery after a crash that left part of the unsynced bytes on the disk. */
 class GroupLogTest {
 
     private static final int ENTRIES = 12;
 
     @Example
-    void whatWasSyncedIsThereAfterARestart() throws IOException {
+    void syncedRecordsAreRecoveredAfterARestart() throws IOException {
         Path file = file();
         long identity;
         try (GroupLog log = open(file, 7)) {
@@ -37,12 +37,13 @@
     }
 
     /*
-     * A replica does not start after a power cut, or starts without an entry it acknowledged. The last records were
-     * written but not synced, and any part of them may be on the disk. Cause: a torn tail.
+     * Guards against a replica that doesn't start after a power loss, or starts without an entry that it acknowledged.
+     * The last records were written but not synced, and any part of them may be on the disk.
      */
     @Property(tries = 300, seed = "4711")
-    void aTornTailIsCutAndNothingSyncedIsLost(
-            @ForAll @IntRange(min = 0, max = 400) int kept, @ForAll @IntRange(min = 0, max = 400) int flipped)
+    void aTornTailIsTruncatedAndNoSyncedRecordIsLost(
+            @ForAll @IntRange(min = 0, max = 400) int keptUnsyncedBytes,
+            @ForAll @IntRange(min = 0, max = 400) int corruptedByte)
             throws IOException {
         Path file = file();
         try (GroupLog log = open(file, 7)) {
@@ -55,10 +56,10 @@
             }
         }
         byte[] content = Files.readAllBytes(file);
-        int length = (int) Math.min(content.length, synced + kept);
+        int length = (int) Math.min(content.length, synced + keptUnsyncedBytes);
         byte[] torn = Arrays.copyOf(content, length);
         if (length > synced) {
-            torn[(int) synced + flipped % (int) (length - synced)] ^= 0x11;
+            torn[(int) synced + corruptedByte % (int) (length - synced)] ^= 0x11;
         }
         Files.write(file, torn);
         try (GroupLog log = open(file, 8)) {
@@ -69,20 +70,22 @@
     }
 
     /*
-     * A replica forgets a vote or an entry it promised, and two leaders are elected. A byte on its disk went bad, and
-     * the log was cut there as if it had been torn. Cause: damage taken for a torn tail.
+     * Guards against the election of two leaders after a byte of a synced record was corrupted and the log was
+     * truncated there, as if the record hadn't been synced: the replica then lacks a vote or an entry that it
+     * acknowledged.
      */
     @Property(tries = 100, seed = "4712")
-    void damageBeforeSyncedRecordsIsRefused(@ForAll @IntRange(min = 0, max = 300) int at) throws IOException {
+    void aCorruptRecordBeforeSyncedOnesFailsTheOpening(@ForAll @IntRange(min = 0, max = 300) int corruptedByte)
+            throws IOException {
         Path file = file();
-        long early;
+        long firstSyncedLength;
         try (GroupLog log = open(file, 7)) {
             write(log, 1, ENTRIES);
-            early = log.length();
+            firstSyncedLength = log.length();
             write(log, ENTRIES + 1, 2 * ENTRIES);
         }
         byte[] content = Files.readAllBytes(file);
-        content[(int) (at % early)] ^= 0x11;
+        content[(int) (corruptedByte % firstSyncedLength)] ^= 0x11;
         Files.write(file, content);
         assertThatThrownBy(() -> open(file, 8))
                 .isInstanceOf(CorruptLogException.class)
@@ -91,7 +94,7 @@
     }
 
     @Example
-    void aSnapshotTakesThePlaceOfWhatItCovers() throws IOException {
+    void aSnapshotReplacesTheEntriesItCovers() throws IOException {
         Path file = file();
         try (GroupLog log = open(file, 7)) {
             write(log, 1, ENTRIES);
