--- a/src/main/java/org/cuminshelf/sidecar/AttemptJournal.java
+++ b/src/main/java/org/cuminshelf/sidecar/AttemptJournal.java
@@ -10,35 +10,36 @@
 import org.cuminshelf.core.Durations;
 
 /**
- * The table of sessions and attempts. It lives in memory only: after a restart no session of the earlier incarnation
- * is known, and nothing is sworn about its attempts.
+ * The sessions of the entries and their attempts, in memory only. After a restart the sessions of the earlier
+ * incarnation are unknown, and the journal makes no statement about their attempts.
  */
 final class AttemptJournal {
 
-    private static final long SESSION_IDLE = Durations.nanos(600_000);
+    private static final long SESSION_IDLE_TIMEOUT_NANOS = Durations.nanos(600_000);
 
-    private record EntryKey(Address entry, long incarnation) {}
+    private record EntryIncarnation(Address entry, long incarnation) {}
 
     private final UniformRandomProvider random;
     private final Map<Long, EntrySession> sessions = new TreeMap<>();
-    private final Map<EntryKey, EntrySession> byEntry = new HashMap<>();
-    private final Map<Long, AttemptRecord> running = new TreeMap<>();
-    private long nextAttempt = 1;
-    private long promptWaiting;
+    private final Map<EntryIncarnation, EntrySession> sessionsByEntry = new HashMap<>();
+    private final Map<Long, AttemptRecord> runningAttempts = new TreeMap<>();
+    private long nextAttemptId = 1;
+    /** Prompt tokens of running attempts that the upstream hasn't processed yet. */
+    private long pendingPromptTokens;
 
     AttemptJournal(UniformRandomProvider random) {
         this.random = random;
     }
 
-    /** Finds or opens the session of an entry's incarnation. */
+    /** Returns the session of an incarnation of an entry, after creating it if it doesn't exist. */
     EntrySession open(long now, Address entry, long incarnation) {
-        EntrySession row = byEntry.computeIfAbsent(new EntryKey(entry, incarnation), key -> {
-            EntrySession made = new EntrySession(newSessionId(), entry, incarnation);
-            sessions.put(made.id, made);
-            return made;
+        EntrySession session = sessionsByEntry.computeIfAbsent(new EntryIncarnation(entry, incarnation), key -> {
+            EntrySession created = new EntrySession(newSessionId(), entry, incarnation);
+            sessions.put(created.id, created);
+            return created;
         });
-        row.lastHeard = now;
-        return row;
+        session.lastMessageAt = now;
+        return session;
     }
 
     Optional<EntrySession> session(long id) {
@@ -50,58 +51,58 @@
     }
 
     Optional<AttemptRecord> attempt(long session, long number) {
-        return session(session).map(row -> row.attempts.get(number));
+        return session(session).map(found -> found.attempts.get(number));
     }
 
     Optional<AttemptRecord> runningAttempt(long id) {
-        return Optional.ofNullable(running.get(id));
+        return Optional.ofNullable(runningAttempts.get(id));
     }
 
-    Iterable<AttemptRecord> running() {
-        return running.values();
+    Iterable<AttemptRecord> runningAttempts() {
+        return runningAttempts.values();
     }
 
     int runningCount() {
-        return running.size();
+        return runningAttempts.size();
     }
 
     long newAttemptId() {
-        return nextAttempt++;
+        return nextAttemptId++;
     }
 
-    void started(AttemptRecord row) {
-        row.session.remember(row);
-        running.put(row.id, row);
-        promptWaiting += row.promptWaiting;
+    void attemptStarted(AttemptRecord attempt) {
+        attempt.session.addAttempt(attempt);
+        runningAttempts.put(attempt.id, attempt);
+        pendingPromptTokens += attempt.pendingPromptTokens;
     }
 
-    /** The upstream has taken the prompt in. */
-    void promptTaken(AttemptRecord row) {
-        promptWaiting -= row.promptWaiting;
-        row.promptWaiting = 0;
+    /** Records that the upstream has processed the prompt of an attempt. */
+    void promptProcessed(AttemptRecord attempt) {
+        pendingPromptTokens -= attempt.pendingPromptTokens;
+        attempt.pendingPromptTokens = 0;
     }
 
-    void ended(AttemptRecord row) {
-        promptTaken(row);
-        running.remove(row.id);
+    void attemptEnded(AttemptRecord attempt) {
+        promptProcessed(attempt);
+        runningAttempts.remove(attempt.id);
     }
 
     /**
-     * Prompt tokens that wait at the upstream now. The upstream's own report comes with a lag, in which several entries
-     * would send their prompts to the same engine; this count has none.
+     * Prompt tokens that the upstream hasn't processed yet. Unlike the upstream's own report, this count has no delay,
+     * in which several entries would send their prompts to the same engine.
      */
-    long promptWaiting() {
-        return promptWaiting;
+    long pendingPromptTokens() {
+        return pendingPromptTokens;
     }
 
-    /** Drops sessions that were silent for long and run nothing; their dispatches are refused from then on. */
-    void dropIdle(long now) {
-        Iterator<EntrySession> rows = sessions.values().iterator();
-        while (rows.hasNext()) {
-            EntrySession row = rows.next();
-            if (now - row.lastHeard > SESSION_IDLE && !row.hasRunning()) {
-                rows.remove();
-                byEntry.remove(new EntryKey(row.entry, row.entryIncarnation));
+    /** Removes idle sessions without running attempts. Later dispatches in such a session are refused. */
+    void removeIdleSessions(long now) {
+        Iterator<EntrySession> iterator = sessions.values().iterator();
+        while (iterator.hasNext()) {
+            EntrySession session = iterator.next();
+            if (now - session.lastMessageAt > SESSION_IDLE_TIMEOUT_NANOS && !session.hasRunning()) {
+                iterator.remove();
+                sessionsByEntry.remove(new EntryIncarnation(session.entry, session.entryIncarnation));
             }
         }
     }
--- a/src/main/java/org/cuminshelf/sidecar/AttemptRecord.java
+++ b/src/main/java/org/cuminshelf/sidecar/AttemptRecord.java
@@ -7,12 +7,12 @@
 import org.cuminshelf.message.Ended;
 import org.cuminshelf.message.ExchangeHead;
 
-/** One attempt in the journal of a sidecar. */
+/** One attempt in the journal of a sidecar, with the part of its answer that the entry hasn't confirmed. */
 final class AttemptRecord {
 
-    /** What the journal can swear of an attempt. */
+    /** What the journal guarantees about an attempt. */
     enum State {
-        /** Never started and never will: a late dispatch is refused. */
+        /** Has not started and never will: a late dispatch is refused. */
         FORBIDDEN,
         RUNNING,
         ENDED
@@ -22,19 +22,22 @@
     final EntrySession session;
     final long number;
     State state;
-    /** Tokens the caller held before this attempt. */
-    long firstOffset;
+    /** Number of tokens that the caller had received before this attempt. */
+    long initialLength;
 
     long promptTokens;
-    /** Prompt tokens still to be taken in, as the entry expected; 0 from the first token on. */
-    long promptWaiting;
+    /**
+     * Prompt tokens that the upstream has yet to process, by the entry's estimate; 0 from the first output token on.
+     */
+    long pendingPromptTokens;
 
     final List<String> tokens = new ArrayList<>();
     ExchangeHead head;
     ByteString body = ByteString.EMPTY;
     Ended ended;
+    /** Whether the attempt was ended so that it continues on another engine. */
     boolean moved;
-    /** When the last tokens came. */
+    /** When the last tokens arrived, in nanoseconds. */
     long lastTokensAt;
 
     private AttemptRecord(long id, EntrySession session, long number, State state) {
@@ -44,22 +47,22 @@
         this.state = state;
     }
 
-    /** An attempt handed to the upstream. */
+    /** Creates the record of an attempt that is handed to the upstream. */
     static AttemptRecord running(long id, EntrySession session, Dispatch dispatch) {
-        AttemptRecord row = new AttemptRecord(id, session, dispatch.getNumber(), State.RUNNING);
-        row.firstOffset = dispatch.getGeneration().getHeldCount();
-        row.promptTokens = dispatch.getGeneration().getPromptTokens();
-        row.promptWaiting = dispatch.getPromptCost();
-        return row;
+        AttemptRecord attempt = new AttemptRecord(id, session, dispatch.getNumber(), State.RUNNING);
+        attempt.initialLength = dispatch.getGeneration().getHeldCount();
+        attempt.promptTokens = dispatch.getGeneration().getPromptTokens();
+        attempt.pendingPromptTokens = dispatch.getPromptCost();
+        return attempt;
     }
 
-    /** An attempt that must not start any more. */
+    /** Creates the record of an attempt that must not start. */
     static AttemptRecord forbidden(EntrySession session, long number) {
         return new AttemptRecord(0, session, number, State.FORBIDDEN);
     }
 
-    /** Length of the answer so far, counted from the start of the call. */
+    /** Length of the answer so far in tokens or bytes, counted from the start of the call. */
     long length() {
-        return firstOffset + tokens.size() + body.size();
+        return initialLength + tokens.size() + body.size();
     }
 }
--- a/src/main/java/org/cuminshelf/sidecar/EntrySession.java
+++ b/src/main/java/org/cuminshelf/sidecar/EntrySession.java
@@ -3,20 +3,23 @@
 import java.util.TreeMap;
 import org.cuminshelf.core.Address;
 
-/** The session of one incarnation of an entry with this incarnation of the sidecar. */
+/** The session between one incarnation of an entry and this incarnation of the sidecar. */
 final class EntrySession {
 
-    /** Attempts remembered for each session; older ones are folded into the floor. */
-    static final int REMEMBERED_ATTEMPTS = 512;
+    /** Attempts kept for each session; older ones that have ended are covered by {@link #floor}. */
+    static final int MAX_REMEMBERED_ATTEMPTS = 512;
 
     final long id;
     final Address entry;
     final long entryIncarnation;
+    /** Attempts by number. */
     final TreeMap<Long, AttemptRecord> attempts = new TreeMap<>();
-    long lastHeard;
-    /** An attempt at or below this number which is not in the table is refused. */
+    /** When the last message of the entry arrived, in nanoseconds. */
+    long lastMessageAt;
+    /** An attempt with this or a lower number that isn't in {@link #attempts} is refused. */
     long floor;
 
+    /** The highest attempt number seen. */
     long highestNumber;
 
     EntrySession(long id, Address entry, long entryIncarnation) {
@@ -26,14 +29,14 @@
     }
 
     /**
-     * Remembers an attempt, folding the oldest that no longer run into the floor. Guards against a journal that grows
-     * without bound: a number at or below the floor is refused, so forgetting its row can't let it start.
+     * Adds an attempt. Removes the oldest attempts that aren't running and raises the floor over them, so that the
+     * journal doesn't grow without bound; an attempt at or below the floor is refused, so a removed one can't start.
      */
-    void remember(AttemptRecord row) {
-        attempts.put(row.number, row);
-        highestNumber = Math.max(highestNumber, row.number);
-        while (attempts.size() > REMEMBERED_ATTEMPTS) {
-            Long oldest = oldestFinished();
+    void addAttempt(AttemptRecord attempt) {
+        attempts.put(attempt.number, attempt);
+        highestNumber = Math.max(highestNumber, attempt.number);
+        while (attempts.size() > MAX_REMEMBERED_ATTEMPTS) {
+            Long oldest = oldestNotRunning();
             if (oldest == null) {
                 return;
             }
@@ -43,13 +46,13 @@
     }
 
     boolean hasRunning() {
-        return attempts.values().stream().anyMatch(row -> row.state == AttemptRecord.State.RUNNING);
+        return attempts.values().stream().anyMatch(attempt -> attempt.state == AttemptRecord.State.RUNNING);
     }
 
-    private Long oldestFinished() {
-        for (AttemptRecord row : attempts.values()) {
-            if (row.state != AttemptRecord.State.RUNNING) {
-                return row.number;
+    private Long oldestNotRunning() {
+        for (AttemptRecord attempt : attempts.values()) {
+            if (attempt.state != AttemptRecord.State.RUNNING) {
+                return attempt.number;
             }
         }
         return null;
--- a/src/main/java/org/cuminshelf/sidecar/OrderExecutor.java
+++ b/src/main/java/org/cuminshelf/sidecar/OrderExecutor.java
@@ -18,44 +18,56 @@
 import org.cuminshelf.message.UpstreamState;
 
 /**
- * Carries out orders on the upstream, one at a time, and refuses those whose authority is gone.
+ * Carries out orders on the upstream, one at a time, and refuses outdated ones. Times are in nanoseconds.
  *
- * <p>Failures it guards against, and how:
+ * <p>Guards against these failures:
  * <ul>
- *   <li>An order of a deposed control process arrives late. Its fencing number is below the highest one seen, or it
- *       names an earlier incarnation of this sidecar; either way it is refused here, whether or not the upstream
- *       checks numbers itself.</li>
- *   <li>The sidecar restarts and has lost the highest number. Orders name the incarnation they are meant for, and the
- *       group gives none to this incarnation before it has closed those of the earlier one.</li>
- *   <li>A write of the earlier incarnation is still on its way to the upstream. No order is carried out before
- *       {@link #WAIT_OUT} has passed and the upstream was read and is at rest; an order starts within
- *       {@link #LONGEST_START} or never.</li>
- *   <li>The upstream crashes in the middle of a change. The outcome is read back from it, never assumed.</li>
+ *   <li>An order of a control process that is no longer the leader arrives late. Its fencing number is below the
+ *       highest one seen, or it names an earlier incarnation of this sidecar, and it is refused, even if the upstream
+ *       doesn't check fencing numbers.</li>
+ *   <li>The sidecar restarts and loses the highest fencing number. Orders name the incarnation that they are for, and
+ *       the control group issues none to this incarnation before it has closed those of the earlier one.</li>
+ *   <li>A write of the earlier incarnation is still in transit to the upstream. No order is carried out before
+ *       {@link #STARTUP_QUIET_NANOS} have passed and a read has then shown the upstream to be idle; an order is written
+ *       within {@link #MAX_START_DELAY_NANOS} of its arrival or never.</li>
+ *   <li>The upstream crashes during a change. The outcome is read back from the upstream, never assumed.</li>
  * </ul>
  */
 final class OrderExecutor {
 
-    /** An order is written within this time of its arrival or not at all. */
-    static final long LONGEST_START = Durations.nanos(40_000);
+    /** An order that hasn't been written to the upstream within this time of its arrival expires. */
+    static final long MAX_START_DELAY_NANOS = Durations.nanos(40_000);
 
-    /** Silence kept after a start: a write of a dead predecessor is at most a socket buffer away. */
-    static final long WAIT_OUT = Durations.nanos(2_500);
+    /**
+     * Time after the start in which no order is carried out: a write of an earlier sidecar process can at most still be
+     * in a socket buffer.
+     */
+    static final long STARTUP_QUIET_NANOS = Durations.nanos(2_500);
 
     private static final long NO_TOKEN = Long.MAX_VALUE;
-    private static final long READ_AGAIN = Durations.nanos(200);
-    private static final long DRAIN_PATIENCE = Durations.nanos(1_500);
+    private static final long READ_RETRY_NANOS = Durations.nanos(200);
+    private static final long MAX_DRAIN_NANOS = Durations.nanos(1_500);
 
     private final SidecarSettings settings;
     private final long incarnation;
     private final long startedAt;
     private final Invariants invariants;
+    /** The order being carried out, or null. */
     private OrderInProgress current;
+
     private OrderReport lastReport;
-    private long fence;
+    /** The highest fencing number of an accepted order. */
+    private long highestFencingNumber;
+
     private long nextToken = 1;
+    /**
+     * Upstream states that answer a read with a lower token are ignored; {@link #NO_TOKEN} before the quiet time ends.
+     */
     private long firstValidToken = NO_TOKEN;
-    private boolean rested;
-    private boolean settled;
+    /** Whether the newest valid state showed the upstream to be idle. */
+    private boolean isIdle;
+
+    private boolean hasSettled;
     private long nextRead;
     private boolean draining;
     private long lastTick;
@@ -68,24 +80,25 @@
         this.nextRead = startedAt;
     }
 
-    long lastOrder() {
-        return fence;
+    long highestFencingNumber() {
+        return highestFencingNumber;
     }
 
-    /** Whether a change keeps new work away. */
+    /** Whether a role change is in progress, during which the upstream takes no new work. */
     boolean isChanging() {
         return current != null && current.order.getBody().getKindCase() == OrderBody.KindCase.CHANGE_ROLE;
     }
 
     /**
-     * Whether no order of a predecessor can reach the upstream any more. Failure this guards against: a sidecar dies
-     * right after it wrote a role change; its successor starts streams, and the change lands and cuts them.
+     * Whether no order of an earlier sidecar process can reach the upstream any more. Guards against streams cut by a
+     * role change that an earlier process wrote right before it died, and that arrives after this process started
+     * streams.
      */
     boolean isSettled() {
-        return settled;
+        return hasSettled;
     }
 
-    /** Whether operators withdrew the upstream. */
+    /** Whether an operator has drained the upstream. */
     boolean isDraining() {
         return draining;
     }
@@ -96,27 +109,27 @@
             report(out, control, sent.getGroup(), order.getNumber(), false, Cause.WRONG_INCARNATION);
             return;
         }
-        if (order.getNumber() < fence) {
+        if (order.getNumber() < highestFencingNumber) {
             report(out, control, sent.getGroup(), order.getNumber(), false, Cause.STALE_ORDER);
             return;
         }
-        if (order.getNumber() == fence) {
+        if (order.getNumber() == highestFencingNumber) {
             repeatReport(out, control);
             return;
         }
         if (current != null && current.phase != OrderInProgress.Phase.DRAINING) {
             return;
         }
-        fence = order.getNumber();
-        long startBefore = now + Math.min(LONGEST_START, Durations.nanos(sent.getStartWithinMs()));
-        askAnew(now);
-        long patience = Math.min(DRAIN_PATIENCE, (startBefore - now) / 2);
-        current = new OrderInProgress(order, control, sent.getGroup(), startBefore, now + patience);
+        highestFencingNumber = order.getNumber();
+        long startBefore = now + Math.min(MAX_START_DELAY_NANOS, Durations.nanos(sent.getStartWithinMs()));
+        restartReads(now);
+        long drainTime = Math.min(MAX_DRAIN_NANOS, (startBefore - now) / 2);
+        current = new OrderInProgress(order, control, sent.getGroup(), startBefore, now + drainTime);
     }
 
-    /** From here on only answers to new questions count. */
-    private void askAnew(long now) {
-        rested = false;
+    /** Ignores the answers to earlier reads, and reads the upstream again. */
+    private void restartReads(long now) {
+        isIdle = false;
         nextRead = now;
         if (firstValidToken != NO_TOKEN) {
             firstValidToken = nextToken;
@@ -124,28 +137,28 @@
     }
 
     private void repeatReport(Outbox out, Address control) {
-        if (lastReport != null && lastReport.getNumber() == fence) {
+        if (lastReport != null && lastReport.getNumber() == highestFencingNumber) {
             out.send(control, Envelope.newBuilder().setOrderReport(lastReport));
         }
     }
 
     /**
-     * Takes the upstream's own word. Only the answer to a question asked after the wait, or after the present step
-     * began, counts: a write of a predecessor may land after an earlier reading found the upstream at rest, and a
-     * reading may lie in a buffer while this process is paused.
+     * Processes the state of the upstream. Only the answer to a read that was sent after the quiet time, and after the
+     * current phase of the order began, is valid: a write of an earlier process may arrive after an earlier read has
+     * found the upstream idle, and an answer may stay in a buffer while this process is paused.
      */
     void onState(long now, UpstreamState state, LoadReport load, Outbox out) {
         if (!state.getReachable() || state.getChanging()) {
-            rested = false;
+            isIdle = false;
             return;
         }
         if (state.getToken() < firstValidToken) {
             return;
         }
-        rested = true;
-        settled = true;
+        isIdle = true;
+        hasSettled = true;
         if (current != null && current.phase == OrderInProgress.Phase.READING_BACK) {
-            boolean applied = isInForce(current.order.getBody(), load);
+            boolean applied = isApplied(current.order.getBody(), load);
             finish(out, applied, applied ? Cause.CAUSE_NONE : Cause.UPSTREAM_ERROR);
         }
     }
@@ -154,26 +167,26 @@
         if (current == null || applied.getNumber() != current.order.getNumber()) {
             return;
         }
-        boolean never = applied.getCause() == Cause.ORDER_EXPIRED || applied.getCause() == Cause.STALE_ORDER;
-        if (!applied.getAccepted() && never) {
+        boolean wasNotWritten = applied.getCause() == Cause.ORDER_EXPIRED || applied.getCause() == Cause.STALE_ORDER;
+        if (!applied.getAccepted() && wasNotWritten) {
             finish(out, false, applied.getCause());
             return;
         }
         current.phase = OrderInProgress.Phase.READING_BACK;
-        askAnew(now);
+        restartReads(now);
     }
 
-    /** Advances the current order. Returns whether the attempts still running should be moved elsewhere. */
-    boolean tick(long now, int running, Outbox out) {
+    /** Advances the current order. Returns whether the attempts still running are to be moved to another engine. */
+    boolean tick(long now, int runningAttempts, Outbox out) {
         lastTick = now;
-        if (firstValidToken == NO_TOKEN && now - startedAt >= WAIT_OUT) {
+        if (firstValidToken == NO_TOKEN && now - startedAt >= STARTUP_QUIET_NANOS) {
             firstValidToken = nextToken;
             nextRead = now;
         }
         if (needsRead() && now >= nextRead) {
             ReadUpstream read = ReadUpstream.newBuilder().setToken(nextToken++).build();
             out.send(Address.UPSTREAM, Envelope.newBuilder().setReadUpstream(read));
-            nextRead = now + READ_AGAIN;
+            nextRead = now + READ_RETRY_NANOS;
         }
         if (current == null || current.phase != OrderInProgress.Phase.DRAINING) {
             return false;
@@ -187,12 +200,12 @@
             finish(out, true, Cause.CAUSE_NONE);
             return false;
         }
-        if (!rested) {
+        if (!isIdle) {
             return false;
         }
-        boolean waitsForWork = isChanging() && running > 0;
-        if (!waitsForWork) {
-            apply(running, out);
+        boolean waitsForAttempts = isChanging() && runningAttempts > 0;
+        if (!waitsForAttempts) {
+            apply(runningAttempts, out);
             return false;
         }
         return now >= current.drainUntil;
@@ -202,22 +215,25 @@
         long due = needsRead() ? nextRead : Core.NEVER;
         if (current != null && current.phase == OrderInProgress.Phase.DRAINING) {
             due = Math.min(due, current.startBefore);
-            due = Math.min(due, ifAhead(current.drainUntil));
-            due = Math.min(due, ifAhead(startedAt + WAIT_OUT));
+            due = Math.min(due, ifInFuture(current.drainUntil));
+            due = Math.min(due, ifInFuture(startedAt + STARTUP_QUIET_NANOS));
         }
         return due;
     }
 
-    /** A time that has passed wakes nobody: what it was waited for is seen at the next tick that has another cause. */
-    private long ifAhead(long time) {
+    /**
+     * Returns a time in the future unchanged, and otherwise {@link Core#NEVER}: a tick has already run since then, and
+     * a due time in the past would make the process spin.
+     */
+    private long ifInFuture(long time) {
         return time > lastTick ? time : Core.NEVER;
     }
 
-    private void apply(int running, Outbox out) {
+    private void apply(int runningAttempts, Outbox out) {
         invariants.check(
-                !isChanging() || running == 0,
+                !isChanging() || runningAttempts == 0,
                 "no-request-cut-by-a-role-change",
-                () -> "order " + current.order.getNumber() + " starts over " + running + " attempts");
+                () -> "order " + current.order.getNumber() + " starts with " + runningAttempts + " running attempts");
         current.phase = OrderInProgress.Phase.APPLYING;
         out.send(
                 Address.UPSTREAM,
@@ -227,13 +243,13 @@
     }
 
     private boolean needsRead() {
-        return !rested || current != null && current.phase == OrderInProgress.Phase.READING_BACK;
+        return !isIdle || current != null && current.phase == OrderInProgress.Phase.READING_BACK;
     }
 
     private void finish(Outbox out, boolean applied, Cause cause) {
-        OrderInProgress done = current;
+        OrderInProgress finished = current;
         current = null;
-        report(out, done.control, done.group, done.order.getNumber(), applied, cause);
+        report(out, finished.control, finished.group, finished.order.getNumber(), applied, cause);
     }
 
     private void report(Outbox out, Address control, String group, long number, boolean applied, Cause cause) {
@@ -244,13 +260,14 @@
                 .setCause(cause)
                 .setGroup(group)
                 .build();
-        if (number == fence) {
+        if (number == highestFencingNumber) {
             lastReport = report;
         }
         out.send(control, Envelope.newBuilder().setOrderReport(report));
     }
 
-    private static boolean isInForce(OrderBody body, LoadReport load) {
+    /** Whether the upstream's state shows the result of an order. */
+    private static boolean isApplied(OrderBody body, LoadReport load) {
         return switch (body.getKindCase()) {
             case CHANGE_ROLE -> load.getRole() == body.getChangeRole();
             case LOAD_MODEL -> load.getModelsList().contains(body.getLoadModel());
--- a/src/main/java/org/cuminshelf/sidecar/OrderInProgress.java
+++ b/src/main/java/org/cuminshelf/sidecar/OrderInProgress.java
@@ -3,24 +3,27 @@
 import org.cuminshelf.core.Address;
 import org.cuminshelf.message.Order;
 
-/** The one order a sidecar is carrying out. */
+/** The order that a sidecar is carrying out; there is at most one. Times are in nanoseconds. */
 final class OrderInProgress {
 
-    /** How far the order is. */
+    /** The progress of the order. */
     enum Phase {
-        /** Waits for the attempts on the upstream to end. */
+        /** Waits until the upstream is idle and, for a role change, until its attempts have ended. */
         DRAINING,
-        /** Was written to the upstream, or may have been. */
+        /** Has been handed to the upstream, which may or may not have received it. */
         APPLYING,
-        /** The upstream's own state is read to learn the outcome. */
+        /** The state of the upstream is being read to determine the outcome. */
         READING_BACK
     }
 
     final Order order;
     final Address control;
     final String group;
+    /** The order must not be written to the upstream after this time. */
     final long startBefore;
+    /** Attempts still running at this time are moved to another engine. */
     final long drainUntil;
+
     Phase phase = Phase.DRAINING;
 
     OrderInProgress(Order order, Address control, String group, long startBefore, long drainUntil) {
--- a/src/main/java/org/cuminshelf/sidecar/PrefillRateMeter.java
+++ b/src/main/java/org/cuminshelf/sidecar/PrefillRateMeter.java
@@ -1,41 +1,44 @@
 package org.cuminshelf.sidecar;
 
 /**
- * Prompt tokens that the upstream takes in a second while any wait, as an exponentially weighted mean. Beside running
- * streams an engine takes prompts far slower than alone; first tokens reckoned with the speed it has alone come late.
+ * The prefill rate of the upstream in prompt tokens per second, as an exponentially weighted moving average over the
+ * time in which prompts are pending. An engine processes prompts far more slowly beside running streams than without
+ * them, so a time to first token estimated from its speed without other work would be too short.
  */
 final class PrefillRateMeter {
 
-    private static final double WEIGHT_OF_NEW = 0.1;
+    private static final double SMOOTHING_FACTOR = 0.1;
     private static final double NANOS_PER_SECOND = 1e9;
-    /** Shorter prompts say more of the step they shared than of the speed. */
-    private static final long FEWEST_TOKENS = 128;
+    /** The time of shorter prompts depends more on the batch step that they share than on the prefill rate. */
+    private static final long MIN_SAMPLE_TOKENS = 128;
 
-    private double meanPerSecond;
-    private long busySince;
-    private long takenSinceBusy;
+    private double meanTokensPerSecond;
+    private long sampleStart;
+    private long sampleTokens;
 
-    /** A prompt began to wait. */
-    void waiting(long now, long waitingBefore) {
-        if (waitingBefore == 0) {
-            busySince = now;
-            takenSinceBusy = 0;
+    /** Records a new prompt, and the tokens that were pending before it. */
+    void promptQueued(long now, long pendingTokensBefore) {
+        if (pendingTokensBefore == 0) {
+            sampleStart = now;
+            sampleTokens = 0;
         }
     }
 
-    /** A prompt was taken in. */
-    void taken(long now, long tokens) {
-        takenSinceBusy += tokens;
-        if (takenSinceBusy < FEWEST_TOKENS || now <= busySince) {
+    /** Records that the upstream has processed a prompt. */
+    void promptProcessed(long now, long tokens) {
+        sampleTokens += tokens;
+        if (sampleTokens < MIN_SAMPLE_TOKENS || now <= sampleStart) {
             return;
         }
-        double rate = takenSinceBusy * NANOS_PER_SECOND / (now - busySince);
-        meanPerSecond = meanPerSecond == 0 ? rate : meanPerSecond + WEIGHT_OF_NEW * (rate - meanPerSecond);
-        busySince = now;
-        takenSinceBusy = 0;
+        double tokensPerSecond = sampleTokens * NANOS_PER_SECOND / (now - sampleStart);
+        meanTokensPerSecond = meanTokensPerSecond == 0
+                ? tokensPerSecond
+                : meanTokensPerSecond + SMOOTHING_FACTOR * (tokensPerSecond - meanTokensPerSecond);
+        sampleStart = now;
+        sampleTokens = 0;
     }
 
-    int perSecond() {
-        return (int) Math.min(Integer.MAX_VALUE, meanPerSecond);
+    int tokensPerSecond() {
+        return (int) Math.min(Integer.MAX_VALUE, meanTokensPerSecond);
     }
 }
--- a/src/main/java/org/cuminshelf/sidecar/SidecarCore.java
+++ b/src/main/java/org/cuminshelf/sidecar/SidecarCore.java
@@ -31,26 +31,37 @@
 import org.cuminshelf.message.UpstreamPart;
 import org.cuminshelf.message.UpstreamState;
 
-/** The decisions of a sidecar. */
+/**
+ * The deterministic core of a sidecar: sessions and attempts of entries, orders of control processes, and
+ * announcements. Times are in nanoseconds of the local monotonic clock.
+ */
 public final class SidecarCore implements Core {
 
-    private static final long ANNOUNCE_EVERY = Durations.nanos(1_000);
-    private static final long IDLE_CHECK_EVERY = Durations.nanos(60_000);
-    private static final long ENTRY_SILENCE = Durations.nanos(30_000);
-    private static final long LARGEST_ANSWER_BYTES = 1L << 20;
+    private static final long ANNOUNCE_INTERVAL_NANOS = Durations.nanos(1_000);
+    private static final long IDLE_CHECK_INTERVAL_NANOS = Durations.nanos(60_000);
+    /** Time without a message from an entry after which its generations are cancelled. */
+    private static final long ENTRY_TIMEOUT_NANOS = Durations.nanos(30_000);
+
+    private static final long MAX_ANSWER_BYTES = 1L << 20;
     private static final int RETRY_AFTER_BUSY_MILLIS = 250;
 
     private final SidecarSettings settings;
     private final Invariants invariants;
     private final AttemptJournal journal;
     private final OrderExecutor orders;
-    private final InterTokenLatencyMeter gaps = new InterTokenLatencyMeter();
-    private final PrefillRateMeter prefill = new PrefillRateMeter();
+    private final InterTokenLatencyMeter interTokenLatency = new InterTokenLatencyMeter();
+    private final PrefillRateMeter prefillRate = new PrefillRateMeter();
+    /** The newest load report of the upstream. */
     private LoadReport upstreamLoad = LoadReport.getDefaultInstance();
+
     private boolean upstreamReachable;
+    /** Whether this sidecar is shutting down. */
     private boolean leaving;
+
     private boolean stopReported;
-    private boolean wasOpen;
+    /** Whether the upstream took new work at the last tick. */
+    private boolean wasAccepting;
+
     private long nextAnnounce;
     private long nextIdleCheck;
     private long promptTokensDone;
@@ -64,17 +75,17 @@
         this.journal = new AttemptJournal(random);
         this.orders = new OrderExecutor(settings, incarnation, now, invariants);
         this.nextAnnounce = now;
-        this.nextIdleCheck = now + IDLE_CHECK_EVERY;
+        this.nextIdleCheck = now + IDLE_CHECK_INTERVAL_NANOS;
     }
 
     /**
-     * Makes the core of a starting sidecar.
+     * Creates the core of a starting sidecar.
      *
-     * @param settings    its place and upstream
+     * @param settings    the configuration
      * @param incarnation the incarnation of this process, never used before at this address
      * @param now         the time in nanoseconds
      * @param random      the seeded source of session ids
-     * @param invariants  receives the outcome of assertions
+     * @param invariants  receives the results of invariant checks
      * @return the core
      */
     public static SidecarCore start(
@@ -98,25 +109,25 @@
             case ORDER_SENT -> orders.onOrder(now, from, input.getOrderSent(), out);
             case ORDER_APPLIED -> orders.onApplied(now, input.getOrderApplied(), out);
             case UPDATE -> onUpdate(input.getUpdate());
-            case STOP -> leave(now);
+            case STOP -> shutDown(now);
             default -> {
-                // Not a message for a sidecar.
+                // Not addressed to a sidecar.
             }
         }
     }
 
     @Override
     public void tick(long now, Outbox out) {
-        boolean moveAll = orders.tick(now, journal.runningCount(), out);
-        if (moveAll) {
+        boolean mustMoveAttempts = orders.tick(now, journal.runningCount(), out);
+        if (mustMoveAttempts) {
             moveGenerations(out);
         }
-        tellIfOpenChanged(now, out);
+        notifyAcceptingChange(now, out);
         announce(now, out);
         if (now >= nextIdleCheck) {
-            journal.dropIdle(now);
-            cancelForSilentEntries(now, out);
-            nextIdleCheck = now + IDLE_CHECK_EVERY;
+            journal.removeIdleSessions(now);
+            cancelForUnresponsiveEntries(now, out);
+            nextIdleCheck = now + IDLE_CHECK_INTERVAL_NANOS;
         }
         if (leaving && journal.runningCount() == 0 && !stopReported) {
             stopReported = true;
@@ -130,64 +141,65 @@
     }
 
     /**
-     * Tells how many attempts run on the upstream.
+     * Returns how many attempts are running on the upstream.
      *
-     * @return their number
+     * @return the number of attempts
      */
     public int runningAttempts() {
         return journal.runningCount();
     }
 
     /**
-     * Tells whether an order keeps new work from the upstream now.
+     * Returns whether a role change is in progress, during which the upstream takes no new work.
      *
-     * @return true while a role change is on its way
+     * @return true until the role change has ended
      */
     public boolean isRoleChangePending() {
         return orders.isChanging();
     }
 
     private void onOpenSession(long now, Address entry, long entryIncarnation, Outbox out) {
-        EntrySession row = journal.open(now, entry, entryIncarnation);
+        EntrySession attempt = journal.open(now, entry, entryIncarnation);
         out.send(
                 entry,
                 Envelope.newBuilder()
                         .setSessionOpened(SessionOpened.newBuilder()
-                                .setSession(row.id)
+                                .setSession(attempt.id)
                                 .setEntryIncarnation(entryIncarnation)
-                                .setLoad(load(row))));
+                                .setLoad(load(attempt))));
     }
 
     private void onDispatch(long now, Address entry, Dispatch dispatch, Outbox out) {
-        Optional<EntrySession> known = journal.session(dispatch.getSession());
-        if (known.isEmpty()) {
+        Optional<EntrySession> knownSession = journal.session(dispatch.getSession());
+        if (knownSession.isEmpty()) {
             refuse(entry, dispatch, Cause.UNKNOWN_SESSION, 0, null, out);
             return;
         }
-        EntrySession session = known.get();
-        session.lastHeard = now;
-        AttemptRecord earlier = session.attempts.get(dispatch.getNumber());
-        if (earlier != null && earlier.state != AttemptRecord.State.FORBIDDEN) {
+        EntrySession session = knownSession.get();
+        session.lastMessageAt = now;
+        AttemptRecord earlierAttempt = session.attempts.get(dispatch.getNumber());
+        if (earlierAttempt != null && earlierAttempt.state != AttemptRecord.State.FORBIDDEN) {
             return;
         }
-        if (earlier != null || dispatch.getNumber() <= session.floor) {
+        if (earlierAttempt != null || dispatch.getNumber() <= session.floor) {
             refuse(entry, dispatch, Cause.REVOKED, 0, session, out);
             return;
         }
         Optional<Cause> refusal = refusal(dispatch);
         if (refusal.isPresent()) {
-            session.remember(AttemptRecord.forbidden(session, dispatch.getNumber()));
+            session.addAttempt(AttemptRecord.forbidden(session, dispatch.getNumber()));
             refuse(entry, dispatch, refusal.get(), RETRY_AFTER_BUSY_MILLIS, session, out);
             return;
         }
         start(now, session, dispatch, out);
     }
 
+    /** The reason for which a dispatch must be refused, if there is one. */
     private Optional<Cause> refusal(Dispatch dispatch) {
         if (leaving || orders.isDraining()) {
             return Optional.of(Cause.LEAVING);
         }
-        if (orders.isChanging() || isUnsettled()) {
+        if (orders.isChanging() || mayReceiveEarlierOrder()) {
             return Optional.of(Cause.ROLE_CHANGING);
         }
         if (journal.runningCount() >= settings.slots()) {
@@ -200,24 +212,24 @@
         return Optional.empty();
     }
 
-    /** An engine takes no work before every order of an earlier sidecar must have landed; services take no orders. */
-    private boolean isUnsettled() {
+    /** Whether an order of an earlier sidecar process may still reach the upstream; plain services get no orders. */
+    private boolean mayReceiveEarlierOrder() {
         return settings.kind() == UpstreamKind.UPSTREAM_ENGINE && !orders.isSettled();
     }
 
     private void start(long now, EntrySession session, Dispatch dispatch, Outbox out) {
-        AttemptRecord row = AttemptRecord.running(journal.newAttemptId(), session, dispatch);
-        prefill.waiting(now, journal.promptWaiting());
-        journal.started(row);
+        AttemptRecord attempt = AttemptRecord.running(journal.newAttemptId(), session, dispatch);
+        prefillRate.promptQueued(now, journal.pendingPromptTokens());
+        journal.attemptStarted(attempt);
         StartUpstream.Builder start = StartUpstream.newBuilder()
-                .setAttempt(row.id)
+                .setAttempt(attempt.id)
                 .setPriority(dispatch.getPriority())
                 .setTraceParent(dispatch.getTraceParent());
         switch (dispatch.getWorkCase()) {
             case GENERATION -> start.setGeneration(dispatch.getGeneration());
             case EXCHANGE -> start.setExchange(dispatch.getExchange());
             case WORK_NOT_SET -> {
-                // Refused before.
+                // Refused by the caller of this method.
             }
         }
         out.send(Address.UPSTREAM, Envelope.newBuilder().setStartUpstream(start));
@@ -241,17 +253,17 @@
         if (session.isEmpty()) {
             return;
         }
-        AttemptRecord row = session.get().attempts.get(cancel.getNumber());
-        if (row == null) {
+        AttemptRecord attempt = session.get().attempts.get(cancel.getNumber());
+        if (attempt == null) {
             if (cancel.getNumber() > session.get().floor) {
-                session.get().remember(AttemptRecord.forbidden(session.get(), cancel.getNumber()));
+                session.get().addAttempt(AttemptRecord.forbidden(session.get(), cancel.getNumber()));
             }
             return;
         }
         boolean isGeneration = settings.kind() == UpstreamKind.UPSTREAM_ENGINE;
-        if (row.state == AttemptRecord.State.RUNNING && isGeneration) {
-            cancelUpstream(row, out);
-            end(row, Ran.RAN, Cause.CANCELLED, "cancelled", out);
+        if (attempt.state == AttemptRecord.State.RUNNING && isGeneration) {
+            cancelUpstream(attempt, out);
+            end(attempt, Ran.RAN, Cause.CANCELLED, "cancelled", out);
         }
     }
 
@@ -260,94 +272,96 @@
                 .setSession(revoke.getSession())
                 .setNumber(revoke.getNumber())
                 .setQuestion(revoke.getQuestion());
-        Optional<EntrySession> known = journal.session(revoke.getSession());
-        if (known.isEmpty()) {
+        Optional<EntrySession> knownSession = journal.session(revoke.getSession());
+        if (knownSession.isEmpty()) {
             answer.setState(AttemptState.ATTEMPT_UNKNOWN);
             out.sendOnNewConnection(entry, Envelope.newBuilder().setRevokeAnswer(answer));
             return;
         }
-        EntrySession session = known.get();
-        session.lastHeard = now;
-        AttemptRecord row = session.attempts.get(revoke.getNumber());
-        if (row == null && revoke.getNumber() <= session.floor) {
+        EntrySession session = knownSession.get();
+        session.lastMessageAt = now;
+        AttemptRecord attempt = session.attempts.get(revoke.getNumber());
+        if (attempt == null && revoke.getNumber() <= session.floor) {
             answer.setState(AttemptState.ATTEMPT_UNKNOWN);
-        } else if (row == null) {
-            session.remember(AttemptRecord.forbidden(session, revoke.getNumber()));
+        } else if (attempt == null) {
+            session.addAttempt(AttemptRecord.forbidden(session, revoke.getNumber()));
             answer.setState(AttemptState.ATTEMPT_NOT_RUN);
         } else {
-            answer.setState(stateOf(row));
-            if (row.state != AttemptRecord.State.FORBIDDEN) {
-                describe(row, entry, revoke, answer, out);
+            answer.setState(stateOf(attempt));
+            if (attempt.state != AttemptRecord.State.FORBIDDEN) {
+                addResult(attempt, entry, revoke, answer, out);
             }
         }
         out.sendOnNewConnection(entry, Envelope.newBuilder().setRevokeAnswer(answer));
     }
 
-    private static AttemptState stateOf(AttemptRecord row) {
-        return switch (row.state) {
+    private static AttemptState stateOf(AttemptRecord attempt) {
+        return switch (attempt.state) {
             case FORBIDDEN -> AttemptState.ATTEMPT_NOT_RUN;
             case RUNNING -> AttemptState.ATTEMPT_RUNNING;
-            case ENDED -> row.ended.getRan() == Ran.NOT_RUN ? AttemptState.ATTEMPT_NOT_RUN : AttemptState.ATTEMPT_ENDED;
+            case ENDED ->
+                attempt.ended.getRan() == Ran.NOT_RUN ? AttemptState.ATTEMPT_NOT_RUN : AttemptState.ATTEMPT_ENDED;
         };
     }
 
-    /** Tells the asker what it lacks: the owner gets the missing chunks again, another entry the whole answer. */
-    private void describe(AttemptRecord row, Address asker, Revoke revoke, RevokeAnswer.Builder answer, Outbox out) {
-        if (asker.equals(row.session.entry)) {
-            resend(row, revoke.getHeld(), out);
+    /** Adds the result of an attempt: its own entry gets the missing chunks again, another entry the whole answer. */
+    private void addResult(
+            AttemptRecord attempt, Address requester, Revoke revoke, RevokeAnswer.Builder answer, Outbox out) {
+        if (requester.equals(attempt.session.entry)) {
+            resend(attempt, revoke.getHeld(), out);
             return;
         }
-        if (row.state == AttemptRecord.State.ENDED) {
-            answer.setEnded(row.ended).setBody(row.body);
-            if (row.head != null) {
-                answer.setHead(row.head);
+        if (attempt.state == AttemptRecord.State.ENDED) {
+            answer.setEnded(attempt.ended).setBody(attempt.body);
+            if (attempt.head != null) {
+                answer.setHead(attempt.head);
             }
         }
     }
 
-    private void resend(AttemptRecord row, long held, Outbox out) {
+    private void resend(AttemptRecord attempt, long held, Outbox out) {
         Chunk.Builder chunk = Chunk.newBuilder()
-                .setSession(row.session.id)
-                .setNumber(row.number)
+                .setSession(attempt.session.id)
+                .setNumber(attempt.number)
                 .setOffset(held);
-        if (row.head != null) {
-            chunk.setHead(row.head);
+        if (attempt.head != null) {
+            chunk.setHead(attempt.head);
         }
-        int skip = (int) Math.max(0, held - row.firstOffset);
-        if (skip < row.tokens.size()) {
-            chunk.addAllTokens(row.tokens.subList(skip, row.tokens.size()));
+        int skip = (int) Math.max(0, held - attempt.initialLength);
+        if (skip < attempt.tokens.size()) {
+            chunk.addAllTokens(attempt.tokens.subList(skip, attempt.tokens.size()));
         }
-        if (skip < row.body.size()) {
-            chunk.setBody(row.body.substring(skip));
+        if (skip < attempt.body.size()) {
+            chunk.setBody(attempt.body.substring(skip));
         }
         if (chunk.hasHead() || chunk.getTokensCount() > 0 || !chunk.getBody().isEmpty()) {
-            out.send(row.session.entry, Envelope.newBuilder().setChunk(chunk));
+            out.send(attempt.session.entry, Envelope.newBuilder().setChunk(chunk));
         }
-        if (row.state == AttemptRecord.State.ENDED) {
-            out.send(row.session.entry, Envelope.newBuilder().setEnded(row.ended));
+        if (attempt.state == AttemptRecord.State.ENDED) {
+            out.send(attempt.session.entry, Envelope.newBuilder().setEnded(attempt.ended));
         }
     }
 
     private void onReceived(Received received) {
         journal.attempt(received.getSession(), received.getNumber())
-                .filter(row -> row.state == AttemptRecord.State.ENDED)
-                .ifPresent(row -> {
-                    row.tokens.clear();
-                    row.body = com.google.protobuf.ByteString.EMPTY;
+                .filter(attempt -> attempt.state == AttemptRecord.State.ENDED)
+                .ifPresent(attempt -> {
+                    attempt.tokens.clear();
+                    attempt.body = com.google.protobuf.ByteString.EMPTY;
                 });
     }
 
     private void onHead(org.cuminshelf.message.UpstreamHead head, Outbox out) {
-        journal.runningAttempt(head.getAttempt()).ifPresent(row -> {
-            row.head = head.getHead();
+        journal.runningAttempt(head.getAttempt()).ifPresent(attempt -> {
+            attempt.head = head.getHead();
             out.send(
-                    row.session.entry,
+                    attempt.session.entry,
                     Envelope.newBuilder()
                             .setChunk(Chunk.newBuilder()
-                                    .setSession(row.session.id)
-                                    .setNumber(row.number)
-                                    .setOffset(row.length())
-                                    .setHead(row.head)));
+                                    .setSession(attempt.session.id)
+                                    .setNumber(attempt.number)
+                                    .setOffset(attempt.length())
+                                    .setHead(attempt.head)));
         });
     }
 
@@ -356,54 +370,54 @@
         if (found.isEmpty()) {
             return;
         }
-        AttemptRecord row = found.get();
+        AttemptRecord attempt = found.get();
         Chunk.Builder chunk = Chunk.newBuilder()
-                .setSession(row.session.id)
-                .setNumber(row.number)
-                .setOffset(row.length())
+                .setSession(attempt.session.id)
+                .setNumber(attempt.number)
+                .setOffset(attempt.length())
                 .addAllTokens(part.getTokensList())
                 .setBody(part.getBody());
-        if (row.tokens.isEmpty() && part.getTokensCount() > 0) {
-            promptTokensDone += row.promptTokens;
-            prefill.taken(now, row.promptWaiting);
-            journal.promptTaken(row);
-            chunk.setLoad(load(row.session));
+        if (attempt.tokens.isEmpty() && part.getTokensCount() > 0) {
+            promptTokensDone += attempt.promptTokens;
+            prefillRate.promptProcessed(now, attempt.pendingPromptTokens);
+            journal.promptProcessed(attempt);
+            chunk.setLoad(load(attempt.session));
         }
-        if (!row.tokens.isEmpty() && part.getTokensCount() > 0) {
-            gaps.add(now - row.lastTokensAt, part.getTokensCount());
+        if (!attempt.tokens.isEmpty() && part.getTokensCount() > 0) {
+            interTokenLatency.add(now - attempt.lastTokensAt, part.getTokensCount());
         }
-        row.lastTokensAt = now;
+        attempt.lastTokensAt = now;
         outputTokensDone += part.getTokensCount();
-        out.send(row.session.entry, Envelope.newBuilder().setChunk(chunk));
-        row.tokens.addAll(part.getTokensList());
-        row.body = row.body.concat(part.getBody());
-        if (row.body.size() > LARGEST_ANSWER_BYTES) {
-            end(row, Ran.RAN, Cause.ANSWER_TOO_LARGE, "", out);
+        out.send(attempt.session.entry, Envelope.newBuilder().setChunk(chunk));
+        attempt.tokens.addAll(part.getTokensList());
+        attempt.body = attempt.body.concat(part.getBody());
+        if (attempt.body.size() > MAX_ANSWER_BYTES) {
+            end(attempt, Ran.RAN, Cause.ANSWER_TOO_LARGE, "", out);
         }
     }
 
     private void onEnd(UpstreamEnd end, Outbox out) {
         journal.runningAttempt(end.getAttempt())
-                .ifPresent(row -> end(row, end.getRan(), end.getCause(), end.getFinishReason(), out));
+                .ifPresent(attempt -> end(attempt, end.getRan(), end.getCause(), end.getFinishReason(), out));
     }
 
-    private void end(AttemptRecord row, Ran ran, Cause cause, String finishReason, Outbox out) {
+    private void end(AttemptRecord attempt, Ran ran, Cause cause, String finishReason, Outbox out) {
         invariants.check(
-                row.state == AttemptRecord.State.RUNNING,
+                attempt.state == AttemptRecord.State.RUNNING,
                 "an-attempt-ends-once",
-                () -> "attempt " + row.number + " of session " + row.session.id + " ended twice");
-        journal.ended(row);
-        row.state = AttemptRecord.State.ENDED;
+                () -> "attempt " + attempt.number + " of session " + attempt.session.id + " ended twice");
+        journal.attemptEnded(attempt);
+        attempt.state = AttemptRecord.State.ENDED;
         Ended.Builder ended = Ended.newBuilder()
-                .setSession(row.session.id)
-                .setNumber(row.number)
-                .setLength(row.length())
+                .setSession(attempt.session.id)
+                .setNumber(attempt.number)
+                .setLength(attempt.length())
                 .setRan(ran)
                 .setCause(cause)
                 .setFinishReason(finishReason);
-        row.ended = ended.build();
-        ended.setLoad(load(row.session));
-        out.send(row.session.entry, Envelope.newBuilder().setEnded(ended));
+        attempt.ended = ended.build();
+        ended.setLoad(load(attempt.session));
+        out.send(attempt.session.entry, Envelope.newBuilder().setEnded(ended));
     }
 
     private void onState(long now, UpstreamState state, Outbox out) {
@@ -414,60 +428,63 @@
         orders.onState(now, state, upstreamLoad, out);
     }
 
-    /** A configuration is taken only where it is newer; whatever comes late or from a stale process changes nothing. */
+    /** Ignores versions that aren't newer, from a delayed message or an outdated process. */
     private void onUpdate(org.cuminshelf.message.Update update) {
         configVersion = Math.max(configVersion, update.getConfigVersion());
     }
 
-    private void leave(long now) {
+    private void shutDown(long now) {
         leaving = true;
         nextAnnounce = now;
     }
 
-    /** Ends the generations that outlast a change's patience; their entries go on with them on another engine. */
+    /** Ends the generations still running at the end of a drain time; their entries continue them on another engine. */
     private void moveGenerations(Outbox out) {
-        for (AttemptRecord row : java.util.List.copyOf(asCollection(journal.running()))) {
-            if (!row.moved) {
-                row.moved = true;
-                cancelUpstream(row, out);
-                end(row, Ran.RAN, Cause.MOVED, "", out);
+        for (AttemptRecord attempt : java.util.List.copyOf(copyOf(journal.runningAttempts()))) {
+            if (!attempt.moved) {
+                attempt.moved = true;
+                cancelUpstream(attempt, out);
+                end(attempt, Ran.RAN, Cause.MOVED, "", out);
             }
         }
     }
 
-    private static java.util.Collection<AttemptRecord> asCollection(Iterable<AttemptRecord> rows) {
+    private static java.util.Collection<AttemptRecord> copyOf(Iterable<AttemptRecord> attempts) {
         java.util.List<AttemptRecord> copy = new java.util.ArrayList<>();
-        rows.forEach(copy::add);
+        attempts.forEach(copy::add);
         return copy;
     }
 
-    private void cancelForSilentEntries(long now, Outbox out) {
+    private void cancelForUnresponsiveEntries(long now, Outbox out) {
         if (settings.kind() != UpstreamKind.UPSTREAM_ENGINE) {
             return;
         }
-        for (AttemptRecord row : asCollection(journal.running())) {
-            if (now - row.session.lastHeard > ENTRY_SILENCE) {
-                cancelUpstream(row, out);
-                end(row, Ran.RAN, Cause.CANCELLED, "cancelled", out);
+        for (AttemptRecord attempt : copyOf(journal.runningAttempts())) {
+            if (now - attempt.session.lastMessageAt > ENTRY_TIMEOUT_NANOS) {
+                cancelUpstream(attempt, out);
+                end(attempt, Ran.RAN, Cause.CANCELLED, "cancelled", out);
             }
         }
     }
 
-    private static void cancelUpstream(AttemptRecord row, Outbox out) {
+    private static void cancelUpstream(AttemptRecord attempt, Outbox out) {
         out.send(
                 Address.UPSTREAM,
                 Envelope.newBuilder()
-                        .setCancelUpstream(CancelUpstream.newBuilder().setAttempt(row.id)));
+                        .setCancelUpstream(CancelUpstream.newBuilder().setAttempt(attempt.id)));
     }
 
-    /** Tells entries and control at once when the upstream begins or ceases to take work. */
-    private void tellIfOpenChanged(long now, Outbox out) {
-        boolean isOpen =
-                upstreamReachable && !leaving && !orders.isDraining() && !orders.isChanging() && !isUnsettled();
-        if (isOpen == wasOpen) {
+    /** Notifies entries and control processes at once when the upstream starts or stops taking new work. */
+    private void notifyAcceptingChange(long now, Outbox out) {
+        boolean isAccepting = upstreamReachable
+                && !leaving
+                && !orders.isDraining()
+                && !orders.isChanging()
+                && !mayReceiveEarlierOrder();
+        if (isAccepting == wasAccepting) {
             return;
         }
-        wasOpen = isOpen;
+        wasAccepting = isAccepting;
         nextAnnounce = now;
         for (EntrySession session : journal.sessions()) {
             out.send(session.entry, Envelope.newBuilder().setLoadReport(load(session)));
@@ -478,7 +495,7 @@
         if (now < nextAnnounce) {
             return;
         }
-        nextAnnounce = now + ANNOUNCE_EVERY;
+        nextAnnounce = now + ANNOUNCE_INTERVAL_NANOS;
         if (!upstreamReachable && !leaving) {
             out.send(
                     Address.UPSTREAM,
@@ -505,9 +522,9 @@
                 .setZone(settings.zone())
                 .setVm(settings.vm())
                 .setLoad(load(null))
-                .setLeaving(leaving || orders.isDraining() || !upstreamReachable || isUnsettled())
+                .setLeaving(leaving || orders.isDraining() || !upstreamReachable || mayReceiveEarlierOrder())
                 .setChecksFence(settings.checksFence())
-                .setLastOrder(orders.lastOrder())
+                .setLastOrder(orders.highestFencingNumber())
                 .setConfigVersion(configVersion)
                 .build();
     }
@@ -515,12 +532,12 @@
     private LoadReport load(EntrySession session) {
         LoadReport.Builder load = upstreamLoad.toBuilder()
                 .setRunning(journal.runningCount())
-                .setQueuedPromptTokens(journal.promptWaiting())
-                .setPrefillPerS(prefill.perSecond())
-                .setTokenGapUs(gaps.micros(journal.runningCount()))
+                .setQueuedPromptTokens(journal.pendingPromptTokens())
+                .setPrefillPerS(prefillRate.tokensPerSecond())
+                .setTokenGapUs(interTokenLatency.micros(journal.runningCount()))
                 .setSlots(settings.slots())
                 .setLeaving(leaving || orders.isDraining())
-                .setChanging(orders.isChanging() || !upstreamReachable || isUnsettled())
+                .setChanging(orders.isChanging() || !upstreamReachable || mayReceiveEarlierOrder())
                 .setPromptTokensDone(promptTokensDone)
                 .setOutputTokensDone(outputTokensDone);
         if (session != null) {
--- a/src/main/java/org/cuminshelf/sidecar/SidecarSettings.java
+++ b/src/main/java/org/cuminshelf/sidecar/SidecarSettings.java
@@ -5,16 +5,16 @@
 import org.cuminshelf.message.UpstreamKind;
 
 /**
- * What a sidecar is told about its place and its upstream.
+ * The configuration of a sidecar: its location and its upstream.
  *
- * @param service     the plain service, or empty for an engine
+ * @param service     the name of the plain service, or empty for an engine
  * @param kind        engine or plain service
  * @param region      the region of the VM
  * @param zone        the availability zone of the VM
  * @param vm          the name of the VM
- * @param slots       attempts it runs at once; more are refused
- * @param checksFence whether the upstream itself refuses an order with an old fencing number
- * @param control     the control processes to announce to
+ * @param slots       maximum number of concurrent attempts; further ones are refused
+ * @param checksFence whether the upstream itself refuses orders with an outdated fencing number
+ * @param control     the addresses of the control processes that get announcements
  */
 public record SidecarSettings(
         String service,
--- a/src/main/java/org/cuminshelf/sidecar/package-info.java
+++ b/src/main/java/org/cuminshelf/sidecar/package-info.java
@@ -1,5 +1,6 @@
 /**
- * The process beside each upstream: the only way calls and orders reach it. It keeps the journal of attempts that
- * lets an entry swear that a request did not run, guards the upstream against old orders, and announces it.
+ * The sidecar process of an upstream, through which all calls and orders reach it. It keeps the journal of attempts, by
+ * which an entry can guarantee that a request did not run, protects the upstream from outdated orders, and announces it
+ * to the control processes.
  */
 package org.cuminshelf.sidecar;
--- a/src/test/java/org/cuminshelf/sidecar/SidecarCoreTest.java
+++ b/src/test/java/org/cuminshelf/sidecar/SidecarCoreTest.java
@@ -28,14 +28,14 @@
 import org.cuminshelf.message.UpstreamKind;
 import org.cuminshelf.message.UpstreamState;
 
-/** The journal of a sidecar and its guard against old orders. */
+/** Attempts and orders of a sidecar: late dispatches, outdated orders and orders of an earlier sidecar process. */
 class SidecarCoreTest {
 
     private static final Address ENTRY = Address.of("10.0.1.1:7000");
     private static final Address CONTROL = Address.of("10.0.0.1:7000");
     private static final long INCARNATION = 5;
-    /** A reading that answers the newest question. */
-    private static final long NEWEST = Long.MAX_VALUE - 1;
+    /** The token of a state that answers the newest read. */
+    private static final long NEWEST_TOKEN = Long.MAX_VALUE - 1;
 
     private final RecordingOutbox out = new RecordingOutbox();
     private final SidecarCore core = sidecar(UpstreamKind.UPSTREAM_ENGINE);
@@ -43,39 +43,39 @@
     private long session;
 
     /*
-     * A board is reserved though its caller was told "not run". The dispatch is slow, the entry revokes it, the sidecar
-     * swears that it did not run, and then the dispatch arrives. Cause: bytes on their way when the question was asked.
+     * Guards against an attempt that runs after its caller got "not run": the dispatch is delayed, the entry revokes
+     * it, the sidecar answers that it did not run, and then the dispatch arrives.
      */
     @Example
     void aDispatchThatArrivesAfterItsRevokeIsRefused() {
-        open();
-        give(ENTRY, revoke(3));
+        openSession();
+        deliver(ENTRY, revoke(3));
         assertThat(out.take(Envelope::hasRevokeAnswer)
                         .getFirst()
                         .getRevokeAnswer()
                         .getState())
                 .isEqualTo(AttemptState.ATTEMPT_NOT_RUN);
-        give(ENTRY, dispatch(3));
+        deliver(ENTRY, dispatch(3));
         List<Envelope> sent = out.take(message -> message.hasStartUpstream() || message.hasRefused());
         assertThat(sent).hasSize(1);
         assertThat(sent.getFirst().getRefused().getCause()).isEqualTo(Cause.REVOKED);
     }
 
     @Example
-    void theSameHoldsAfterTheJournalForgotTheRevoke() {
-        open();
-        for (long number = 1; number <= 3L * EntrySession.REMEMBERED_ATTEMPTS; number++) {
-            give(ENTRY, revoke(number));
+    void aRevokedDispatchIsRefusedAfterItsRecordWasRemoved() {
+        openSession();
+        for (long number = 1; number <= 3L * EntrySession.MAX_REMEMBERED_ATTEMPTS; number++) {
+            deliver(ENTRY, revoke(number));
         }
         out.take(message -> true);
-        give(ENTRY, dispatch(1));
+        deliver(ENTRY, dispatch(1));
         assertThat(out.take(Envelope::hasStartUpstream)).isEmpty();
     }
 
     @Example
-    void anAttemptOfAnEarlierIncarnationIsUnknownNotSworn() {
-        open();
-        give(
+    void anAttemptOfAnEarlierIncarnationIsUnknown() {
+        openSession();
+        deliver(
                 ENTRY,
                 Envelope.newBuilder()
                         .setRevoke(Revoke.newBuilder().setSession(session + 1).setNumber(1)));
@@ -87,23 +87,23 @@
     }
 
     @Example
-    void aDispatchThatComesTwiceStartsOnce() {
-        open();
-        give(ENTRY, dispatch(1));
-        give(ENTRY, dispatch(1));
+    void aDuplicateDispatchStartsOneAttempt() {
+        openSession();
+        deliver(ENTRY, dispatch(1));
+        deliver(ENTRY, dispatch(1));
         assertThat(out.take(Envelope::hasStartUpstream)).hasSize(1);
     }
 
     @Example
-    void aLeavingSidecarTakesNoNewWorkAndStopsWhenItsWorkIsDone() {
-        open();
-        give(ENTRY, dispatch(1));
-        give(Address.PROCESS, Envelope.newBuilder().setStop(Stop.getDefaultInstance()));
-        give(ENTRY, dispatch(2));
+    void aSidecarThatShutsDownRefusesNewWorkAndStopsAfterItsLastAttempt() {
+        openSession();
+        deliver(ENTRY, dispatch(1));
+        deliver(Address.PROCESS, Envelope.newBuilder().setStop(Stop.getDefaultInstance()));
+        deliver(ENTRY, dispatch(2));
         List<Envelope> sent = out.take(message -> message.hasRefused() || message.hasStopped());
         assertThat(sent).hasSize(1);
         assertThat(sent.getFirst().getRefused().getCause()).isEqualTo(Cause.LEAVING);
-        give(
+        deliver(
                 Address.UPSTREAM,
                 Envelope.newBuilder()
                         .setUpstreamEnd(UpstreamEnd.newBuilder().setAttempt(1).setRan(Ran.RAN)));
@@ -111,63 +111,63 @@
     }
 
     /*
-     * An engine obeys a control process that lost its authority hours ago. Its order arrives after that of its
-     * successor. Cause: a leader that was cut off; engines that ignore the number are guarded here alone.
+     * Guards against an engine that carries out the order of a deposed leader that was partitioned and whose order
+     * arrives after that of the new leader. Engines that ignore the fencing number are protected only by the sidecar.
      */
     @Example
-    void anOrderWithALowerNumberIsRefused() {
-        rest();
-        give(CONTROL, order(20, INCARNATION));
+    void anOrderWithALowerFencingNumberIsRefused() {
+        makeIdle();
+        deliver(CONTROL, order(20, INCARNATION));
         out.take(message -> true);
-        give(CONTROL, order(19, INCARNATION));
+        deliver(CONTROL, order(19, INCARNATION));
         assertThat(report().getCause()).isEqualTo(Cause.STALE_ORDER);
     }
 
     /*
-     * Two orders meet on one engine. A second order arrives while the first is on its way to the engine. Cause: a
-     * control process that sends before the first is closed; the sidecar holds even then.
+     * Guards against two concurrent orders on one engine, if a control process sends a second order before the first
+     * one is closed.
      */
     @Example
-    void aSecondOrderIsNotTakenWhileTheFirstIsOnItsWayToTheEngine() {
-        rest();
-        give(CONTROL, order(20, INCARNATION));
+    void aSecondOrderIsIgnoredWhileTheFirstIsBeingApplied() {
+        makeIdle();
+        deliver(CONTROL, order(20, INCARNATION));
         state(false, Role.ROLE_MIXED);
         assertThat(out.take(Envelope::hasApplyOrder)).hasSize(1);
-        give(CONTROL, order(21, INCARNATION));
+        deliver(CONTROL, order(21, INCARNATION));
         assertThat(out.take(Envelope::hasApplyOrder)).isEmpty();
     }
 
     @Example
-    void anOrderMeantForAnEarlierIncarnationIsRefused() {
-        rest();
-        give(CONTROL, order(20, INCARNATION - 1));
+    void anOrderForAnEarlierIncarnationIsRefused() {
+        makeIdle();
+        deliver(CONTROL, order(20, INCARNATION - 1));
         assertThat(report().getCause()).isEqualTo(Cause.WRONG_INCARNATION);
     }
 
     /*
-     * Two orders meet on one engine. A sidecar dies right after it wrote an order; its successor carries out the next
-     * one while the first is still on its way. Cause: a write that outlives its process.
+     * Guards against two concurrent orders on one engine: a sidecar dies right after it wrote an order, and its
+     * successor carries out the next one while that write is still in transit.
      */
     @Example
-    void noOrderIsCarriedOutBeforeWritesOfAPredecessorMustHaveLanded() {
+    void noOrderIsCarriedOutWhileAWriteOfAnEarlierProcessMayArrive() {
         state(false, Role.ROLE_MIXED);
-        give(CONTROL, order(20, INCARNATION));
-        pass(1_000);
+        deliver(CONTROL, order(20, INCARNATION));
+        advance(1_000);
         assertThat(out.take(Envelope::hasApplyOrder)).isEmpty();
-        pass(2_000);
+        advance(2_000);
         state(false, Role.ROLE_MIXED);
         assertThat(out.take(Envelope::hasApplyOrder)).hasSize(1);
     }
 
     /*
-     * Two orders meet on one engine. A sidecar restarts and finds the engine at rest; then the write of its predecessor
-     * lands, and the next order is carried out beside it. Cause: a reading from before the end of the wait.
+     * Guards against two concurrent orders on one engine: a restarted sidecar reads the engine as idle before the quiet
+     * time has ended, the write of its predecessor arrives, and the next order is carried out as well.
      */
     @Example
-    void aReadingFromWithinTheWaitDoesNotCount() {
+    void aStateReadDuringTheQuietTimeIsNotValid() {
         state(false, Role.ROLE_MIXED);
-        give(CONTROL, order(20, INCARNATION));
-        pass(2_600);
+        deliver(CONTROL, order(20, INCARNATION));
+        advance(2_600);
         assertThat(out.take(Envelope::hasApplyOrder)).isEmpty();
         state(true, Role.ROLE_MIXED);
         assertThat(out.take(Envelope::hasApplyOrder)).isEmpty();
@@ -176,13 +176,13 @@
     }
 
     /*
-     * The same, after the sidecar stood still: a reading of long ago lies in its buffer and is taken when the wait is
-     * over. Cause: readings that did not say which question they answer.
+     * The same failure after a pause of the sidecar: an old state stays in a buffer and is processed after the quiet
+     * time. States therefore carry the token of the read that they answer.
      */
     @Example
-    void aReadingThatAnswersAQuestionFromWithinTheWaitDoesNotCountLater() {
-        give(CONTROL, order(20, INCARNATION));
-        pass(5_000);
+    void aLateAnswerToAReadDuringTheQuietTimeIsNotValid() {
+        deliver(CONTROL, order(20, INCARNATION));
+        advance(5_000);
         state(false, Role.ROLE_MIXED, 1);
         assertThat(out.take(Envelope::hasApplyOrder)).isEmpty();
         state(false, Role.ROLE_MIXED);
@@ -190,44 +190,44 @@
     }
 
     /*
-     * A draft is cut by a planned change. A sidecar dies right after it wrote a role change; its successor starts a
-     * stream on the engine, and then the change lands. Cause: a write that outlives its process.
+     * Guards against a stream that is cut by a planned role change: a sidecar dies right after it wrote the change, its
+     * successor starts a stream on the engine, and then the change arrives.
      */
     @Example
-    void noStreamStartsBeforeAnOrderOfAPredecessorMustHaveLanded() {
-        give(ENTRY, Envelope.newBuilder().setOpenSession(OpenSession.getDefaultInstance()));
+    void noStreamStartsWhileAnOrderOfAnEarlierProcessMayArrive() {
+        deliver(ENTRY, Envelope.newBuilder().setOpenSession(OpenSession.getDefaultInstance()));
         session = out.take(Envelope::hasSessionOpened)
                 .getFirst()
                 .getSessionOpened()
                 .getSession();
         state(false, Role.ROLE_MIXED);
-        give(ENTRY, dispatch(1));
+        deliver(ENTRY, dispatch(1));
         List<Envelope> sent = out.take(message -> message.hasStartUpstream() || message.hasRefused());
         assertThat(sent).hasSize(1);
         assertThat(sent.getFirst().getRefused().getCause()).isEqualTo(Cause.ROLE_CHANGING);
     }
 
     @Example
-    void anOrderWaitsUntilTheEngineIsAtRest() {
+    void anOrderWaitsUntilTheEngineIsIdle() {
         state(true, Role.ROLE_MIXED);
-        pass(5_000);
-        give(CONTROL, order(20, INCARNATION));
+        advance(5_000);
+        deliver(CONTROL, order(20, INCARNATION));
         assertThat(out.take(Envelope::hasApplyOrder)).isEmpty();
         state(false, Role.ROLE_MIXED);
         assertThat(out.take(Envelope::hasApplyOrder)).hasSize(1);
     }
 
     @Example
-    void aRoleChangeWaitsForTheAttemptsThere() {
-        rest();
-        open();
-        give(ENTRY, dispatch(1));
-        give(CONTROL, order(20, INCARNATION));
-        give(ENTRY, dispatch(2));
+    void aRoleChangeWaitsForTheRunningAttempts() {
+        makeIdle();
+        openSession();
+        deliver(ENTRY, dispatch(1));
+        deliver(CONTROL, order(20, INCARNATION));
+        deliver(ENTRY, dispatch(2));
         List<Envelope> sent = out.take(message -> message.hasApplyOrder() || message.hasRefused());
         assertThat(sent).hasSize(1);
         assertThat(sent.getFirst().getRefused().getCause()).isEqualTo(Cause.ROLE_CHANGING);
-        give(
+        deliver(
                 Address.UPSTREAM,
                 Envelope.newBuilder()
                         .setUpstreamEnd(UpstreamEnd.newBuilder().setAttempt(1).setRan(Ran.RAN)));
@@ -237,9 +237,9 @@
 
     @Example
     void theOutcomeOfAnOrderIsReadBackFromTheEngine() {
-        rest();
-        give(CONTROL, order(20, INCARNATION));
-        give(
+        makeIdle();
+        deliver(CONTROL, order(20, INCARNATION));
+        deliver(
                 Address.UPSTREAM,
                 Envelope.newBuilder()
                         .setOrderApplied(org.cuminshelf.message.OrderApplied.newBuilder()
@@ -253,16 +253,16 @@
     }
 
     /*
-     * A sidecar uses a whole core while an order waits for a long answer to end. Cause: a time that had passed was
-     * given as the time of the next tick, again and again.
+     * Guards against a sidecar that uses a whole CPU core while an order waits for a long answer to end, because the
+     * next tick is due at a time in the past.
      */
     @Example
     void aWaitingOrderDoesNotMakeTheSidecarSpin() {
-        rest();
-        open();
-        give(ENTRY, dispatch(1));
-        give(CONTROL, order(20, INCARNATION));
-        pass(1);
+        makeIdle();
+        openSession();
+        deliver(ENTRY, dispatch(1));
+        deliver(CONTROL, order(20, INCARNATION));
+        advance(1);
         assertThat(core.nextDue()).isGreaterThan(now);
     }
 
@@ -272,35 +272,35 @@
                 settings, INCARNATION, 0, RandomSource.XO_RO_SHI_RO_128_PP.create(1), Invariants.throwing());
     }
 
-    private void give(Address from, Envelope.Builder message) {
+    private void deliver(Address from, Envelope.Builder message) {
         core.accept(now, message.setFrom(from.value()).setIncarnation(1).build(), out);
         core.tick(now, out);
     }
 
-    private void pass(long millis) {
+    private void advance(long millis) {
         now += Durations.nanos(millis);
         core.tick(now, out);
     }
 
-    private void open() {
+    private void openSession() {
         if (now == 0) {
-            rest();
+            makeIdle();
         }
-        give(ENTRY, Envelope.newBuilder().setOpenSession(OpenSession.getDefaultInstance()));
+        deliver(ENTRY, Envelope.newBuilder().setOpenSession(OpenSession.getDefaultInstance()));
         session = out.take(Envelope::hasSessionOpened)
                 .getFirst()
                 .getSessionOpened()
                 .getSession();
     }
 
-    private void rest() {
-        pass(5_000);
+    private void makeIdle() {
+        advance(5_000);
         state(false, Role.ROLE_MIXED);
         out.take(message -> true);
     }
 
     private void state(boolean changing, Role role) {
-        state(changing, role, NEWEST);
+        state(changing, role, NEWEST_TOKEN);
     }
 
     private void state(boolean changing, Role role, long token) {
@@ -310,7 +310,7 @@
                 .setChanging(changing)
                 .setLoad(LoadReport.newBuilder().setRole(role))
                 .build();
-        give(Address.UPSTREAM, Envelope.newBuilder().setUpstreamState(state));
+        deliver(Address.UPSTREAM, Envelope.newBuilder().setUpstreamState(state));
     }
 
     private OrderReport report() {
