--- a/src/main/java/org/cuminshelf/replica/ClusterFormation.java
+++ b/src/main/java/org/cuminshelf/replica/ClusterFormation.java
@@ -79,10 +79,10 @@
     /**
      * Sends a formation query to every peer, and a join request too where a cluster is known to exist.
      *
-     * @param header   the header of the join request
+     * @param header    the header of the join request
      * @param hasNoVote whether this replica belongs to a cluster in which it has no vote
-     * @param members  the addresses of the members in this replica's own log
-     * @param out      receives the messages
+     * @param members   the addresses of the members in this replica's own log
+     * @param out       receives the messages
      */
     void queryPeers(ReplicaHeader header, boolean hasNoVote, Collection<Address> members, Outbox out) {
         boolean clusterExists = answers.values().stream().anyMatch(answer -> answer.getCluster() != 0);
--- a/src/main/java/org/cuminshelf/replica/Replica.java
+++ b/src/main/java/org/cuminshelf/replica/Replica.java
@@ -141,13 +141,13 @@
     /**
      * Starts a replica from its persistent state.
      *
-     * @param settings   the configuration
+     * @param settings     the configuration
      * @param durableState the state read from the disk
      * @param stateMachine the state machine, in its initial state
-     * @param now        the time in nanoseconds, or any earlier time after the last message of an earlier process with
-     *                   this disk; votes are withheld and the election timeout runs from this time
-     * @param random     the seeded source of election timeouts and cluster ids
-     * @param invariants receives the results of invariant checks
+     * @param now          the time in nanoseconds, or any earlier time after the last message of an earlier process
+     *                     with this disk; votes are withheld and the election timeout runs from this time
+     * @param random       the seeded source of election timeouts and cluster ids
+     * @param invariants   receives the results of invariant checks
      * @return the replica
      */
     public static Replica start(
--- a/src/main/java/org/cuminshelf/sidecar/EntrySession.java
+++ b/src/main/java/org/cuminshelf/sidecar/EntrySession.java
@@ -6,7 +6,7 @@
 /** The session between one incarnation of an entry and this incarnation of the sidecar. */
 final class EntrySession {
 
-    /** Attempts kept for each session; older ones that have ended are covered by {@link #floor}. */
+    /** Attempts kept for each session; older ones that aren't running are covered by {@link #floor}. */
     static final int MAX_REMEMBERED_ATTEMPTS = 512;
 
     final long id;
--- a/src/main/java/org/cuminshelf/sidecar/OrderExecutor.java
+++ b/src/main/java/org/cuminshelf/sidecar/OrderExecutor.java
@@ -233,7 +233,7 @@
         invariants.check(
                 !isChanging() || runningAttempts == 0,
                 "no-request-cut-by-a-role-change",
-                () -> "order " + current.order.getNumber() + " starts with " + runningAttempts + " running attempts");
+                () -> "order " + current.order.getNumber() + " starts during " + runningAttempts + " attempts");
         current.phase = OrderInProgress.Phase.APPLYING;
         out.send(
                 Address.UPSTREAM,
--- a/src/test/java/org/cuminshelf/storage/GroupLogTest.java
+++ b/src/test/java/org/cuminshelf/storage/GroupLogTest.java
@@ -75,7 +75,7 @@
      * acknowledged.
      */
     @Property(tries = 100, seed = "4712")
-    void aCorruptRecordBeforeSyncedOnesFailsTheOpening(@ForAll @IntRange(min = 0, max = 300) int corruptedByte)
+    void aCorruptRecordBeforeSyncedRecordsIsRejected(@ForAll @IntRange(min = 0, max = 300) int corruptedByte)
             throws IOException {
         Path file = file();
         long firstSyncedLength;
