--- a/src/main/java/org/cuminshelf/replica/Peer.java
+++ b/src/main/java/org/cuminshelf/replica/Peer.java
@@ -20,7 +20,7 @@
     long acknowledgedRoundSentAt = Long.MIN_VALUE;
 
     /** When entries or a snapshot were last sent. */
-    long sentAt;
+    long lastSentAt;
     /** When the peer last answered; the time of its addition before its first answer. */
     long lastAnswerAt;
 
--- a/src/main/java/org/cuminshelf/replica/Replica.java
+++ b/src/main/java/org/cuminshelf/replica/Replica.java
@@ -727,7 +727,7 @@
         }
         if (peer.nextIndex <= log.lastIndex()
                 && peer.nextIndex > peer.matchIndex + 1
-                && now - peer.sentAt > RESEND_AFTER_NANOS) {
+                && now - peer.lastSentAt > RESEND_AFTER_NANOS) {
             peer.nextIndex = peer.matchIndex + 1;
         }
         if (peer.nextIndex < log.firstIndex() || log.term(peer.nextIndex - 1).isEmpty()) {
@@ -744,17 +744,17 @@
                 .setRound(peers.round())
                 .build();
         if (!entries.isEmpty()) {
-            peer.sentAt = now;
+            peer.lastSentAt = now;
         }
         peer.nextIndex += entries.size();
         out.send(peer.address, Envelope.newBuilder().setAppendRequest(request));
     }
 
     private void sendSnapshot(long now, Peer peer, Outbox out) {
-        if (now - peer.sentAt < RESEND_AFTER_NANOS && peer.sentAt != 0) {
+        if (now - peer.lastSentAt < RESEND_AFTER_NANOS && peer.lastSentAt != 0) {
             return;
         }
-        peer.sentAt = now;
+        peer.lastSentAt = now;
         SnapshotPart part = SnapshotPart.newBuilder()
                 .setHeader(headerTo(peer.identity))
                 .setSnapshot(log.snapshot())
@@ -779,11 +779,11 @@
     }
 
     private void onAppendAnswer(long now, AppendAnswer answer) {
-        Optional<Peer> answering = recordAnswer(now, answer.getHeader(), answer.getRound());
-        if (answering.isEmpty()) {
+        Optional<Peer> sender = recordAnswer(now, answer.getHeader(), answer.getRound());
+        if (sender.isEmpty()) {
             return;
         }
-        Peer peer = answering.get();
+        Peer peer = sender.get();
         if (answer.getMatched()) {
             peer.matchIndex = Math.max(peer.matchIndex, answer.getIndex());
             peer.nextIndex = Math.max(peer.nextIndex, peer.matchIndex + 1);
--- a/src/main/java/org/cuminshelf/sidecar/OrderExecutor.java
+++ b/src/main/java/org/cuminshelf/sidecar/OrderExecutor.java
@@ -67,7 +67,9 @@
     /** Whether the newest valid state showed the upstream to be idle. */
     private boolean isIdle;
 
+    /** See {@link #isSettled()}. */
     private boolean hasSettled;
+
     private long nextRead;
     private boolean draining;
     private long lastTick;
@@ -85,7 +87,7 @@
     }
 
     /** Whether a role change is in progress, during which the upstream takes no new work. */
-    boolean isChanging() {
+    boolean isRoleChangePending() {
         return current != null && current.order.getBody().getKindCase() == OrderBody.KindCase.CHANGE_ROLE;
     }
 
@@ -203,7 +205,7 @@
         if (!isIdle) {
             return false;
         }
-        boolean waitsForAttempts = isChanging() && runningAttempts > 0;
+        boolean waitsForAttempts = isRoleChangePending() && runningAttempts > 0;
         if (!waitsForAttempts) {
             apply(runningAttempts, out);
             return false;
@@ -231,7 +233,7 @@
 
     private void apply(int runningAttempts, Outbox out) {
         invariants.check(
-                !isChanging() || runningAttempts == 0,
+                !isRoleChangePending() || runningAttempts == 0,
                 "no-request-cut-by-a-role-change",
                 () -> "order " + current.order.getNumber() + " starts during " + runningAttempts + " attempts");
         current.phase = OrderInProgress.Phase.APPLYING;
--- a/src/main/java/org/cuminshelf/sidecar/SidecarCore.java
+++ b/src/main/java/org/cuminshelf/sidecar/SidecarCore.java
@@ -155,18 +155,18 @@
      * @return true until the role change has ended
      */
     public boolean isRoleChangePending() {
-        return orders.isChanging();
+        return orders.isRoleChangePending();
     }
 
     private void onOpenSession(long now, Address entry, long entryIncarnation, Outbox out) {
-        EntrySession attempt = journal.open(now, entry, entryIncarnation);
+        EntrySession session = journal.open(now, entry, entryIncarnation);
         out.send(
                 entry,
                 Envelope.newBuilder()
                         .setSessionOpened(SessionOpened.newBuilder()
-                                .setSession(attempt.id)
+                                .setSession(session.id)
                                 .setEntryIncarnation(entryIncarnation)
-                                .setLoad(load(attempt))));
+                                .setLoad(load(session))));
     }
 
     private void onDispatch(long now, Address entry, Dispatch dispatch, Outbox out) {
@@ -199,7 +199,7 @@
         if (leaving || orders.isDraining()) {
             return Optional.of(Cause.LEAVING);
         }
-        if (orders.isChanging() || mayReceiveEarlierOrder()) {
+        if (orders.isRoleChangePending() || mayReceiveEarlierOrder()) {
             return Optional.of(Cause.ROLE_CHANGING);
         }
         if (journal.runningCount() >= settings.slots()) {
@@ -479,7 +479,7 @@
         boolean isAccepting = upstreamReachable
                 && !leaving
                 && !orders.isDraining()
-                && !orders.isChanging()
+                && !orders.isRoleChangePending()
                 && !mayReceiveEarlierOrder();
         if (isAccepting == wasAccepting) {
             return;
@@ -537,7 +537,7 @@
                 .setTokenGapUs(interTokenLatency.micros(journal.runningCount()))
                 .setSlots(settings.slots())
                 .setLeaving(leaving || orders.isDraining())
-                .setChanging(orders.isChanging() || !upstreamReachable || mayReceiveEarlierOrder())
+                .setChanging(orders.isRoleChangePending() || !upstreamReachable || mayReceiveEarlierOrder())
                 .setPromptTokensDone(promptTokensDone)
                 .setOutputTokensDone(outputTokensDone);
         if (session != null) {
