--- a/src/main/java/org/cuminshelf/sidecar/EntrySession.java
+++ b/src/main/java/org/cuminshelf/sidecar/EntrySession.java
@@ -14,7 +14,7 @@
     final long entryIncarnation;
     /** Attempts by number. */
     final TreeMap<Long, AttemptRecord> attempts = new TreeMap<>();
-    /** When the last message of the entry arrived, in nanoseconds. */
+    /** When the entry last opened the session, dispatched or revoked an attempt, in nanoseconds. */
     long lastMessageAt;
     /** An attempt with this or a lower number that isn't in {@link #attempts} is refused. */
     long floor;
--- a/src/main/java/org/cuminshelf/sidecar/SidecarCore.java
+++ b/src/main/java/org/cuminshelf/sidecar/SidecarCore.java
@@ -39,7 +39,7 @@
 
     private static final long ANNOUNCE_INTERVAL_NANOS = Durations.nanos(1_000);
     private static final long IDLE_CHECK_INTERVAL_NANOS = Durations.nanos(60_000);
-    /** Time without a message from an entry after which its generations are cancelled. */
+    /** Generations are cancelled if {@link EntrySession#lastMessageAt} is older than this. */
     private static final long ENTRY_TIMEOUT_NANOS = Durations.nanos(30_000);
 
     private static final long MAX_ANSWER_BYTES = 1L << 20;
