--- a/src/main/java/org/cuminshelf/exchange/CallerConnection.java
+++ b/src/main/java/org/cuminshelf/exchange/CallerConnection.java
@@ -20,27 +20,28 @@
 import org.eclipse.jetty.util.thread.Invocable;
 
 /**
- * A connection of a caller. It goes on reading while an answer is being made, which is how a caller that leaves is
- * noticed at once and its work can be stopped.
+ * The server side of a caller's HTTP/1.1 connection. It keeps reading while a response is pending, so that a disconnect
+ * of the caller is detected at once and the work for it can be cancelled.
  *
- * <p>Failure it guards against: a request is smuggled behind another by framing that two parsers read differently.
- * Jetty's parser refuses both framings together, odd line ends and folded headers; the connection ends with its answer.
+ * <p>Guards against request smuggling, where two parsers interpret the framing of a request differently. Jetty's parser
+ * rejects requests with both kinds of framing, irregular line ends or folded headers, and the connection is closed
+ * after the error response.
  */
 final class CallerConnection extends AbstractConnection implements HttpParser.RequestHandler, CallerExchange {
 
-    /** Milliseconds for which a connection that is being closed still reads, so that the close resets no answer. */
+    /** How long a half-closed connection still reads: closing it with unread input would reset an unread response. */
     private static final long LINGER_MILLIS = 1_000;
 
-    private static final byte[] CHUNK_END = {'\r', '\n'};
+    private static final byte[] CHUNK_TERMINATOR = {'\r', '\n'};
     private static final byte[] LAST_CHUNK = "0\r\n\r\n".getBytes(StandardCharsets.ISO_8859_1);
     private static final byte[] CONTINUE = "HTTP/1.1 100 Continue\r\n\r\n".getBytes(StandardCharsets.ISO_8859_1);
     private static final long NANOS_PER_MILLI = 1_000_000;
-    private static final int TYPICAL_HEAD = 512;
+    private static final int INITIAL_HEAD_BYTES = 512;
 
     private enum Phase {
         IDLE,
         READING,
-        ANSWERING,
+        RESPONDING,
         LINGERING,
         CLOSED
     }
@@ -51,19 +52,19 @@
     private final WriteQueue writes;
     private final ByteArrayOutputStream body = new ByteArrayOutputStream(0);
     private Phase phase = Phase.IDLE;
-    private long since = System.nanoTime();
+    private long phaseStartNanos = System.nanoTime();
     private String method;
     private String target;
     private HttpFields.Mutable headers = HttpFields.build();
-    private boolean closeAfter;
+    private boolean closeAfterResponse;
     private boolean expectsContinue;
     private boolean headersRead;
-    private boolean begun;
-    /** Whether the thread is inside {@link #read()}, which goes on by itself once an answer was given. */
-    private boolean inRead;
+    private boolean responseBegun;
+    /** Whether {@link #read()} is on the stack; its loop continues by itself after a response. */
+    private boolean insideRead;
 
-    /** Bytes of a next request that came before the answer to this one was complete. */
-    private ByteBuffer early;
+    /** Bytes of a pipelined request, received before the response to the current one was complete; or null. */
+    private ByteBuffer earlyBytes;
 
     private final Callback readCallback =
             Callback.from(Invocable.InvocationType.NON_BLOCKING, this::onFillable, this::onReadFailed);
@@ -73,7 +74,7 @@
         this.listener = listener;
         this.lock = listener.lock();
         this.parser = new HttpParser(this, listener.limits().maxHeaderBytes(), HttpCompliance.RFC9110);
-        this.writes = new WriteQueue(endPoint, lock, failure -> onEnd());
+        this.writes = new WriteQueue(endPoint, lock, failure -> onClosed());
     }
 
     @Override
@@ -85,7 +86,7 @@
         }
         lock.lock();
         try {
-            listener.opened(this);
+            listener.register(this);
         } finally {
             lock.unlock();
         }
@@ -95,7 +96,7 @@
     private void onReadFailed(Throwable failure) {
         lock.lock();
         try {
-            onEnd();
+            onClosed();
         } finally {
             lock.unlock();
         }
@@ -107,20 +108,20 @@
         try {
             read();
         } catch (IOException e) {
-            onEnd();
+            onClosed();
         } finally {
             lock.unlock();
         }
     }
 
     private void read() throws IOException {
-        inRead = true;
+        insideRead = true;
         try {
-            while (phase != Phase.CLOSED && early == null) {
-                ByteBuffer buffer = ReadBuffers.take();
+            while (phase != Phase.CLOSED && earlyBytes == null) {
+                ByteBuffer buffer = ReadBuffers.clearedBuffer();
                 int count = ReadBuffers.read(getEndPoint(), buffer);
                 if (count < 0) {
-                    onEnd();
+                    onClosed();
                     return;
                 }
                 if (count == 0) {
@@ -130,7 +131,7 @@
                 parse(buffer);
             }
         } finally {
-            inRead = false;
+            insideRead = false;
         }
     }
 
@@ -138,66 +139,66 @@
         while (buffer.hasRemaining() && (phase == Phase.IDLE || phase == Phase.READING)) {
             if (phase == Phase.IDLE) {
                 phase = Phase.READING;
-                since = System.nanoTime();
+                phaseStartNanos = System.nanoTime();
             }
             parser.parseNext(buffer);
         }
-        if (buffer.hasRemaining() && phase == Phase.ANSWERING) {
-            // The caller sent its next request early. It is kept, and reading stops until the answer is complete.
-            early = ByteBuffer.allocate(buffer.remaining()).put(buffer).flip();
+        if (buffer.hasRemaining() && phase == Phase.RESPONDING) {
+            // A pipelined request. Its bytes are kept, and reading pauses until the current response is complete.
+            earlyBytes = ByteBuffer.allocate(buffer.remaining()).put(buffer).flip();
         }
     }
 
-    /** The connection ended, from whichever side. */
-    private void onEnd() {
+    /** Handles the end of the connection, whichever side closed it. */
+    private void onClosed() {
         if (phase == Phase.CLOSED) {
             return;
         }
-        boolean waited = phase == Phase.ANSWERING;
+        boolean wasResponding = phase == Phase.RESPONDING;
         phase = Phase.CLOSED;
-        listener.closed(this);
+        listener.unregister(this);
         getEndPoint().close();
-        if (waited) {
+        if (wasResponding) {
             listener.handler().onDisconnect(this);
         }
     }
 
-    /** Ends the connection where it is idle for too long or slow to send. Returns nothing; called now and then. */
-    void sweep(long now) {
+    /** Closes the connection if it has been idle or lingering too long, or rejects a request that is too slow. */
+    void checkTimeouts(long nowNanos) {
         CallerLimits limits = listener.limits();
-        long millis = (now - since) / NANOS_PER_MILLI;
+        long phaseMillis = (nowNanos - phaseStartNanos) / NANOS_PER_MILLI;
         switch (phase) {
             case IDLE -> {
-                if (millis > limits.idleTimeoutMillis()) {
-                    onEnd();
+                if (phaseMillis > limits.idleTimeoutMillis()) {
+                    onClosed();
                 }
             }
             case READING -> {
-                if (!headersRead && millis > limits.headerTimeoutMillis()) {
-                    refuse(HttpStatus.REQUEST_TIMEOUT_408, "The headers did not come in time.");
-                } else if (millis > limits.headerTimeoutMillis() + limits.idleTimeoutMillis()) {
-                    refuse(HttpStatus.REQUEST_TIMEOUT_408, "The body did not come in time.");
+                if (!headersRead && phaseMillis > limits.headerTimeoutMillis()) {
+                    reject(HttpStatus.REQUEST_TIMEOUT_408, "The headers did not come in time.");
+                } else if (phaseMillis > limits.headerTimeoutMillis() + limits.idleTimeoutMillis()) {
+                    reject(HttpStatus.REQUEST_TIMEOUT_408, "The body did not come in time.");
                 }
             }
             case LINGERING -> {
-                if (millis > LINGER_MILLIS) {
-                    onEnd();
+                if (phaseMillis > LINGER_MILLIS) {
+                    onClosed();
                 }
             }
-            case ANSWERING, CLOSED -> {
-                // The core knows how long an answer may take.
+            case RESPONDING, CLOSED -> {
+                // The core enforces the limits on the time of a response.
             }
         }
     }
 
-    /** Ends the connection if no request is on its way here as far as this side knows. */
+    /** Closes the connection if no byte of a next request has been received. */
     void closeIfIdle() {
         if (phase == Phase.IDLE) {
-            onEnd();
+            onClosed();
         }
     }
 
-    // ---- the parser's events
+    // ---- events of the parser
 
     @Override
     public void startRequest(String requestMethod, String uri, HttpVersion version) {
@@ -207,13 +208,13 @@
         body.reset();
         headersRead = false;
         expectsContinue = false;
-        closeAfter = version != HttpVersion.HTTP_1_1;
+        closeAfterResponse = version != HttpVersion.HTTP_1_1;
     }
 
     @Override
     public void parsedHeader(HttpField field) {
         if (field.getHeader() == HttpHeader.CONNECTION && field.contains("close")) {
-            closeAfter = true;
+            closeAfterResponse = true;
         }
         if (field.getHeader() == HttpHeader.EXPECT && field.contains("100-continue")) {
             expectsContinue = true;
@@ -225,7 +226,7 @@
     public boolean headerComplete() {
         headersRead = true;
         if (parser.getContentLength() > listener.limits().maxBodyBytes()) {
-            refuse(HttpStatus.PAYLOAD_TOO_LARGE_413, "The body is too large.");
+            reject(HttpStatus.PAYLOAD_TOO_LARGE_413, "The body is too large.");
             return true;
         }
         if (expectsContinue) {
@@ -240,7 +241,7 @@
         bytes.get(copy);
         body.write(copy, 0, copy.length);
         if (body.size() > listener.limits().maxBodyBytes()) {
-            refuse(HttpStatus.PAYLOAD_TOO_LARGE_413, "The body is too large.");
+            reject(HttpStatus.PAYLOAD_TOO_LARGE_413, "The body is too large.");
             return true;
         }
         return false;
@@ -256,8 +257,8 @@
         if (phase != Phase.READING) {
             return true;
         }
-        phase = Phase.ANSWERING;
-        begun = false;
+        phase = Phase.RESPONDING;
+        responseBegun = false;
         ReceivedRequest request = new ReceivedRequest(method, target, headers.asImmutable(), body.toByteArray());
         body.reset();
         listener.handler().onRequest(request, this);
@@ -266,132 +267,132 @@
 
     @Override
     public void earlyEOF() {
-        onEnd();
+        onClosed();
     }
 
     @Override
     public void badMessage(HttpException failure) {
         if (phase == Phase.READING) {
-            refuse(failure.getCode(), "The request is malformed: " + failure.getReason());
+            reject(failure.getCode(), "The request is malformed: " + failure.getReason());
         }
     }
 
-    private void refuse(int status, String reason) {
-        phase = Phase.ANSWERING;
-        closeAfter = true;
-        listener.refused(status, reason);
+    private void reject(int status, String reason) {
+        phase = Phase.RESPONDING;
+        closeAfterResponse = true;
+        listener.logRejected(status, reason);
         respond(status, HttpFields.EMPTY, ByteBuffer.wrap((reason + "\n").getBytes(StandardCharsets.UTF_8)));
     }
 
-    // ---- the answer
+    // ---- response
 
     @Override
-    public void respond(int status, HttpFields fields, ByteBuffer answerBody) {
-        if (phase != Phase.ANSWERING) {
+    public void respond(int status, HttpFields fields, ByteBuffer responseBody) {
+        if (phase != Phase.RESPONDING) {
             return;
         }
-        StringBuilder head = head(status, fields);
+        StringBuilder head = responseHead(status, fields);
         if (status != HttpStatus.NO_CONTENT_204 && status != HttpStatus.NOT_MODIFIED_304) {
-            head.append("Content-Length: ").append(answerBody.remaining()).append("\r\n");
+            head.append("Content-Length: ").append(responseBody.remaining()).append("\r\n");
         }
         boolean withoutBody = "HEAD".equals(method);
-        writes.write(bytes(head), withoutBody ? ByteBuffer.allocate(0) : answerBody);
-        answered();
+        writes.write(encodeHead(head), withoutBody ? ByteBuffer.allocate(0) : responseBody);
+        onResponseWritten();
     }
 
     @Override
     public void beginResponse(int status, HttpFields fields) {
-        if (phase != Phase.ANSWERING) {
+        if (phase != Phase.RESPONDING) {
             return;
         }
-        begun = true;
-        writes.write(bytes(head(status, fields).append("Transfer-Encoding: chunked\r\n")));
+        responseBegun = true;
+        writes.write(encodeHead(responseHead(status, fields).append("Transfer-Encoding: chunked\r\n")));
     }
 
     @Override
     public void writePart(ByteBuffer bytes) {
-        if (phase != Phase.ANSWERING || !begun || !bytes.hasRemaining()) {
+        if (phase != Phase.RESPONDING || !responseBegun || !bytes.hasRemaining()) {
             return;
         }
         byte[] size = (Integer.toHexString(bytes.remaining()) + "\r\n").getBytes(StandardCharsets.ISO_8859_1);
-        ByteBuffer chunk = ByteBuffer.allocate(size.length + bytes.remaining() + CHUNK_END.length);
-        chunk.put(size).put(bytes).put(CHUNK_END).flip();
+        ByteBuffer chunk = ByteBuffer.allocate(size.length + bytes.remaining() + CHUNK_TERMINATOR.length);
+        chunk.put(size).put(bytes).put(CHUNK_TERMINATOR).flip();
         writes.write(chunk);
     }
 
     @Override
     public void endResponse() {
-        if (phase == Phase.ANSWERING && begun) {
+        if (phase == Phase.RESPONDING && responseBegun) {
             writes.write(ByteBuffer.wrap(LAST_CHUNK));
-            answered();
+            onResponseWritten();
         }
     }
 
     @Override
     public void abort() {
-        if (phase == Phase.ANSWERING) {
+        if (phase == Phase.RESPONDING) {
             phase = Phase.CLOSED;
-            listener.closed(this);
+            listener.unregister(this);
             getEndPoint().close();
         }
     }
 
-    private StringBuilder head(int status, HttpFields fields) {
-        StringBuilder head = new StringBuilder(TYPICAL_HEAD);
+    private StringBuilder responseHead(int status, HttpFields fields) {
+        StringBuilder head = new StringBuilder(INITIAL_HEAD_BYTES);
         String reason = HttpStatus.getMessage(status);
         head.append("HTTP/1.1 ").append(status).append(' ').append(reason).append("\r\n");
         for (HttpField field : fields) {
             head.append(field.getName()).append(": ").append(field.getValue()).append("\r\n");
         }
-        closeAfter |= listener.isDraining();
-        if (closeAfter) {
+        closeAfterResponse |= listener.isDraining();
+        if (closeAfterResponse) {
             head.append("Connection: close\r\n");
         }
         return head;
     }
 
-    private static ByteBuffer bytes(StringBuilder head) {
+    private static ByteBuffer encodeHead(StringBuilder head) {
         return ByteBuffer.wrap(head.append("\r\n").toString().getBytes(StandardCharsets.ISO_8859_1));
     }
 
-    private void answered() {
-        since = System.nanoTime();
-        if (closeAfter) {
+    private void onResponseWritten() {
+        phaseStartNanos = System.nanoTime();
+        if (closeAfterResponse) {
             phase = Phase.LINGERING;
-            early = null;
+            earlyBytes = null;
             writes.whenEmpty(() -> getEndPoint().shutdownOutput());
-            readOn();
+            resumeReading();
             return;
         }
         phase = Phase.IDLE;
         parser.reset();
-        readOn();
+        resumeReading();
     }
 
-    private void resume() {
+    private void parseEarlyBytes() {
         lock.lock();
         try {
-            ByteBuffer next = early;
-            early = null;
+            ByteBuffer next = earlyBytes;
+            earlyBytes = null;
             if (next != null) {
                 parse(next);
             }
             read();
         } catch (IOException e) {
-            onEnd();
+            onClosed();
         } finally {
             lock.unlock();
         }
     }
 
-    /** Goes on reading, unless the caller of this is the reading itself. */
-    private void readOn() {
-        if (phase == Phase.CLOSED || inRead) {
+    /** Resumes reading after a response, unless {@link #read()} is on the stack and continues by itself. */
+    private void resumeReading() {
+        if (phase == Phase.CLOSED || insideRead) {
             return;
         }
-        if (early != null) {
-            // Not from here: this is somewhere inside the core, which is not to be entered anew.
-            getExecutor().execute(this::resume);
+        if (earlyBytes != null) {
+            // The core may be on the stack and isn't reentrant, so the early request is parsed in a task of its own.
+            getExecutor().execute(this::parseEarlyBytes);
         } else if (!isFillInterested()) {
             getEndPoint().tryFillInterested(readCallback);
         }
--- a/src/main/java/org/cuminshelf/exchange/CallerExchange.java
+++ b/src/main/java/org/cuminshelf/exchange/CallerExchange.java
@@ -3,36 +3,36 @@
 import java.nio.ByteBuffer;
 import org.eclipse.jetty.http.HttpFields;
 
-/** The answering side of one request. Each request gets one answer, or its connection ends. */
+/** The response side of one request. Each request gets exactly one response, or its connection is closed. */
 public interface CallerExchange {
 
     /**
-     * Gives a whole answer.
+     * Sends a complete response.
      *
-     * @param status  the status
-     * @param headers headers without those of framing
-     * @param body    the whole body
+     * @param status  HTTP status code
+     * @param headers headers, without those for framing
+     * @param body    complete body
      */
     void respond(int status, HttpFields headers, ByteBuffer body);
 
     /**
-     * Begins an answer whose length isn't known.
+     * Begins a response of unknown length.
      *
-     * @param status  the status
-     * @param headers headers without those of framing
+     * @param status  HTTP status code
+     * @param headers headers, without those for framing
      */
     void beginResponse(int status, HttpFields headers);
 
     /**
-     * Sends a part of an answer that was begun.
+     * Sends a part of the body of a response that was begun.
      *
-     * @param bytes the part
+     * @param bytes the bytes of the part
      */
     void writePart(ByteBuffer bytes);
 
-    /** Ends an answer that was begun, as complete. */
+    /** Marks a response that was begun as complete. */
     void endResponse();
 
-    /** Ends the connection, so that what was sent of an answer can't look complete. */
+    /** Closes the connection, so that the caller can't take a partial response for a complete one. */
     void abort();
 }
--- a/src/main/java/org/cuminshelf/exchange/CallerHandler.java
+++ b/src/main/java/org/cuminshelf/exchange/CallerHandler.java
@@ -1,20 +1,20 @@
 package org.cuminshelf.exchange;
 
-/** Takes requests of callers. */
+/** Handles requests of callers. */
 public interface CallerHandler {
 
     /**
-     * Takes a request that was read in full.
+     * Handles a request that was received completely.
      *
      * @param request  the request
-     * @param exchange takes the answer
+     * @param exchange sends the response
      */
     void onRequest(ReceivedRequest request, CallerExchange exchange);
 
     /**
-     * The caller closed its connection before its answer was complete.
+     * Called when a caller closed its connection before its response was complete.
      *
-     * @param exchange the exchange that nobody waits for any more
+     * @param exchange the exchange of the request; responding to it has no effect any more
      */
     void onDisconnect(CallerExchange exchange);
 }
--- a/src/main/java/org/cuminshelf/exchange/CallerLimits.java
+++ b/src/main/java/org/cuminshelf/exchange/CallerLimits.java
@@ -1,15 +1,15 @@
 package org.cuminshelf.exchange;
 
 /**
- * What a caller may send, and how long it may take.
+ * Limits on the size and the duration of a caller's requests.
  *
- * @param maxHeaderBytes   most bytes of a request's line and headers
- * @param maxBodyBytes     most bytes of a body
- * @param headerTimeoutMillis  milliseconds from the first byte of a request to its last header
- * @param idleTimeoutMillis    milliseconds for which a connection may stay without a request
+ * @param maxHeaderBytes      maximum size of a request's line and headers
+ * @param maxBodyBytes        maximum size of a body
+ * @param headerTimeoutMillis maximum time from the first byte of a request to its last header
+ * @param idleTimeoutMillis   maximum time without a request on a connection
  */
 public record CallerLimits(int maxHeaderBytes, int maxBodyBytes, long headerTimeoutMillis, long idleTimeoutMillis) {
 
-    /** Limits before a configuration is known: those of common servers, generous on purpose. */
+    /** Limits until a configuration is known: as generous as those of common servers. */
     public static final CallerLimits DEFAULT = new CallerLimits(16 << 10, 8 << 20, 10_000, 30_000);
 }
--- a/src/main/java/org/cuminshelf/exchange/CallerListener.java
+++ b/src/main/java/org/cuminshelf/exchange/CallerListener.java
@@ -17,17 +17,17 @@
 import org.eclipse.jetty.util.thread.QueuedThreadPool;
 import org.tinylog.Logger;
 
-/** One listening port whose requests are taken under the lock of the core that answers them. */
+/** A listening port for callers; its requests are handled under the lock of the core that responds to them. */
 public final class CallerListener implements AutoCloseable {
 
     private static final String LOG = "exchange: ";
-    /** Connections that may wait to be accepted; a burst of callers on one process is some hundred. */
-    private static final int ACCEPT_QUEUE = 1_024;
-    /** Milliseconds between two looks for idle and slow connections; an eighth of the shortest usual limit. */
-    private static final long SWEEP_MILLIS = 250;
+    /** Length of the backlog of connections to accept; a burst of callers on one process is a few hundred. */
+    private static final int ACCEPT_BACKLOG = 1_024;
+    /** Period of the check for idle and slow connections: an eighth of the shortest usual limit. */
+    private static final long TIMEOUT_CHECK_MILLIS = 250;
 
-    private static final int MOST_THREADS = 6;
-    private static final int FEWEST_THREADS = 2;
+    private static final int MAX_THREADS = 6;
+    private static final int MIN_THREADS = 2;
 
     private final ReentrantLock lock;
     private final CallerHandler handler;
@@ -42,21 +42,21 @@
         this.lock = lock;
         this.handler = handler;
         this.limits = limits;
-        QueuedThreadPool threads = new QueuedThreadPool(MOST_THREADS, FEWEST_THREADS);
+        QueuedThreadPool threads = new QueuedThreadPool(MAX_THREADS, MIN_THREADS);
         threads.setName("callers");
         this.server = new Server(threads);
-        this.connector = new ServerConnector(server, null, null, null, 0, 1, new Factory());
+        this.connector = new ServerConnector(server, null, null, null, 0, 1, new CallerConnectionFactory());
     }
 
     /**
-     * Starts to listen.
+     * Starts a listener.
      *
-     * @param address the address
-     * @param lock    held during every call of the handler
-     * @param handler takes requests
-     * @param limits  what callers may send, asked for anew each time
-     * @return the listener
-     * @throws IOException if the address can't be used
+     * @param address address to bind
+     * @param lock    lock that is held during every call of the handler
+     * @param handler handles the requests
+     * @param limits  supplies the current limits on requests
+     * @return the running listener
+     * @throws IOException if the address can't be bound
      */
     public static CallerListener start(
             Address address, ReentrantLock lock, CallerHandler handler, Supplier<CallerLimits> limits)
@@ -66,7 +66,7 @@
         int colon = value.lastIndexOf(':');
         listener.connector.setHost(value.substring(0, colon));
         listener.connector.setPort(Integer.parseInt(value.substring(colon + 1)));
-        listener.connector.setAcceptQueueSize(ACCEPT_QUEUE);
+        listener.connector.setAcceptQueueSize(ACCEPT_BACKLOG);
         listener.connector.setIdleTimeout(0);
         listener.server.addConnector(listener.connector);
         try {
@@ -74,12 +74,12 @@
         } catch (Exception e) {
             throw new IOException("can't listen on " + address + ": " + e.getMessage(), e);
         }
-        listener.sweepLater();
+        listener.scheduleTimeoutCheck();
         return listener;
     }
 
     /**
-     * The port in use.
+     * Returns the port that is bound.
      *
      * @return the port
      */
@@ -87,21 +87,21 @@
         return connector.getLocalPort();
     }
 
-    /** From now on each answer asks its caller to open another connection for its next request. */
+    /** Adds {@code Connection: close} to every response from now on, so that callers reconnect elsewhere. */
     public void startDraining() {
         draining = true;
     }
 
     /**
-     * Takes no new connections from now on; those that are open stay. Closing the connector alone isn't enough: what
-     * the system still hands over is closed unread, so that its caller knows that nothing of its request was taken.
+     * Stops accepting connections; open ones stay. Closing the connector alone isn't enough: the kernel may still hand
+     * over connections from its backlog. They are closed unread, which shows the caller that no request was processed.
      */
     public void stopAccepting() {
         accepting = false;
         connector.close();
     }
 
-    /** Ends the connections that wait for a next request. */
+    /** Closes the connections that have no request in progress. */
     public void closeIdleConnections() {
         lock.lock();
         try {
@@ -116,7 +116,7 @@
         try {
             server.stop();
         } catch (Exception e) {
-            Logger.debug(LOG + "A listener did not stop cleanly: {}.", e.getMessage());
+            Logger.debug(LOG + "The listener did not stop cleanly: {}.", e.getMessage());
         }
     }
 
@@ -140,38 +140,38 @@
         return accepting;
     }
 
-    void opened(CallerConnection connection) {
+    void register(CallerConnection connection) {
         connections.add(connection);
     }
 
-    void closed(CallerConnection connection) {
+    void unregister(CallerConnection connection) {
         connections.remove(connection);
     }
 
-    void refused(int status, String reason) {
+    void logRejected(int status, String reason) {
         Logger.info(LOG + "event=bad-request status={} reason=\"{}\"", status, reason);
     }
 
-    private void sweepLater() {
+    private void scheduleTimeoutCheck() {
         if (server.isRunning()) {
-            connector.getScheduler().schedule(this::sweep, SWEEP_MILLIS, TimeUnit.MILLISECONDS);
+            connector.getScheduler().schedule(this::checkTimeouts, TIMEOUT_CHECK_MILLIS, TimeUnit.MILLISECONDS);
         }
     }
 
-    private void sweep() {
+    private void checkTimeouts() {
         lock.lock();
         try {
-            long now = System.nanoTime();
-            List.copyOf(connections).forEach(connection -> connection.sweep(now));
+            long nowNanos = System.nanoTime();
+            List.copyOf(connections).forEach(connection -> connection.checkTimeouts(nowNanos));
         } finally {
             lock.unlock();
-            sweepLater();
+            scheduleTimeoutCheck();
         }
     }
 
-    private final class Factory extends AbstractConnectionFactory {
+    private final class CallerConnectionFactory extends AbstractConnectionFactory {
 
-        private Factory() {
+        private CallerConnectionFactory() {
             super("http/1.1");
         }
 
--- a/src/main/java/org/cuminshelf/exchange/Reachability.java
+++ b/src/main/java/org/cuminshelf/exchange/Reachability.java
@@ -1,11 +1,11 @@
 package org.cuminshelf.exchange;
 
-/** What an attempt to open a connection showed. */
+/** Result of an attempt to connect to an address. */
 public enum Reachability {
-    /** A connection was opened: some process listens there. */
+    /** The connection was established: a process listens on the address. */
     LISTENING,
-    /** The VM answered that nobody listens there: the process that did has ended. */
+    /** The VM refused the connection: no process listens on the address any more. */
     REFUSED,
-    /** Nothing came back in time, or something else failed: the VM may be down, or the way to it cut. */
+    /** The attempt timed out or failed otherwise: the VM may be down or the network partitioned. */
     UNKNOWN
 }
--- a/src/main/java/org/cuminshelf/exchange/ReadBuffers.java
+++ b/src/main/java/org/cuminshelf/exchange/ReadBuffers.java
@@ -6,29 +6,29 @@
 import org.eclipse.jetty.io.EndPoint;
 
 /**
- * One read buffer for each thread: what was read is parsed or copied before the thread reads again.
+ * A read buffer for each thread: its content is parsed or copied before the thread reads again.
  *
- * <p>Failure it guards against: an upstream dies in the middle of an answer without a length, and its connection is
- * reset. Jetty's own end point tells a reset and an orderly end alike, so half an answer would pass for a whole one.
- * The channel is read here, where a reset is an exception.
+ * <p>Guards against truncated responses: if an upstream crashes during a response without a length, its connection is
+ * reset. Jetty's end point reports a reset like an orderly close, so the partial response would pass as complete.
+ * This class reads the channel itself, where a reset is an exception.
  */
 final class ReadBuffers {
 
-    private static final int BYTES = 32 << 10;
+    private static final int BUFFER_BYTES = 32 << 10;
     private static final ThreadLocal<ByteBuffer> BUFFER =
-            ThreadLocal.withInitial(() -> ByteBuffer.allocateDirect(BYTES));
+            ThreadLocal.withInitial(() -> ByteBuffer.allocateDirect(BUFFER_BYTES));
 
     private ReadBuffers() {}
 
-    /** The thread's buffer. */
-    static ByteBuffer take() {
+    /** Returns the current thread's buffer, cleared. */
+    static ByteBuffer clearedBuffer() {
         return BUFFER.get().clear();
     }
 
     /**
-     * Reads what is there without waiting.
+     * Reads the available bytes without blocking and flips the buffer.
      *
-     * @return the bytes read, 0 if there are none now, -1 at the orderly end
+     * @return the number of bytes read, 0 if none are available, -1 after an orderly close
      * @throws IOException if the connection was reset
      */
     static int read(EndPoint endPoint, ByteBuffer buffer) throws IOException {
--- a/src/main/java/org/cuminshelf/exchange/ReceivedRequest.java
+++ b/src/main/java/org/cuminshelf/exchange/ReceivedRequest.java
@@ -3,17 +3,17 @@
 import org.eclipse.jetty.http.HttpFields;
 
 /**
- * A request read in full.
+ * A request that was received completely.
  *
- * @param method  the method as sent
+ * @param method  method as sent
  * @param target  path and query as sent, byte for byte
- * @param headers all headers, those of the connection among them
- * @param body    the body without its framing
+ * @param headers all headers, including hop-by-hop ones
+ * @param body    body without its framing
  */
 public record ReceivedRequest(String method, String target, HttpFields headers, byte[] body) {
 
     /**
-     * The path without its query.
+     * Returns the path without the query.
      *
      * @return the path as sent
      */
--- a/src/main/java/org/cuminshelf/exchange/UpstreamConnection.java
+++ b/src/main/java/org/cuminshelf/exchange/UpstreamConnection.java
@@ -21,38 +21,39 @@
 import org.tinylog.Logger;
 
 /**
- * A connection to an upstream, with one request at a time.
+ * A connection to an upstream that carries one request at a time.
  *
- * <p>Failure it guards against: an upstream sends more than one answer, or one after its caller gave up, and the bytes
- * are taken for the answer to the next request. A connection is used again only if its last answer ended exactly where
- * its framing said, its request was written in full before, and nothing came while it was idle.
+ * <p>Guards against attributing a response to the wrong request, if an upstream sends a second response, or one after
+ * the request was cancelled. A connection is reused only if the bytes of its last response ended where its framing
+ * said, its request had been written completely, and nothing was received while it was idle.
  */
 final class UpstreamConnection extends AbstractConnection implements HttpParser.ResponseHandler {
 
-    private static final int LARGEST_HEAD = 16 << 10;
-    private static final int FIRST_FINAL_STATUS = 200;
+    private static final int MAX_HEAD_BYTES = 16 << 10;
+    private static final int MIN_FINAL_STATUS = 200;
     private static final long UNKNOWN = -1;
 
     private final UpstreamConnections pool;
-    private final UpstreamConnections.Key key;
+    private final UpstreamConnections.ConnectionKey key;
     private final ReentrantLock lock;
-    private final HttpParser parser = new HttpParser(this, LARGEST_HEAD, HttpCompliance.RFC9110);
+    private final HttpParser parser = new HttpParser(this, MAX_HEAD_BYTES, HttpCompliance.RFC9110);
     private final WriteQueue writes;
     private UpstreamHandler handler;
     private HttpFields.Mutable headers = HttpFields.build();
     private int status;
     private boolean persistent;
-    private boolean complete;
+    private boolean responseComplete;
     private boolean closed;
-    /** Seconds for which the upstream keeps an idle connection, by its last answer. */
-    private long keptSeconds = UNKNOWN;
+    /** Idle timeout that the upstream announced in its last {@code Keep-Alive} header. */
+    private long keepAliveSeconds = UNKNOWN;
 
-    private long idleSince;
+    private long idleSinceNanos;
 
     private final Callback readCallback =
             Callback.from(Invocable.InvocationType.NON_BLOCKING, this::onFillable, this::onReadFailed);
 
-    UpstreamConnection(UpstreamConnections pool, UpstreamConnections.Key key, EndPoint endPoint, Executor executor) {
+    UpstreamConnection(
+            UpstreamConnections pool, UpstreamConnections.ConnectionKey key, EndPoint endPoint, Executor executor) {
         super(endPoint, executor);
         this.pool = pool;
         this.key = key;
@@ -60,17 +61,17 @@
         this.writes = new WriteQueue(endPoint, lock, failure -> fail("writing failed: " + failure.getMessage()));
     }
 
-    UpstreamConnections.Key key() {
+    UpstreamConnections.ConnectionKey key() {
         return key;
     }
 
-    long idleSince() {
-        return idleSince;
+    long idleSinceNanos() {
+        return idleSinceNanos;
     }
 
-    /** Seconds for which an idle connection is kept there, or a negative number where that isn't known. */
-    long keptSeconds() {
-        return keptSeconds;
+    /** Returns the idle timeout that the upstream announced, or a negative number if it announced none. */
+    long keepAliveSeconds() {
+        return keepAliveSeconds;
     }
 
     @Override
@@ -78,7 +79,7 @@
         super.onOpen();
         lock.lock();
         try {
-            pool.connected(this);
+            pool.onConnected(this);
         } finally {
             lock.unlock();
         }
@@ -87,46 +88,47 @@
         }
     }
 
-    /** Sends a request. Only on a connection that is not in use. */
-    void send(UpstreamRequest request, UpstreamHandler answers) {
-        handler = answers;
-        complete = false;
+    /** Sends a request; the connection must be idle or new. */
+    void send(UpstreamRequest request, UpstreamHandler responseHandler) {
+        handler = responseHandler;
+        responseComplete = false;
         parser.reset();
         parser.setHeadResponse("HEAD".equals(request.method()));
         writes.write(request.head(), ByteBuffer.wrap(request.body()));
     }
 
-    /** Keeps a connection whose request was cancelled before it was sent. */
-    void idle() {
+    /** Adds a new connection on which no request was sent to the idle ones. */
+    void returnUnused() {
         if (!closed) {
-            idleSince = System.nanoTime();
-            pool.released(this);
+            idleSinceNanos = System.nanoTime();
+            pool.onIdle(this);
         }
     }
 
-    /** Ends the connection if it still serves the request of a handler; by now it may serve another. */
-    void dropIfServing(UpstreamHandler asking) {
-        if (handler == asking) {
-            drop();
+    /** Closes the connection if it still serves the request of a handler; it may serve another one already. */
+    void closeIfServing(UpstreamHandler requestHandler) {
+        if (handler == requestHandler) {
+            closeQuietly();
         }
     }
 
-    /** Has the connection reset when it is closed, so that nothing of it is delivered later. */
+    /** Makes the close a reset, which discards the bytes in the send buffer instead of delivering them later. */
     void resetOnClose() {
         if (getEndPoint().getTransport() instanceof SocketChannel channel) {
             try {
                 channel.setOption(StandardSocketOptions.SO_LINGER, 0);
             } catch (IOException alreadyClosed) {
                 Logger.debug(
-                        "exchange: A connection was closed before it could be reset: {}.", alreadyClosed.getMessage());
+                        "exchange: The connection was closed before it could be reset: {}.",
+                        alreadyClosed.getMessage());
             }
         }
     }
 
-    /** Ends the connection without a word to the handler. */
-    void drop() {
+    /** Closes the connection without notifying the handler. */
+    void closeQuietly() {
         handler = null;
-        end();
+        closeConnection();
     }
 
     private void onReadFailed(Throwable failure) {
@@ -152,19 +154,19 @@
 
     private void read() throws IOException {
         while (!closed) {
-            ByteBuffer buffer = ReadBuffers.take();
+            ByteBuffer buffer = ReadBuffers.clearedBuffer();
             int count = ReadBuffers.read(getEndPoint(), buffer);
             if (count == 0) {
                 fillInterested(readCallback);
                 return;
             }
             if (handler == null) {
-                // Closed by the upstream while idle, or bytes that belong to no request.
-                end();
+                // The upstream closed the idle connection, or sent bytes that belong to no request.
+                closeConnection();
                 return;
             }
             if (count < 0) {
-                atEnd();
+                onOrderlyClose();
                 return;
             }
             parse(buffer);
@@ -172,56 +174,56 @@
     }
 
     private void parse(ByteBuffer buffer) {
-        while (buffer.hasRemaining() && handler != null && !complete && !closed) {
+        while (buffer.hasRemaining() && handler != null && !responseComplete && !closed) {
             parser.parseNext(buffer);
         }
-        if (complete && !closed) {
-            finish(buffer.hasRemaining());
+        if (responseComplete && !closed) {
+            onResponseComplete(buffer.hasRemaining());
         }
     }
 
-    private void atEnd() {
+    private void onOrderlyClose() {
         parser.atEOF();
         parser.parseNext(BufferUtil.EMPTY_BUFFER);
-        if (complete && !closed) {
+        if (responseComplete && !closed) {
             persistent = false;
-            finish(false);
+            onResponseComplete(false);
         } else {
             fail("the upstream closed the connection before its answer was whole");
         }
     }
 
-    private void finish(boolean more) {
-        UpstreamHandler answered = handler;
+    private void onResponseComplete(boolean bytesFollow) {
+        UpstreamHandler completedHandler = handler;
         handler = null;
-        boolean reusable = persistent && !more && writes.isEmpty();
+        boolean reusable = persistent && !bytesFollow && writes.isEmpty();
         if (reusable) {
-            idleSince = System.nanoTime();
-            pool.released(this);
+            idleSinceNanos = System.nanoTime();
+            pool.onIdle(this);
         } else {
-            end();
+            closeConnection();
         }
-        answered.onComplete();
+        completedHandler.onComplete();
     }
 
     private void fail(String reason) {
-        UpstreamHandler failed = handler;
+        UpstreamHandler failedHandler = handler;
         handler = null;
-        end();
-        if (failed != null) {
-            failed.onFailed(true, reason);
+        closeConnection();
+        if (failedHandler != null) {
+            failedHandler.onFailed(true, reason);
         }
     }
 
-    private void end() {
+    private void closeConnection() {
         if (!closed) {
             closed = true;
-            pool.ended(this);
+            pool.onClosed(this);
             getEndPoint().close();
         }
     }
 
-    // ---- the parser's events
+    // ---- events of the parser
 
     @Override
     public void startResponse(HttpVersion version, int code, String reason) {
@@ -236,19 +238,19 @@
             persistent = false;
         }
         if (field.getHeader() == HttpHeader.KEEP_ALIVE) {
-            keptSeconds = keepAliveSeconds(field.getValue());
+            keepAliveSeconds = parseKeepAliveSeconds(field.getValue());
         }
         headers.add(field);
     }
 
-    private static long keepAliveSeconds(String value) {
+    private static long parseKeepAliveSeconds(String value) {
         for (String part : value.split(",")) {
             String[] pair = part.trim().split("=", 2);
             if (pair.length == 2 && pair[0].trim().equalsIgnoreCase("timeout")) {
                 try {
                     return Long.parseLong(pair[1].trim());
                 } catch (NumberFormatException e) {
-                    // An unreadable promise is no promise: the connection is kept as if nothing had been said.
+                    // A malformed value counts as none: the connection is kept for the default time.
                     return UNKNOWN;
                 }
             }
@@ -258,7 +260,7 @@
 
     @Override
     public boolean headerComplete() {
-        if (status >= FIRST_FINAL_STATUS && handler != null) {
+        if (status >= MIN_FINAL_STATUS && handler != null) {
             handler.onHead(status, headers.asImmutable());
         }
         return false;
@@ -269,7 +271,7 @@
         if (handler != null) {
             handler.onBody(bytes);
         }
-        // Jetty's parser takes the content for consumed once this returns.
+        // Jetty's parser considers the content consumed when this method returns.
         return closed;
     }
 
@@ -280,17 +282,17 @@
 
     @Override
     public boolean messageComplete() {
-        if (status < FIRST_FINAL_STATUS) {
+        if (status < MIN_FINAL_STATUS) {
             parser.reset();
             return true;
         }
-        complete = true;
+        responseComplete = true;
         return true;
     }
 
     @Override
     public void earlyEOF() {
-        // Told by atEnd, which sees that the answer is not complete.
+        // Handled by onOrderlyClose, which finds that the response is not complete.
     }
 
     @Override
--- a/src/main/java/org/cuminshelf/exchange/UpstreamConnections.java
+++ b/src/main/java/org/cuminshelf/exchange/UpstreamConnections.java
@@ -28,40 +28,40 @@
 import org.tinylog.Logger;
 
 /**
- * Connections to upstreams, kept for the next request where that is safe.
+ * A pool of connections to upstreams, which reuses them where that is safe.
  *
- * <p>Failures it guards against:
+ * <p>Guards against:
  * <ul>
- *   <li>An address is used again by another upstream. A connection belongs to one start of one upstream.</li>
- *   <li>An upstream closes an idle connection while a request is on its way there, so that nobody knows whether it ran.
- *       A connection is used again only well within the time for which the upstream said it keeps it.</li>
+ *   <li>Reuse of an address by another upstream: a connection belongs to one instance of an upstream process.</li>
+ *   <li>An upstream that closes an idle connection while a request is in transit, which leaves unknown whether the
+ *       request ran: a connection is reused only well within the idle timeout that the upstream announced.</li>
  * </ul>
  */
 public final class UpstreamConnections implements AutoCloseable {
 
     private static final String LOG = "exchange: ";
-    /** Share of the promised idle time after which a connection isn't used again; the rest covers delays on the way. */
-    private static final double SAFE_SHARE = 0.6;
-    /** Milliseconds for which a connection is kept where the upstream promised nothing; shorter than usual servers'. */
-    private static final long UNPROMISED_MILLIS = 2_000;
+    /** Fraction of the announced idle timeout during which a connection is reused; the rest covers network delays. */
+    private static final double REUSE_FRACTION_OF_IDLE_TIMEOUT = 0.6;
+    /** Idle timeout if the upstream announced none; shorter than that of common servers. */
+    private static final long DEFAULT_IDLE_TIMEOUT_MILLIS = 2_000;
 
     private static final Duration CONNECT_TIMEOUT = Duration.ofMillis(700);
     private static final long NANOS_PER_SECOND = 1_000_000_000L;
-    private static final int MOST_THREADS = 6;
-    private static final int FEWEST_THREADS = 2;
+    private static final int MAX_THREADS = 6;
+    private static final int MIN_THREADS = 2;
 
     /**
-     * What a connection belongs to.
+     * Identifies the upstream instance that a connection belongs to.
      *
-     * @param address  the address
-     * @param upstream identity of one start of the upstream there
+     * @param address  address of the upstream
+     * @param upstream ID of the upstream's instance
      */
-    record Key(Address address, String upstream) {}
+    record ConnectionKey(Address address, String upstream) {}
 
     private final ReentrantLock lock;
     private final ClientConnector connector = new ClientConnector();
-    private final Map<Key, Deque<UpstreamConnection>> idle = new HashMap<>();
-    private final Map<Key, Set<UpstreamConnection>> open = new HashMap<>();
+    private final Map<ConnectionKey, Deque<UpstreamConnection>> idle = new HashMap<>();
+    private final Map<ConnectionKey, Set<UpstreamConnection>> open = new HashMap<>();
     private long totalOpened;
 
     private UpstreamConnections(ReentrantLock lock) {
@@ -69,119 +69,120 @@
     }
 
     /**
-     * Starts without connections.
+     * Starts an empty pool.
      *
-     * @param lock held during every call of a handler
-     * @return the connections
-     * @throws IOException if the threads can't be started
+     * @param lock lock that is held during every call of a handler
+     * @return the pool
+     * @throws IOException if the connector can't be started
      */
     public static UpstreamConnections start(ReentrantLock lock) throws IOException {
         UpstreamConnections connections = new UpstreamConnections(lock);
-        QueuedThreadPool threads = new QueuedThreadPool(MOST_THREADS, FEWEST_THREADS);
+        QueuedThreadPool threads = new QueuedThreadPool(MAX_THREADS, MIN_THREADS);
         threads.setName("upstreams");
         connections.connector.setExecutor(threads);
         connections.connector.setSelectors(1);
         connections.connector.setConnectTimeout(CONNECT_TIMEOUT);
         connections.connector.setIdleTimeout(Duration.ZERO);
         try {
-            connections.connector.setSslContextFactory(withoutTls());
+            connections.connector.setSslContextFactory(sslContextWithoutTrust());
             connections.connector.start();
         } catch (Exception e) {
-            throw new IOException("can't start the connections to upstreams: " + e.getMessage(), e);
+            throw new IOException("can't start the pool of connections to upstreams: " + e.getMessage(), e);
         }
         return connections;
     }
 
     /**
-     * The connector insists on a TLS context and would read the machine's certificates for it, which took 0.04 of the
-     * 0.54 s of processor time of an entry's start, though connections to upstreams are in the clear. This one trusts
-     * no certificate at all, so that TLS over it would fail.
+     * Returns a TLS context without trusted certificates, with which any TLS handshake would fail. Connections to
+     * upstreams are in clear text, but the connector requires a context and by default loads the system's certificates,
+     * which takes 0.04 s of the 0.54 s of CPU time of an entry's start.
      */
-    private static SslContextFactory.Client withoutTls() throws GeneralSecurityException {
-        SSLContext trustless = SSLContext.getInstance("TLS");
-        trustless.init(new KeyManager[0], new TrustManager[0], null);
+    private static SslContextFactory.Client sslContextWithoutTrust() throws GeneralSecurityException {
+        SSLContext context = SSLContext.getInstance("TLS");
+        context.init(new KeyManager[0], new TrustManager[0], null);
         SslContextFactory.Client factory = new SslContextFactory.Client();
-        factory.setSslContext(trustless);
+        factory.setSslContext(context);
         return factory;
     }
 
     /**
-     * Sends a request over a kept connection, or a new one. Under the lock.
+     * Sends a request over an idle or a new connection. The lock must be held.
      *
-     * @param address  where
-     * @param upstream identity of the upstream's start
+     * @param address  address of the upstream
+     * @param upstream ID of the upstream's instance
      * @param request  the request
-     * @param handler  takes the answer
-     * @return the exchange, to cancel it
+     * @param handler  handles the response
+     * @return the exchange, by which the request can be cancelled
      */
     public UpstreamExchange send(Address address, String upstream, UpstreamRequest request, UpstreamHandler handler) {
-        Key key = new Key(address, upstream);
-        Pending pending = new Pending(key, request, handler);
-        UpstreamConnection kept = takeIdle(key);
-        if (kept != null) {
-            pending.connection = kept;
-            kept.send(request, handler);
+        ConnectionKey key = new ConnectionKey(address, upstream);
+        PendingExchange exchange = new PendingExchange(key, request, handler);
+        UpstreamConnection idleConnection = pollIdle(key);
+        if (idleConnection != null) {
+            exchange.connection = idleConnection;
+            idleConnection.send(request, handler);
         } else {
-            connect(key, pending);
+            connect(key, exchange);
         }
-        return pending;
+        return exchange;
     }
 
     /**
-     * Opens a connection without a request on it, and keeps it for the next one. Under the lock.
+     * Opens a connection without sending a request, and keeps it for the next one. The lock must be held.
      *
-     * @param address  where
-     * @param upstream identity of the upstream's start
-     * @param whenSeen takes what that showed, under the lock
+     * @param address  address of the upstream
+     * @param upstream ID of the upstream's instance
+     * @param onResult called with the result, under the lock
      */
-    public void probe(Address address, String upstream, Consumer<Reachability> whenSeen) {
-        connect(new Key(address, upstream), new Probe(whenSeen));
+    public void probe(Address address, String upstream, Consumer<Reachability> onResult) {
+        connect(new ConnectionKey(address, upstream), new ConnectionProbe(onResult));
     }
 
     /**
-     * Forgets the idle connections to an upstream. Guards against connections that went silent: all kept ones may have.
+     * Closes the idle connections to an upstream. Guards against half-open connections: if one has become unresponsive,
+     * all idle ones may have.
      *
-     * @param address  where
-     * @param upstream identity of the upstream's start
+     * @param address  address of the upstream
+     * @param upstream ID of the upstream's instance
      */
     public void closeIdle(Address address, String upstream) {
-        Deque<UpstreamConnection> kept = idle.remove(new Key(address, upstream));
-        if (kept != null) {
-            List.copyOf(kept).forEach(UpstreamConnection::drop);
+        Deque<UpstreamConnection> idleConnections = idle.remove(new ConnectionKey(address, upstream));
+        if (idleConnections != null) {
+            List.copyOf(idleConnections).forEach(UpstreamConnection::closeQuietly);
         }
     }
 
     /**
-     * Connections to an upstream that are open now.
+     * Returns the number of open connections to an upstream.
      *
-     * @param address  where
-     * @param upstream identity of the upstream's start
-     * @return their number
+     * @param address  address of the upstream
+     * @param upstream ID of the upstream's instance
+     * @return the number of open connections
      */
     public int openConnectionCount(Address address, String upstream) {
-        return open.getOrDefault(new Key(address, upstream), Set.of()).size();
+        return open.getOrDefault(new ConnectionKey(address, upstream), Set.of()).size();
     }
 
     /**
-     * Connections opened since the start.
+     * Returns the number of connections opened since the start.
      *
-     * @return their number
+     * @return the number of connections
      */
     public long totalOpened() {
         return totalOpened;
     }
 
-    /** Ends connections that may no longer be used. Under the lock, about once a second. */
-    public void sweep() {
-        long now = System.nanoTime();
-        List<UpstreamConnection> stale = new ArrayList<>();
+    /** Closes idle connections that may no longer be reused. Called about once a second, with the lock held. */
+    public void closeStale() {
+        long nowNanos = System.nanoTime();
+        List<UpstreamConnection> staleConnections = new ArrayList<>();
         idle.values()
-                .forEach(kept -> kept.forEach(connection -> {
-                    if (!isUsable(connection, now)) {
-                        stale.add(connection);
+                .forEach(idleConnections -> idleConnections.forEach(connection -> {
+                    if (!isReusable(connection, nowNanos)) {
+                        staleConnections.add(connection);
                     }
                 }));
-        stale.forEach(UpstreamConnection::drop);
+        staleConnections.forEach(UpstreamConnection::closeQuietly);
     }
 
     @Override
@@ -189,7 +190,7 @@
         try {
             connector.stop();
         } catch (Exception e) {
-            Logger.debug(LOG + "The connections to upstreams did not stop cleanly: {}.", e.getMessage());
+            Logger.debug(LOG + "The pool of connections to upstreams did not stop cleanly: {}.", e.getMessage());
         }
     }
 
@@ -197,83 +198,83 @@
         return lock;
     }
 
-    void connected(UpstreamConnection connection) {
+    void onConnected(UpstreamConnection connection) {
         totalOpened++;
         open.computeIfAbsent(connection.key(), key -> new HashSet<>()).add(connection);
     }
 
-    void released(UpstreamConnection connection) {
+    void onIdle(UpstreamConnection connection) {
         idle.computeIfAbsent(connection.key(), key -> new ArrayDeque<>()).push(connection);
     }
 
-    void ended(UpstreamConnection connection) {
+    void onClosed(UpstreamConnection connection) {
         remove(idle, connection);
         remove(open, connection);
     }
 
     private static <C extends java.util.Collection<UpstreamConnection>> void remove(
-            Map<Key, C> table, UpstreamConnection connection) {
-        C row = table.get(connection.key());
-        if (row != null) {
-            row.remove(connection);
-            if (row.isEmpty()) {
-                table.remove(connection.key());
+            Map<ConnectionKey, C> index, UpstreamConnection connection) {
+        C connections = index.get(connection.key());
+        if (connections != null) {
+            connections.remove(connection);
+            if (connections.isEmpty()) {
+                index.remove(connection.key());
             }
         }
     }
 
-    private UpstreamConnection takeIdle(Key key) {
-        Deque<UpstreamConnection> kept = idle.get(key);
-        long now = System.nanoTime();
-        while (kept != null && !kept.isEmpty()) {
-            UpstreamConnection newest = kept.pop();
-            if (isUsable(newest, now)) {
-                return newest;
+    private UpstreamConnection pollIdle(ConnectionKey key) {
+        Deque<UpstreamConnection> idleConnections = idle.get(key);
+        long nowNanos = System.nanoTime();
+        while (idleConnections != null && !idleConnections.isEmpty()) {
+            UpstreamConnection mostRecent = idleConnections.pop();
+            if (isReusable(mostRecent, nowNanos)) {
+                return mostRecent;
             }
-            newest.drop();
-            kept = idle.get(key);
+            mostRecent.closeQuietly();
+            idleConnections = idle.get(key);
         }
         return null;
     }
 
-    private static boolean isUsable(UpstreamConnection connection, long now) {
-        long idleNanos = now - connection.idleSince();
-        long promised = connection.keptSeconds();
-        long limit = promised < 0
-                ? UNPROMISED_MILLIS * NANOS_PER_SECOND / 1_000
-                : (long) (promised * NANOS_PER_SECOND * SAFE_SHARE);
-        return idleNanos < limit;
+    private static boolean isReusable(UpstreamConnection connection, long nowNanos) {
+        long idleNanos = nowNanos - connection.idleSinceNanos();
+        long announcedSeconds = connection.keepAliveSeconds();
+        long limitNanos = announcedSeconds < 0
+                ? DEFAULT_IDLE_TIMEOUT_MILLIS * NANOS_PER_SECOND / 1_000
+                : (long) (announcedSeconds * NANOS_PER_SECOND * REUSE_FRACTION_OF_IDLE_TIMEOUT);
+        return idleNanos < limitNanos;
     }
 
-    private void connect(Key key, Promise<org.eclipse.jetty.io.Connection> whenMade) {
+    private void connect(ConnectionKey key, Promise<org.eclipse.jetty.io.Connection> onConnection) {
         String value = key.address().value();
         int colon = value.lastIndexOf(':');
-        InetSocketAddress where =
+        InetSocketAddress socketAddress =
                 new InetSocketAddress(value.substring(0, colon), Integer.parseInt(value.substring(colon + 1)));
         ClientConnectionFactory factory =
                 (endPoint, context) -> new UpstreamConnection(this, key, endPoint, connector.getExecutor());
         Map<String, Object> context = new HashMap<>();
         context.put(ClientConnectionFactory.CONTEXT_KEY, factory);
         context.put(Transport.class.getName(), Transport.TCP_IP);
-        context.put(ClientConnector.CONNECTION_PROMISE_CONTEXT_KEY, whenMade);
-        connector.connect(where, context);
+        context.put(ClientConnector.CONNECTION_PROMISE_CONTEXT_KEY, onConnection);
+        connector.connect(socketAddress, context);
     }
 
-    /** A connection that is opened to see whether anybody listens. */
-    private final class Probe implements Promise<org.eclipse.jetty.io.Connection> {
+    /** Opens a connection to check whether a process listens on the address. */
+    private final class ConnectionProbe implements Promise<org.eclipse.jetty.io.Connection> {
 
-        private final Consumer<Reachability> whenSeen;
+        private final Consumer<Reachability> onResult;
 
-        private Probe(Consumer<Reachability> whenSeen) {
-            this.whenSeen = whenSeen;
+        private ConnectionProbe(Consumer<Reachability> onResult) {
+            this.onResult = onResult;
         }
 
         @Override
-        public void succeeded(org.eclipse.jetty.io.Connection made) {
+        public void succeeded(org.eclipse.jetty.io.Connection connected) {
             lock.lock();
             try {
-                ((UpstreamConnection) made).idle();
-                whenSeen.accept(Reachability.LISTENING);
+                ((UpstreamConnection) connected).returnUnused();
+                onResult.accept(Reachability.LISTENING);
             } finally {
                 lock.unlock();
             }
@@ -283,40 +284,40 @@
         public void failed(Throwable failure) {
             lock.lock();
             try {
-                whenSeen.accept(isRefusal(failure) ? Reachability.REFUSED : Reachability.UNKNOWN);
+                onResult.accept(isRefusal(failure) ? Reachability.REFUSED : Reachability.UNKNOWN);
             } finally {
                 lock.unlock();
             }
         }
 
-        /** The JDK throws this exception for refusals, its subclasses for unreachable hosts among others. */
+        /** The JDK throws this class itself for refusals, and subclasses of it for unreachable hosts and others. */
         private static boolean isRefusal(Throwable failure) {
             return failure.getClass() == ConnectException.class;
         }
     }
 
-    /** A request that waits for its connection, or has it. */
-    private final class Pending implements UpstreamExchange, Promise<org.eclipse.jetty.io.Connection> {
+    /** A request that waits for its connection or is being served on it. */
+    private final class PendingExchange implements UpstreamExchange, Promise<org.eclipse.jetty.io.Connection> {
 
-        private final Key key;
+        private final ConnectionKey key;
         private final UpstreamRequest request;
         private final UpstreamHandler handler;
         private UpstreamConnection connection;
         private boolean cancelled;
 
-        private Pending(Key key, UpstreamRequest request, UpstreamHandler handler) {
+        private PendingExchange(ConnectionKey key, UpstreamRequest request, UpstreamHandler handler) {
             this.key = key;
             this.request = request;
             this.handler = handler;
         }
 
         @Override
-        public void succeeded(org.eclipse.jetty.io.Connection made) {
+        public void succeeded(org.eclipse.jetty.io.Connection connected) {
             lock.lock();
             try {
-                connection = (UpstreamConnection) made;
+                connection = (UpstreamConnection) connected;
                 if (cancelled) {
-                    connection.idle();
+                    connection.returnUnused();
                 } else {
                     connection.send(request, handler);
                 }
@@ -344,7 +345,7 @@
             }
             cancelled = true;
             if (connection != null) {
-                connection.dropIfServing(handler);
+                connection.closeIfServing(handler);
             }
         }
 
--- a/src/main/java/org/cuminshelf/exchange/UpstreamExchange.java
+++ b/src/main/java/org/cuminshelf/exchange/UpstreamExchange.java
@@ -1,14 +1,14 @@
 package org.cuminshelf.exchange;
 
-/** A request under way at an upstream. */
+/** A request in progress at an upstream. */
 public interface UpstreamExchange {
 
-    /** Ends its connection, which tells the upstream to stop work on it. The handler hears nothing more. */
+    /** Closes the connection, which makes the upstream stop the work. The handler is not called any more. */
     void cancel();
 
     /**
-     * Ends its connection and throws away what was not delivered yet. Guards against a request that waits in the
-     * sender's socket while the way is cut, and arrives when it may not be carried out any more.
+     * Resets the connection and discards the bytes that were not delivered yet. Guards against a request that stays in
+     * the send buffer during a network partition and is delivered after it has become invalid.
      */
     default void cancelAndReset() {
         cancel();
--- a/src/main/java/org/cuminshelf/exchange/UpstreamHandler.java
+++ b/src/main/java/org/cuminshelf/exchange/UpstreamHandler.java
@@ -3,32 +3,32 @@
 import java.nio.ByteBuffer;
 import org.eclipse.jetty.http.HttpFields;
 
-/** Takes the answer to one request sent to an upstream. After complete or failed nothing more comes. */
+/** Handles the response to one request to an upstream. The last call is either onComplete or onFailed. */
 public interface UpstreamHandler {
 
     /**
-     * The head of the answer.
+     * Called with the head of the response.
      *
-     * @param status  the status
+     * @param status  HTTP status code
      * @param headers all headers
      */
     void onHead(int status, HttpFields headers);
 
     /**
-     * A part of the body; the buffer is valid during the call only.
+     * Called with a part of the body; the buffer is valid during the call only.
      *
-     * @param bytes the bytes
+     * @param bytes the bytes of the part
      */
     void onBody(ByteBuffer bytes);
 
-    /** The answer came whole. */
+    /** Called when the response was received completely. */
     void onComplete();
 
     /**
-     * The answer did not come whole.
+     * Called when no complete response was received.
      *
      * @param sent   whether any byte of the request may have reached the upstream
-     * @param reason what happened
+     * @param reason description of the failure
      */
     void onFailed(boolean sent, String reason);
 }
--- a/src/main/java/org/cuminshelf/exchange/UpstreamRequest.java
+++ b/src/main/java/org/cuminshelf/exchange/UpstreamRequest.java
@@ -6,20 +6,20 @@
 import org.eclipse.jetty.http.HttpFields;
 
 /**
- * A request to an upstream.
+ * A request to send to an upstream.
  *
- * @param method  the method
+ * @param method  HTTP method
  * @param target  path and query
- * @param headers headers without those of framing
- * @param body    the body
+ * @param headers headers, without those for framing
+ * @param body    complete body
  */
 public record UpstreamRequest(String method, String target, HttpFields headers, byte[] body) {
 
-    private static final int TYPICAL_HEAD = 1024;
+    private static final int INITIAL_HEAD_BYTES = 1024;
 
-    /** The head as it is written, with the framing of the body. */
+    /** Returns the encoded head, including the header for the framing of the body. */
     ByteBuffer head() {
-        StringBuilder head = new StringBuilder(TYPICAL_HEAD);
+        StringBuilder head = new StringBuilder(INITIAL_HEAD_BYTES);
         head.append(method).append(' ').append(target).append(" HTTP/1.1\r\n");
         for (HttpField field : headers) {
             head.append(field.getName()).append(": ").append(field.getValue()).append("\r\n");
--- a/src/main/java/org/cuminshelf/exchange/WriteQueue.java
+++ b/src/main/java/org/cuminshelf/exchange/WriteQueue.java
@@ -10,22 +10,23 @@
 import org.eclipse.jetty.util.thread.Invocable;
 
 /**
- * What waits to be written on a connection, which takes one write at a time. Guards against a peer that doesn't read:
- * past {@link #MOST_WAITING} bytes the connection is given up, so that one slow caller can't fill the memory.
+ * Queue of buffers to write on a connection, which allows one write at a time. Guards against a peer that doesn't read:
+ * above {@link #MAX_QUEUED_BYTES} queued bytes the connection fails, so that a slow caller can't exhaust the memory.
  */
 final class WriteQueue {
 
-    /** Bytes that may wait for a slow peer; many times a stream's usual length of some KB. */
-    private static final int MOST_WAITING = 8 << 20;
+    /** Maximum for a slow peer; many times the usual length of a stream of some KB. */
+    private static final int MAX_QUEUED_BYTES = 8 << 20;
 
-    private static final int MOST_AT_ONCE = 64;
+    private static final int MAX_BUFFERS_PER_WRITE = 64;
 
     private final EndPoint endPoint;
     private final ReentrantLock lock;
     private final Consumer<Throwable> onFailure;
-    private final Deque<ByteBuffer> waiting = new ArrayDeque<>();
-    private final Callback done = Callback.from(Invocable.InvocationType.NON_BLOCKING, this::written, this::failed);
-    private long waitingBytes;
+    private final Deque<ByteBuffer> queue = new ArrayDeque<>();
+    private final Callback writeCallback =
+            Callback.from(Invocable.InvocationType.NON_BLOCKING, this::onWritten, this::onWriteFailed);
+    private long queuedBytes;
     private boolean writing;
     private Runnable whenEmpty;
 
@@ -35,27 +36,27 @@
         this.onFailure = onFailure;
     }
 
-    /** Writes buffers in order, after what waits already. */
+    /** Writes buffers in order, after those already queued. */
     void write(ByteBuffer... buffers) {
         for (ByteBuffer buffer : buffers) {
             if (buffer.hasRemaining()) {
-                waiting.add(buffer);
-                waitingBytes += buffer.remaining();
+                queue.add(buffer);
+                queuedBytes += buffer.remaining();
             }
         }
-        if (waitingBytes > MOST_WAITING) {
+        if (queuedBytes > MAX_QUEUED_BYTES) {
             onFailure.accept(new java.io.IOException("the peer does not read"));
             return;
         }
         writeNext();
     }
 
-    /** Whether everything was handed to the system. */
+    /** Whether all bytes were written to the socket. */
     boolean isEmpty() {
-        return !writing && waiting.isEmpty();
+        return !writing && queue.isEmpty();
     }
 
-    /** Runs an action once everything that waits now was handed to the system. */
+    /** Runs an action when all queued bytes were written to the socket. */
     void whenEmpty(Runnable action) {
         if (isEmpty()) {
             action.run();
@@ -68,7 +69,7 @@
         if (writing) {
             return;
         }
-        if (waiting.isEmpty()) {
+        if (queue.isEmpty()) {
             Runnable action = whenEmpty;
             whenEmpty = null;
             if (action != null) {
@@ -77,15 +78,15 @@
             return;
         }
         writing = true;
-        ByteBuffer[] next = new ByteBuffer[Math.min(waiting.size(), MOST_AT_ONCE)];
-        for (int index = 0; index < next.length; index++) {
-            next[index] = waiting.poll();
-            waitingBytes -= next[index].remaining();
+        ByteBuffer[] batch = new ByteBuffer[Math.min(queue.size(), MAX_BUFFERS_PER_WRITE)];
+        for (int index = 0; index < batch.length; index++) {
+            batch[index] = queue.poll();
+            queuedBytes -= batch[index].remaining();
         }
-        endPoint.write(done, next);
+        endPoint.write(writeCallback, batch);
     }
 
-    private void written() {
+    private void onWritten() {
         lock.lock();
         try {
             writing = false;
@@ -95,7 +96,7 @@
         }
     }
 
-    private void failed(Throwable failure) {
+    private void onWriteFailed(Throwable failure) {
         lock.lock();
         try {
             onFailure.accept(failure);
--- a/src/main/java/org/cuminshelf/exchange/package-info.java
+++ b/src/main/java/org/cuminshelf/exchange/package-info.java
@@ -1,6 +1,6 @@
 /**
- * HTTP/1.1 exchanges on Jetty's connectors and parser, for a process that forwards: one exchange at a time on each
- * connection, full control of when a connection may be used again, and word of a caller that left while its answer is
- * still being made. Everything here calls back under one lock, the one of the core that decides.
+ * HTTP/1.1 client and server connections for a forwarding process, on Jetty's connectors and parser: one exchange at a
+ * time on each connection, full control of connection reuse, and detection of callers that disconnect while their
+ * response is pending. All callbacks are made under one lock, that of the core.
  */
 package org.cuminshelf.exchange;
--- a/src/main/java/org/cuminshelf/process/DirectEntryProcess.java
+++ b/src/main/java/org/cuminshelf/process/DirectEntryProcess.java
@@ -258,7 +258,7 @@
                 }
                 if (now >= nextSweepNanos) {
                     nextSweepNanos = now + MAX_WAIT_NANOS;
-                    connections.sweep();
+                    connections.closeStale();
                     core.accept(now, wallClockMessage(), outbox);
                 }
                 long wait = Math.min(MAX_WAIT_NANOS, core.nextDue() - System.nanoTime());
--- a/src/test/java/org/cuminshelf/exchange/CallerConnectionTest.java
+++ b/src/test/java/org/cuminshelf/exchange/CallerConnectionTest.java
@@ -17,14 +17,14 @@
 import org.cuminshelf.core.Address;
 import org.eclipse.jetty.http.HttpFields;
 
-/** Connections of callers, over real sockets. */
+/** Tests connections of callers over real sockets. */
 class CallerConnectionTest {
 
     private static final String GET = "GET /a HTTP/1.1\r\nHost: h\r\n\r\n";
     private final List<ReceivedRequest> requests = new CopyOnWriteArrayList<>();
     private final List<CallerExchange> exchanges = new CopyOnWriteArrayList<>();
-    private final CountDownLatch gone = new CountDownLatch(1);
-    private volatile boolean answersAtOnce = true;
+    private final CountDownLatch disconnected = new CountDownLatch(1);
+    private volatile boolean respondsImmediately = true;
     private CallerListener listener;
 
     @BeforeProperty
@@ -34,7 +34,7 @@
             public void onRequest(ReceivedRequest request, CallerExchange exchange) {
                 requests.add(request);
                 exchanges.add(exchange);
-                if (answersAtOnce) {
+                if (respondsImmediately) {
                     exchange.respond(
                             200,
                             HttpFields.EMPTY,
@@ -44,7 +44,7 @@
 
             @Override
             public void onDisconnect(CallerExchange exchange) {
-                gone.countDown();
+                disconnected.countDown();
             }
         };
         listener = CallerListener.start(
@@ -83,7 +83,7 @@
     }
 
     @Example
-    void requestsOnOneConnectionAreAnsweredInOrderAlsoWhenSentTogether() throws IOException {
+    void pipelinedRequestsAreAnsweredInOrder() throws IOException {
         try (Socket socket = connect()) {
             send(socket, GET + GET.replace("/a", "/b"));
             assertThat(readUntil(socket, "/b")).contains("/a").endsWith("/b");
@@ -91,29 +91,29 @@
     }
 
     @Example
-    void aRequestThatCameEarlyIsAnsweredAfterASlowOne() throws Exception {
-        answersAtOnce = false;
+    void aPipelinedRequestIsAnsweredAfterASlowOne() throws Exception {
+        respondsImmediately = false;
         try (Socket socket = connect()) {
             send(socket, GET + GET.replace("/a", "/b"));
-            await(1);
-            answersAtOnce = true;
+            awaitRequests(1);
+            respondsImmediately = true;
             exchanges.getFirst().respond(200, HttpFields.EMPTY, ByteBuffer.wrap("first".getBytes()));
             assertThat(readUntil(socket, "/b")).contains("first").endsWith("/b");
         }
     }
 
-    private void await(int count) throws InterruptedException {
-        for (int look = 0; look < 500 && requests.size() < count; look++) {
+    private void awaitRequests(int count) throws InterruptedException {
+        for (int poll = 0; poll < 500 && requests.size() < count; poll++) {
             Thread.sleep(10);
         }
     }
 
     /*
-     * A caller's request carries a second one inside its body, past the checks meant for it. Two readers of the same
-     * bytes took different framings for valid.
+     * Request smuggling: a body contains a second request that bypasses the checks, if two parsers of the same bytes
+     * accept different framings.
      */
     @Example
-    void framingThatCanBeReadInTwoWaysIsRefusedAndTheConnectionEnds() throws IOException {
+    void ambiguousFramingIsRejectedAndTheConnectionIsClosed() throws IOException {
         for (String framing : List.of(
                 "Content-Length: 4\r\nTransfer-Encoding: chunked\r\n",
                 "Content-Length: 4\r\nContent-Length: 5\r\n",
@@ -133,17 +133,17 @@
     }
 
     @Example
-    void aCallerThatLeavesBeforeItsAnswerIsNoticed() throws Exception {
-        answersAtOnce = false;
+    void aDisconnectBeforeTheResponseIsDetected() throws Exception {
+        respondsImmediately = false;
         try (Socket socket = connect()) {
             send(socket, GET);
-            await(1);
+            awaitRequests(1);
         }
-        assertThat(gone.await(3, TimeUnit.SECONDS)).isTrue();
+        assertThat(disconnected.await(3, TimeUnit.SECONDS)).isTrue();
     }
 
     @Example
-    void aBodyInChunksIsReadWhole() throws IOException {
+    void aChunkedBodyIsReadCompletely() throws IOException {
         try (Socket socket = connect()) {
             send(
                     socket,
@@ -155,7 +155,7 @@
     }
 
     @Example
-    void aBodyThatIsTooLargeIsRefused() throws IOException {
+    void aBodyThatIsTooLargeIsRejected() throws IOException {
         try (Socket socket = connect()) {
             send(socket, "POST /c HTTP/1.1\r\nHost: h\r\nContent-Length: 101\r\n\r\n");
             assertThat(readUntil(socket, "")).startsWith("HTTP/1.1 413");
@@ -163,7 +163,7 @@
     }
 
     @Example
-    void headersThatDoNotComeInTimeEndTheConnection() throws IOException {
+    void headersThatAreTooSlowCloseTheConnection() throws IOException {
         try (Socket socket = connect()) {
             send(socket, "GET /c HTTP/1.1\r\nHo");
             assertThat(readUntil(socket, "")).startsWith("HTTP/1.1 408");
@@ -171,11 +171,11 @@
     }
 
     @Example
-    void anAnswerThatIsBrokenOffDoesNotLookComplete() throws Exception {
-        answersAtOnce = false;
+    void anAbortedResponseDoesNotLookComplete() throws Exception {
+        respondsImmediately = false;
         try (Socket socket = connect()) {
             send(socket, GET);
-            await(1);
+            awaitRequests(1);
             exchanges.getFirst().beginResponse(200, HttpFields.EMPTY);
             exchanges.getFirst().writePart(ByteBuffer.wrap("ab".getBytes()));
             exchanges.getFirst().abort();
@@ -184,7 +184,7 @@
     }
 
     @Example
-    void aProcessThatLeavesAsksCallersToConnectAnew() throws IOException {
+    void aDrainingListenerMakesCallersReconnect() throws IOException {
         listener.startDraining();
         try (Socket socket = connect()) {
             send(socket, GET);
--- a/src/test/java/org/cuminshelf/exchange/UpstreamConnectionsTest.java
+++ b/src/test/java/org/cuminshelf/exchange/UpstreamConnectionsTest.java
@@ -19,7 +19,7 @@
 import org.cuminshelf.core.Address;
 import org.eclipse.jetty.http.HttpFields;
 
-/** Connections to upstreams, over real sockets. */
+/** Tests the pool of connections to upstreams over real sockets. */
 class UpstreamConnectionsTest {
 
     private static final String OK = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
@@ -37,7 +37,7 @@
                     accepted.add(server.accept());
                 }
             } catch (IOException end) {
-                // The test is over.
+                // The server socket was closed at the end of the test.
             }
         });
         acceptor.setDaemon(true);
@@ -52,18 +52,18 @@
     }
 
     private Reachability probe(int port) throws InterruptedException {
-        BlockingQueue<Reachability> seen = new ArrayBlockingQueue<>(1);
+        BlockingQueue<Reachability> result = new ArrayBlockingQueue<>(1);
         lock.lock();
         try {
-            connections.probe(Address.of("127.0.0.1:" + port), "u", seen::add);
+            connections.probe(Address.of("127.0.0.1:" + port), "u", result::add);
         } finally {
             lock.unlock();
         }
-        return seen.poll(5, TimeUnit.SECONDS);
+        return result.poll(5, TimeUnit.SECONDS);
     }
 
     @Example
-    void aConnectionTellsAnUpstreamThatListensFromOneThatHasEnded() throws Exception {
+    void aProbeDistinguishesAListeningUpstreamFromAStoppedOne() throws Exception {
         assertThat(probe(server.getLocalPort())).isEqualTo(Reachability.LISTENING);
         ServerSocket ended = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
         ended.close();
@@ -71,40 +71,40 @@
     }
 
     @Example
-    void aConnectionOpenedToSeeWhoListensServesTheNextRequest() throws Exception {
+    void theConnectionOfAProbeServesTheNextRequest() throws Exception {
         probe(server.getLocalPort());
-        Outcome outcome = send();
+        RecordedResponse response = send();
         assertThat(accepted.poll(5, TimeUnit.SECONDS)).isNotNull();
         assertThat(accepted.poll(100, TimeUnit.MILLISECONDS)).isNull();
-        assertThat(outcome).isNotNull();
+        assertThat(response).isNotNull();
     }
 
-    private Outcome send() {
+    private RecordedResponse send() {
         return send(server.getLocalPort());
     }
 
-    private Outcome send(int port) {
-        Outcome outcome = new Outcome();
+    private RecordedResponse send(int port) {
+        RecordedResponse response = new RecordedResponse();
         lock.lock();
         try {
             connections.send(
                     Address.of("127.0.0.1:" + port),
                     "u",
                     new UpstreamRequest("POST", "/a", HttpFields.build().put("Host", "h"), "body".getBytes()),
-                    outcome);
+                    response);
         } finally {
             lock.unlock();
         }
-        return outcome;
+        return response;
     }
 
-    private Socket take() throws Exception {
+    private Socket takeSocket() throws Exception {
         Socket socket = accepted.poll(5, TimeUnit.SECONDS);
         assertThat(socket).isNotNull();
         return socket;
     }
 
-    private static void answer(Socket socket, String text) throws IOException {
+    private static void respond(Socket socket, String text) throws IOException {
         InputStream in = socket.getInputStream();
         StringBuilder read = new StringBuilder();
         while (!read.toString().endsWith("body")) {
@@ -115,93 +115,93 @@
     }
 
     @Example
-    void aConnectionIsUsedAgainAfterAWholeAnswer() throws Exception {
-        Outcome first = send();
-        Socket socket = take();
-        answer(socket, OK);
-        assertThat(first.take()).isEqualTo("200 ok");
-        Outcome second = send();
-        answer(socket, OK);
-        assertThat(second.take()).isEqualTo("200 ok");
+    void aConnectionIsReusedAfterACompleteResponse() throws Exception {
+        RecordedResponse first = send();
+        Socket socket = takeSocket();
+        respond(socket, OK);
+        assertThat(first.awaitResult()).isEqualTo("200 ok");
+        RecordedResponse second = send();
+        respond(socket, OK);
+        assertThat(second.awaitResult()).isEqualTo("200 ok");
         assertThat(connections.totalOpened()).isEqualTo(1);
     }
 
     /*
-     * A caller reads the answer to another's request. Its upstream sent a second answer after the first, and the next
-     * request on the connection took it for its own.
+     * A caller would receive the response to another's request, if an upstream sends a second response after the first
+     * and it is taken for the response to the next request on the connection.
      */
     @Example
-    void aConnectionWithBytesBeyondItsAnswerIsNotUsedAgain() throws Exception {
-        Outcome first = send();
-        answer(take(), OK + "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nevil");
-        assertThat(first.take()).isEqualTo("200 ok");
-        Outcome second = send();
-        answer(take(), OK);
-        assertThat(second.take()).isEqualTo("200 ok");
+    void aConnectionWithBytesAfterItsResponseIsNotReused() throws Exception {
+        RecordedResponse first = send();
+        respond(takeSocket(), OK + "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nevil");
+        assertThat(first.awaitResult()).isEqualTo("200 ok");
+        RecordedResponse second = send();
+        respond(takeSocket(), OK);
+        assertThat(second.awaitResult()).isEqualTo("200 ok");
     }
 
     /*
-     * Half an answer is passed on as a whole one: it had no length, its upstream died in the middle, and the reset was
-     * taken for the end.
+     * A partial response would be forwarded as complete, if it has no length, its upstream crashes before its end, and
+     * the reset is taken for an orderly close.
      */
     @Example
-    void anAnswerWithoutALengthThatEndsInAResetIsNotWhole() throws Exception {
-        Outcome outcome = send();
-        Socket socket = take();
-        answer(socket, "HTTP/1.1 200 OK\r\n\r\nhalf");
+    void aResponseWithoutALengthThatEndsInAResetIsIncomplete() throws Exception {
+        RecordedResponse response = send();
+        Socket socket = takeSocket();
+        respond(socket, "HTTP/1.1 200 OK\r\n\r\nhalf");
         Thread.sleep(200);
         socket.setSoLinger(true, 0);
         socket.close();
-        assertThat(outcome.take()).isEqualTo("failed sent=true");
+        assertThat(response.awaitResult()).isEqualTo("failed sent=true");
     }
 
     @Example
-    void anAnswerWithoutALengthThatEndsInOrderIsWhole() throws Exception {
-        Outcome outcome = send();
-        Socket socket = take();
-        answer(socket, "HTTP/1.1 200 OK\r\n\r\nwhole");
+    void aResponseWithoutALengthThatEndsInAnOrderlyCloseIsComplete() throws Exception {
+        RecordedResponse response = send();
+        Socket socket = takeSocket();
+        respond(socket, "HTTP/1.1 200 OK\r\n\r\nwhole");
         socket.close();
-        assertThat(outcome.take()).isEqualTo("200 whole");
+        assertThat(response.awaitResult()).isEqualTo("200 whole");
     }
 
     @Example
-    void anAnswerThatEndsBeforeItsLengthIsNotWhole() throws Exception {
-        Outcome outcome = send();
-        Socket socket = take();
-        answer(socket, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf");
+    void aResponseThatIsShorterThanItsLengthIsIncomplete() throws Exception {
+        RecordedResponse response = send();
+        Socket socket = takeSocket();
+        respond(socket, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf");
         socket.close();
-        assertThat(outcome.take()).isEqualTo("failed sent=true");
+        assertThat(response.awaitResult()).isEqualTo("failed sent=true");
     }
 
     @Example
-    void bytesThatAreNoAnswerAreAFailure() throws Exception {
-        Outcome outcome = send();
-        answer(take(), "\u0001\u0002garbage\r\n\r\n");
-        assertThat(outcome.take()).isEqualTo("failed sent=true");
+    void aMalformedResponseIsAFailure() throws Exception {
+        RecordedResponse response = send();
+        respond(takeSocket(), "\u0001\u0002garbage\r\n\r\n");
+        assertThat(response.awaitResult()).isEqualTo("failed sent=true");
     }
 
     @Example
-    void whereNobodyListensNothingWasSent() throws Exception {
-        int unused;
-        try (ServerSocket once = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            unused = once.getLocalPort();
+    void aRefusedConnectionMeansThatNothingWasSent() throws Exception {
+        int unusedPort;
+        try (ServerSocket closedServer = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+            unusedPort = closedServer.getLocalPort();
         }
-        assertThat(send(unused).take()).isEqualTo("failed sent=false");
+        assertThat(send(unusedPort).awaitResult()).isEqualTo("failed sent=false");
     }
 
-    /** What came of a request. */
-    private static final class Outcome implements UpstreamHandler {
+    /** Records the response to a request or its failure. */
+    private static final class RecordedResponse implements UpstreamHandler {
         private final BlockingQueue<String> result = new ArrayBlockingQueue<>(1);
         private final StringBuilder body = new StringBuilder();
         private int status;
 
-        String take() throws InterruptedException {
+        String awaitResult() throws InterruptedException {
             return String.valueOf(result.poll(5, TimeUnit.SECONDS));
         }
 
         @Override
-        public void onHead(int answered, HttpFields headers) {
-            status = answered;
+        public void onHead(int code, HttpFields headers) {
+            status = code;
         }
 
         @Override
