--- a/src/main/java/org/cuminshelf/http/AdminHandler.java
+++ b/src/main/java/org/cuminshelf/http/AdminHandler.java
@@ -34,41 +34,45 @@
 import org.eclipse.jetty.util.Callback;
 
 /**
- * The administration interface under {@code /admin/}: status, configuration and orders. A key in the
- * {@code Authorization} header names the team; docs/OPERATIONS.md lists the calls.
+ * HTTP handler of the administration interface under {@code /admin/}: status, configuration, orders and quarantine. A
+ * key in the {@code Authorization} header identifies the team; docs/OPERATIONS.md lists the endpoints.
  */
 public final class AdminHandler extends Handler.Abstract.NonBlocking {
 
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final String PREFIX = "/admin/";
     private static final String BEARER = "Bearer ";
-    private static final int LARGEST_BODY = 8 << 20;
+    private static final int MAX_BODY_BYTES = 8 << 20;
 
-    /** A caller of the interface that was let in. */
+    /** An authenticated caller of the interface. */
     private record Operator(String team, TeamConfig.Role role) {}
 
-    private record Waiting(Response response, Callback callback) {}
+    private record PendingResponse(Response response, Callback callback) {}
 
     private final Consumer<Envelope.Builder> core;
     private final Supplier<byte[]> config;
     private final Set<String> adminKeys;
-    private final boolean open;
-    private final Map<Long, Waiting> waiting = new ConcurrentHashMap<>();
-    private final AtomicLong nextQuestion = new AtomicLong(1);
+    private final boolean allowsRequestsWithoutKey;
+    private final Map<Long, PendingResponse> pendingResponses = new ConcurrentHashMap<>();
+    private final AtomicLong nextQuestionId = new AtomicLong(1);
 
     /**
-     * Makes the interface.
+     * Creates the handler.
      *
-     * @param core      takes requests
-     * @param config    the accepted configuration in canonical form
-     * @param adminKeys SHA-256 of keys that may operate besides those of the teams
-     * @param open      whether requests without a key may operate
+     * @param core                     receives the requests
+     * @param config                   supplies the accepted configuration in canonical form
+     * @param adminKeys                SHA-256 hashes of keys that may operate in addition to those of the teams
+     * @param allowsRequestsWithoutKey whether requests without a key may operate
      */
-    public AdminHandler(Consumer<Envelope.Builder> core, Supplier<byte[]> config, Set<String> adminKeys, boolean open) {
+    public AdminHandler(
+            Consumer<Envelope.Builder> core,
+            Supplier<byte[]> config,
+            Set<String> adminKeys,
+            boolean allowsRequestsWithoutKey) {
         this.core = core;
         this.config = config;
         this.adminKeys = adminKeys;
-        this.open = open;
+        this.allowsRequestsWithoutKey = allowsRequestsWithoutKey;
     }
 
     @Override
@@ -77,15 +81,15 @@
         if (!path.startsWith(PREFIX)) {
             return false;
         }
-        Optional<Operator> operator = operator(request);
+        Optional<Operator> operator = authenticate(request);
         if (operator.isEmpty()) {
             response.getHeaders().put(HttpHeader.WWW_AUTHENTICATE, "Bearer");
             Problem.badRequest(401, "Send a team's key as 'Authorization: Bearer KEY'.")
                     .write(response, callback);
             return true;
         }
-        boolean reads = request.getMethod().equals("GET");
-        if (!reads && operator.get().role() != TeamConfig.Role.OPERATE) {
+        boolean isRead = request.getMethod().equals("GET");
+        if (!isRead && operator.get().role() != TeamConfig.Role.OPERATE) {
             Problem.badRequest(403, "The team " + operator.get().team() + " may read only.")
                     .write(response, callback);
             return true;
@@ -95,28 +99,29 @@
     }
 
     /**
-     * Takes the core's answers; called on the core's thread.
+     * Sends an answer of the core as the HTTP response; called on the core's thread.
      *
-     * @param message an answer
+     * @param message message with an answer
      */
     public void deliver(Envelope message) {
         AdminAnswer answer = message.getAdminAnswer();
-        Waiting asker = waiting.remove(answer.getQuestion());
-        if (asker != null) {
-            write(asker.response(), asker.callback(), status(answer), json(answer));
+        PendingResponse pending = pendingResponses.remove(answer.getQuestion());
+        if (pending != null) {
+            write(pending.response(), pending.callback(), status(answer), json(answer));
         }
     }
 
     private void route(Request request, Response response, Callback callback, String action, Operator operator) {
-        String call = request.getMethod() + " " + action;
-        switch (call) {
+        String endpoint = request.getMethod() + " " + action;
+        switch (endpoint) {
             case "GET status" ->
-                ask(response, callback, AdminRequest.newBuilder().setStatus(StatusQuery.getDefaultInstance()));
+                sendToCore(response, callback, AdminRequest.newBuilder().setStatus(StatusQuery.getDefaultInstance()));
             case "GET config" ->
-                ask(response, callback, AdminRequest.newBuilder().setConfigRead(ConfigRead.getDefaultInstance()));
-            case "POST config" -> withBody(request, response, callback, body -> apply(request, body, operator));
-            case "POST orders" -> withBody(request, response, callback, body -> order(body, operator));
-            case "GET " + QuarantineJson.LIST_PATH -> ask(response, callback, QuarantineJson.listRequest());
+                sendToCore(
+                        response, callback, AdminRequest.newBuilder().setConfigRead(ConfigRead.getDefaultInstance()));
+            case "POST config" -> withBody(request, response, callback, body -> configApply(request, body, operator));
+            case "POST orders" -> withBody(request, response, callback, body -> orderPlace(body, operator));
+            case "GET " + QuarantineJson.LIST_PATH -> sendToCore(response, callback, QuarantineJson.listRequest());
             case "POST " + QuarantineJson.RELEASE_PATH ->
                 withBody(
                         request,
@@ -140,29 +145,29 @@
         RequestBodyReader.read(
                 request,
                 response,
-                LARGEST_BODY,
+                MAX_BODY_BYTES,
                 body -> parse.apply(body)
-                        .peek(wanted -> ask(response, callback, wanted))
-                        .peekLeft(wrong -> Problem.badRequest(400, wrong).write(response, callback)),
+                        .peek(adminRequest -> sendToCore(response, callback, adminRequest))
+                        .peekLeft(error -> Problem.badRequest(400, error).write(response, callback)),
                 () -> Problem.badRequest(413, "The body is larger than 8 MiB.").write(response, callback),
                 failure -> Problem.badRequest(408, "The body did not come whole and in time.")
                         .write(response, callback));
     }
 
-    private Either<String, AdminRequest.Builder> apply(Request request, byte[] body, Operator operator) {
-        String base = Request.extractQueryParameters(request).getValue("base");
-        if (base == null || !base.matches("\\d{1,18}")) {
+    private Either<String, AdminRequest.Builder> configApply(Request request, byte[] body, Operator operator) {
+        String baseVersion = Request.extractQueryParameters(request).getValue("base");
+        if (baseVersion == null || !baseVersion.matches("\\d{1,18}")) {
             return Either.left("Name the version this change is made on, as in POST /admin/config?base=4.");
         }
         return Either.right(AdminRequest.newBuilder()
                 .setConfigApply(ConfigApply.newBuilder()
-                        .setBaseVersion(Long.parseLong(base))
+                        .setBaseVersion(Long.parseLong(baseVersion))
                         .setConfig(ByteString.copyFrom(body))
                         .setHash(MergedConfig.hash(body))
                         .setAuthor(operator.team())));
     }
 
-    private Either<String, AdminRequest.Builder> order(byte[] body, Operator operator) {
+    private Either<String, AdminRequest.Builder> orderPlace(byte[] body, Operator operator) {
         JsonNode node;
         try {
             node = JSON.readTree(body);
@@ -172,15 +177,15 @@
         if (node == null || !node.path("engine").isTextual()) {
             return Either.left("'engine' must name a VM or the address of its sidecar.");
         }
-        return orderBody(node)
-                .map(wanted -> AdminRequest.newBuilder()
+        return parseOrderBody(node)
+                .map(adminRequest -> AdminRequest.newBuilder()
                         .setOrderPlace(OrderPlace.newBuilder()
                                 .setEngine(node.get("engine").textValue())
                                 .setAuthor(operator.team())
-                                .setBody(wanted)));
+                                .setBody(adminRequest)));
     }
 
-    private static Either<String, OrderBody.Builder> orderBody(JsonNode node) {
+    private static Either<String, OrderBody.Builder> parseOrderBody(JsonNode node) {
         OrderBody.Builder body = OrderBody.newBuilder();
         if (node.path("change_role").isTextual()) {
             String role = node.get("change_role").textValue();
@@ -204,17 +209,19 @@
         return Either.left("Give one of change_role, load_model, load_adapter, unload_adapter, drain.");
     }
 
-    private void ask(Response response, Callback callback, AdminRequest.Builder wanted) {
-        long question = nextQuestion.getAndIncrement();
-        waiting.put(question, new Waiting(response, callback));
-        core.accept(Envelope.newBuilder().setAdminRequest(wanted.setQuestion(question)));
+    private void sendToCore(Response response, Callback callback, AdminRequest.Builder adminRequest) {
+        long questionId = nextQuestionId.getAndIncrement();
+        pendingResponses.put(questionId, new PendingResponse(response, callback));
+        core.accept(Envelope.newBuilder().setAdminRequest(adminRequest.setQuestion(questionId)));
     }
 
-    private Optional<Operator> operator(Request request) {
+    private Optional<Operator> authenticate(Request request) {
         String header = Optional.ofNullable(request.getHeaders().get(HttpHeader.AUTHORIZATION))
                 .orElse("");
         if (!header.startsWith(BEARER)) {
-            return open ? Optional.of(new Operator("open", TeamConfig.Role.OPERATE)) : Optional.empty();
+            return allowsRequestsWithoutKey
+                    ? Optional.of(new Operator("open", TeamConfig.Role.OPERATE))
+                    : Optional.empty();
         }
         String hash = MergedConfig.hash(header.substring(BEARER.length()).trim().getBytes(StandardCharsets.UTF_8));
         if (adminKeys.contains(hash)) {
--- a/src/main/java/org/cuminshelf/http/CallMetrics.java
+++ b/src/main/java/org/cuminshelf/http/CallMetrics.java
@@ -6,46 +6,46 @@
 import java.util.Locale;
 import org.cuminshelf.message.AnswerEnd;
 
-/** Counts an entry's calls. */
+/** Prometheus metrics of an entry's calls. */
 public final class CallMetrics {
 
     private final Counter calls;
-    private final Counter tokens;
-    private final Gauge open;
+    private final Counter outputTokens;
+    private final Gauge openCalls;
 
     private CallMetrics(PrometheusRegistry registry) {
         calls = Counter.builder()
                 .name("cuminshelf_calls")
-                .help("Calls answered, by verdict and cause.")
+                .help("Calls that were answered, by verdict and cause.")
                 .labelNames("verdict", "cause", "whole")
                 .register(registry);
-        tokens = Counter.builder()
+        outputTokens = Counter.builder()
                 .name("cuminshelf_output_tokens")
-                .help("Tokens given to callers.")
+                .help("Output tokens sent to callers.")
                 .register(registry);
-        open = Gauge.builder()
+        openCalls = Gauge.builder()
                 .name("cuminshelf_open_calls")
-                .help("Calls not answered yet.")
+                .help("Calls in progress.")
                 .register(registry);
     }
 
     /**
-     * Registers the counts.
+     * Registers the metrics.
      *
-     * @param registry where
-     * @return the counts
+     * @param registry registry to which they are added
+     * @return the metrics
      */
     public static CallMetrics register(PrometheusRegistry registry) {
         return new CallMetrics(registry);
     }
 
-    void started() {
-        open.inc();
+    void onStarted() {
+        openCalls.inc();
     }
 
-    void ended(String verdict, AnswerEnd end) {
-        open.dec();
-        tokens.inc(end.getOutputTokens());
+    void onEnded(String verdict, AnswerEnd end) {
+        openCalls.dec();
+        outputTokens.inc(end.getOutputTokens());
         String cause = end.getCause().name().toLowerCase(Locale.ROOT);
         calls.labelValues(verdict, cause, String.valueOf(end.getWhole())).inc();
     }
--- a/src/main/java/org/cuminshelf/http/CallerApiHandler.java
+++ b/src/main/java/org/cuminshelf/http/CallerApiHandler.java
@@ -31,29 +31,29 @@
 import org.eclipse.jetty.util.Callback;
 
 /**
- * The callers' interface: {@code /v1/chat/completions}, {@code /v1/completions}, {@code /v1/models}, and plain services
- * under {@code /services/NAME/}.
+ * HTTP handler of the API for callers: {@code /v1/chat/completions}, {@code /v1/completions}, {@code /v1/models}, and
+ * plain services under {@code /services/NAME/}.
  */
 public final class CallerApiHandler extends Handler.Abstract.NonBlocking {
 
-    /** Header that names the caller's organisation. */
+    /** Header with the caller's organisation. */
     public static final String ORGANISATION_HEADER = "Cuminshelf-Organisation";
 
-    /** Header with the priority, 0 to 9. */
+    /** Header with the priority, from 0 to 9. */
     public static final String PRIORITY_HEADER = "Cuminshelf-Priority";
 
-    /** Header with the milliseconds in which the answer is needed. */
+    /** Header with the time in milliseconds within which the response is needed. */
     public static final String DEADLINE_HEADER = "Cuminshelf-Deadline-Ms";
 
     /** Header with the idempotency key. */
     public static final String IDEMPOTENCY_KEY_HEADER = "Idempotency-Key";
 
-    private static final String SERVICES = "/services/";
-    private static final int LARGEST_BODY = 4 << 20;
-    private static final int LONGEST_KEY = 255;
-    private static final int LONGEST_DEADLINE = 3_600_000;
+    private static final String SERVICES_PREFIX = "/services/";
+    private static final int MAX_BODY_BYTES = 4 << 20;
+    private static final int MAX_KEY_CHARACTERS = 255;
+    private static final int MAX_DEADLINE_MILLIS = 3_600_000;
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final Set<String> HOP_HEADERS = Set.of(
+    private static final Set<String> UNFORWARDED_HEADERS = Set.of(
             "connection",
             "host",
             "content-length",
@@ -70,16 +70,16 @@
     private final Supplier<FleetConfig> config;
     private final Spans spans;
     private final CallMetrics metrics;
-    private final Map<Long, OpenCall> open = new ConcurrentHashMap<>();
-    private final AtomicLong nextCall = new AtomicLong(1);
+    private final Map<Long, OpenCall> openCalls = new ConcurrentHashMap<>();
+    private final AtomicLong nextCallId = new AtomicLong(1);
 
     /**
-     * Makes the interface.
+     * Creates the handler.
      *
-     * @param core    takes calls
-     * @param config  the configuration in force
-     * @param spans   records the entry's hop
-     * @param metrics counts calls
+     * @param core    receives the calls
+     * @param config  supplies the configuration in force
+     * @param spans   records the entry's spans
+     * @param metrics metrics of the calls
      */
     public CallerApiHandler(
             Consumer<Envelope.Builder> core, Supplier<FleetConfig> config, Spans spans, CallMetrics metrics) {
@@ -92,7 +92,7 @@
     @Override
     public boolean handle(Request request, Response response, Callback callback) {
         String path = Request.getPathInContext(request);
-        if (path.startsWith(SERVICES)) {
+        if (path.startsWith(SERVICES_PREFIX)) {
             onService(request, response, callback, path);
         } else if (path.equals("/v1/models")) {
             onModels(response, callback);
@@ -105,33 +105,33 @@
     }
 
     /**
-     * Takes what the core sends to callers; called on the core's thread.
+     * Forwards an answer of the core to its caller; called on the core's thread.
      *
-     * @param message an answer's head, part or end
+     * @param message head, part or end of an answer
      */
     public void deliver(Envelope message) {
         switch (message.getBodyCase()) {
             case ANSWER_HEAD ->
-                find(message.getAnswerHead().getCall()).ifPresent(call -> call.head(message.getAnswerHead()));
+                findCall(message.getAnswerHead().getCall()).ifPresent(call -> call.onHead(message.getAnswerHead()));
             case ANSWER_PART ->
-                find(message.getAnswerPart().getCall()).ifPresent(call -> call.part(message.getAnswerPart()));
-            case ANSWER_END -> onEnd(message.getAnswerEnd());
+                findCall(message.getAnswerPart().getCall()).ifPresent(call -> call.onPart(message.getAnswerPart()));
+            case ANSWER_END -> onAnswerEnd(message.getAnswerEnd());
             default -> {
-                // Not for callers.
+                // Other messages are not for callers.
             }
         }
     }
 
-    private Optional<OpenCall> find(long id) {
-        return Optional.ofNullable(open.get(id));
+    private Optional<OpenCall> findCall(long id) {
+        return Optional.ofNullable(openCalls.get(id));
     }
 
-    private void onEnd(AnswerEnd end) {
-        OpenCall call = open.remove(end.getCall());
+    private void onAnswerEnd(AnswerEnd end) {
+        OpenCall call = openCalls.remove(end.getCall());
         if (call != null) {
-            call.end(end);
+            call.onEnd(end);
             String verdict = OpenCall.verdict(end).label();
-            metrics.ended(verdict, end);
+            metrics.onEnded(verdict, end);
             Spans.end(call.span(), verdict, !end.getWhole());
         }
     }
@@ -159,20 +159,20 @@
                 callback,
                 body -> CompletionRequest.parse(body, chat)
                         .peek(parsed -> startGeneration(request, response, callback, parsed, chat))
-                        .peekLeft(wrong -> Problem.badRequest(400, wrong).write(response, callback)));
+                        .peekLeft(error -> Problem.badRequest(400, error).write(response, callback)));
     }
 
     private void startGeneration(
             Request request, Response response, Callback callback, CompletionRequest parsed, boolean chat) {
         CallArrived.Builder call = CallArrived.newBuilder().setGeneration(parsed.generation());
-        if (!takeHeaders(request, response, callback, call)) {
+        if (!copyCallHeaders(request, response, callback, call)) {
             return;
         }
-        long id = nextCall.getAndIncrement();
+        long id = nextCallId.getAndIncrement();
         Span span = startSpan(request, parsed.generation().getModel(), call);
         CompletionJson json = new CompletionJson(
                 "cmpl-" + id, parsed.generation().getModel(), System.currentTimeMillis() / 1000, chat);
-        Runnable onDisconnect = () -> gone(id);
+        Runnable onDisconnect = () -> cancelCall(id);
         OpenCall openCall = parsed.stream()
                 ? new OpenCall.StreamedCompletion(span, response, callback, onDisconnect, json)
                 : new OpenCall.BufferedCompletion(span, response, callback, json);
@@ -180,11 +180,12 @@
     }
 
     private void onService(Request request, Response response, Callback callback, String path) {
-        int end = path.indexOf('/', SERVICES.length());
-        String name = end < 0 ? path.substring(SERVICES.length()) : path.substring(SERVICES.length(), end);
-        String rest = end < 0 ? "/" : path.substring(end);
+        int end = path.indexOf('/', SERVICES_PREFIX.length());
+        String name =
+                end < 0 ? path.substring(SERVICES_PREFIX.length()) : path.substring(SERVICES_PREFIX.length(), end);
+        String subPath = end < 0 ? "/" : path.substring(end);
         String query = request.getHttpURI().getQuery();
-        String target = query == null ? rest : rest + "?" + query;
+        String target = query == null ? subPath : subPath + "?" + query;
         readBody(request, response, callback, body -> startExchange(request, response, callback, name, target, body));
     }
 
@@ -201,12 +202,12 @@
                 .setIdempotent(idempotent)
                 .setBody(ByteString.copyFrom(body));
         for (HttpField field : request.getHeaders()) {
-            if (!HOP_HEADERS.contains(field.getLowerCaseName())) {
+            if (!UNFORWARDED_HEADERS.contains(field.getLowerCaseName())) {
                 exchange.addHeaders(Header.newBuilder().setName(field.getName()).setValue(field.getValue()));
             }
         }
         CallArrived.Builder call = CallArrived.newBuilder().setExchange(exchange);
-        if (!takeHeaders(request, response, callback, call)) {
+        if (!copyCallHeaders(request, response, callback, call)) {
             return;
         }
         boolean keyMissing = service.flatMap(ServiceConfig::requireKey).orElse(false)
@@ -220,15 +221,15 @@
                     .write(response, callback);
             return;
         }
-        long id = nextCall.getAndIncrement();
+        long id = nextCallId.getAndIncrement();
         Span span = startSpan(request, name, call);
-        start(request, id, new OpenCall.ServiceCall(span, response, callback, () -> gone(id)), call);
+        start(request, id, new OpenCall.ServiceCall(span, response, callback, () -> cancelCall(id)), call);
     }
 
     private void start(Request request, long id, OpenCall openCall, CallArrived.Builder call) {
-        open.put(id, openCall);
-        metrics.started();
-        request.addFailureListener(failure -> gone(id));
+        openCalls.put(id, openCall);
+        metrics.onStarted();
+        request.addFailureListener(failure -> cancelCall(id));
         core.accept(Envelope.newBuilder().setCallArrived(call.setCall(id)));
     }
 
@@ -241,7 +242,7 @@
         return span;
     }
 
-    private void gone(long id) {
+    private void cancelCall(long id) {
         core.accept(Envelope.newBuilder().setCallGone(CallGone.newBuilder().setCall(id)));
     }
 
@@ -249,34 +250,34 @@
         RequestBodyReader.read(
                 request,
                 response,
-                LARGEST_BODY,
+                MAX_BODY_BYTES,
                 onBody,
                 () -> Problem.badRequest(413, "The body is larger than 4 MiB.").write(response, callback),
                 failure -> Problem.badRequest(408, "The body did not come whole and in time.")
                         .write(response, callback));
     }
 
-    /** Takes the headers that every call may have; answers the caller and returns false where one is wrong. */
-    private static boolean takeHeaders(
+    /** Copies the headers common to all calls; if one is invalid, responds with an error and returns false. */
+    private static boolean copyCallHeaders(
             Request request, Response response, Callback callback, CallArrived.Builder call) {
-        Optional<Integer> priority = number(request, PRIORITY_HEADER, 0, 9);
-        Optional<Integer> deadline = number(request, DEADLINE_HEADER, 1, LONGEST_DEADLINE);
+        Optional<Integer> priority = parseHeaderNumber(request, PRIORITY_HEADER, 0, 9);
+        Optional<Integer> deadlineMillis = parseHeaderNumber(request, DEADLINE_HEADER, 1, MAX_DEADLINE_MILLIS);
         String key = header(request, IDEMPOTENCY_KEY_HEADER);
-        String wrong = "";
+        String error = "";
         if (!header(request, PRIORITY_HEADER).isEmpty() && priority.isEmpty()) {
-            wrong = PRIORITY_HEADER + " must be a whole number from 0 to 9.";
-        } else if (!header(request, DEADLINE_HEADER).isEmpty() && deadline.isEmpty()) {
-            wrong = DEADLINE_HEADER + " must be a whole number from 1 to " + LONGEST_DEADLINE + ".";
-        } else if (key.length() > LONGEST_KEY) {
-            wrong = IDEMPOTENCY_KEY_HEADER + " must have at most " + LONGEST_KEY + " characters.";
+            error = PRIORITY_HEADER + " must be a whole number from 0 to 9.";
+        } else if (!header(request, DEADLINE_HEADER).isEmpty() && deadlineMillis.isEmpty()) {
+            error = DEADLINE_HEADER + " must be a whole number from 1 to " + MAX_DEADLINE_MILLIS + ".";
+        } else if (key.length() > MAX_KEY_CHARACTERS) {
+            error = IDEMPOTENCY_KEY_HEADER + " must have at most " + MAX_KEY_CHARACTERS + " characters.";
         }
-        if (!wrong.isEmpty()) {
-            Problem.badRequest(400, wrong).write(response, callback);
+        if (!error.isEmpty()) {
+            Problem.badRequest(400, error).write(response, callback);
             return false;
         }
         call.setOrganisation(header(request, ORGANISATION_HEADER));
         call.setPriority(priority.orElse(0));
-        call.setDeadlineMs(deadline.orElse(0));
+        call.setDeadlineMs(deadlineMillis.orElse(0));
         call.setIdempotencyKey(key);
         return true;
     }
@@ -285,10 +286,10 @@
         return Optional.ofNullable(request.getHeaders().get(name)).orElse("");
     }
 
-    private static Optional<Integer> number(Request request, String name, int least, int most) {
+    private static Optional<Integer> parseHeaderNumber(Request request, String name, int min, int max) {
         try {
             int value = Integer.parseInt(header(request, name));
-            return value >= least && value <= most ? Optional.of(value) : Optional.empty();
+            return value >= min && value <= max ? Optional.of(value) : Optional.empty();
         } catch (NumberFormatException e) {
             return Optional.empty();
         }
--- a/src/main/java/org/cuminshelf/http/CompletionJson.java
+++ b/src/main/java/org/cuminshelf/http/CompletionJson.java
@@ -7,22 +7,22 @@
 import org.cuminshelf.message.AnswerEnd;
 
 /**
- * Answers in the form of the OpenAI interface: chat or text completions, whole or as events.
+ * Encodes responses of the OpenAI API: chat or text completions, complete or as server-sent events.
  *
- * @param id      the id of the answer
- * @param model   the model
- * @param created seconds since 1970
- * @param chat    whether the caller asked for a chat completion
+ * @param id      ID of the completion
+ * @param model   name of the model
+ * @param created creation time in seconds since 1970
+ * @param chat    whether the caller requested a chat completion
  */
 record CompletionJson(String id, String model, long created, boolean chat) {
 
-    /** The event that ends a whole stream. */
-    static final byte[] DONE = "data: [DONE]\n\n".getBytes(StandardCharsets.US_ASCII);
+    /** The event that ends a complete stream. */
+    static final byte[] DONE_EVENT = "data: [DONE]\n\n".getBytes(StandardCharsets.US_ASCII);
 
     private static final ObjectMapper JSON = new ObjectMapper();
 
-    /** One event with a token, or with the reason of the end. */
-    byte[] event(String token, String finishReason) {
+    /** Encodes an event with a token or with the finish reason; the other one is empty. */
+    byte[] tokenEvent(String token, String finishReason) {
         ObjectNode choice = JSON.createObjectNode().put("index", 0);
         if (chat) {
             ObjectNode delta = choice.putObject("delta");
@@ -33,19 +33,19 @@
             choice.put("text", token);
         }
         choice.put("finish_reason", finishReason.isEmpty() ? null : finishReason);
-        ObjectNode body = envelope(chat ? "chat.completion.chunk" : "text_completion");
+        ObjectNode body = responseObject(chat ? "chat.completion.chunk" : "text_completion");
         body.putArray("choices").add(choice);
         return ("data: " + write(body) + "\n\n").getBytes(StandardCharsets.UTF_8);
     }
 
-    /** The event that tells of a stream cut short. */
-    static byte[] error(Problem problem) {
+    /** Encodes the event that reports a truncated stream. */
+    static byte[] errorEvent(Problem problem) {
         String json = new String(problem.json(), StandardCharsets.UTF_8);
         return ("event: error\ndata: " + json + "\n\n").getBytes(StandardCharsets.UTF_8);
     }
 
-    /** The whole answer. */
-    byte[] whole(String text, AnswerEnd end) {
+    /** Encodes a complete response. */
+    byte[] completeResponse(String text, AnswerEnd end) {
         ObjectNode choice = JSON.createObjectNode().put("index", 0);
         if (chat) {
             choice.putObject("message").put("role", "assistant").put("content", text);
@@ -53,7 +53,7 @@
             choice.put("text", text);
         }
         choice.put("finish_reason", end.getFinishReason());
-        ObjectNode body = envelope(chat ? "chat.completion" : "text_completion");
+        ObjectNode body = responseObject(chat ? "chat.completion" : "text_completion");
         body.putArray("choices").add(choice);
         body.putObject("usage")
                 .put("prompt_tokens", end.getPromptTokens())
@@ -62,7 +62,7 @@
         return write(body).getBytes(StandardCharsets.UTF_8);
     }
 
-    private ObjectNode envelope(String object) {
+    private ObjectNode responseObject(String object) {
         return JSON.createObjectNode()
                 .put("id", id)
                 .put("object", object)
@@ -74,7 +74,7 @@
         try {
             return JSON.writeValueAsString(node);
         } catch (JsonProcessingException e) {
-            throw new IllegalStateException("A plain object can be written", e);
+            throw new IllegalStateException("The JSON object could not be encoded", e);
         }
     }
 }
--- a/src/main/java/org/cuminshelf/http/CompletionRequest.java
+++ b/src/main/java/org/cuminshelf/http/CompletionRequest.java
@@ -9,20 +9,20 @@
 import org.cuminshelf.message.Generation;
 
 /**
- * A request in the form of the OpenAI interface.
+ * A completion request of the OpenAI API.
  *
- * @param generation what to generate
- * @param stream     whether the tokens are wanted as they come
+ * @param generation the generation to run
+ * @param stream     whether the caller requested the tokens as a stream of events
  */
 record CompletionRequest(Generation generation, boolean stream) {
 
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final int CHARACTERS_PER_TOKEN = 4;
     private static final int BLOCK_CHARACTERS = 64 * CHARACTERS_PER_TOKEN;
-    private static final int MOST_BLOCKS = 128;
+    private static final int MAX_BLOCKS = 128;
     private static final int DEFAULT_MAX_TOKENS = 256;
 
-    /** Reads a request body, or says what is wrong with it. */
+    /** Parses a request body; the left side describes an error in it. */
     static Either<String, CompletionRequest> parse(byte[] body, boolean chat) {
         JsonNode node;
         try {
@@ -39,11 +39,12 @@
             return Either.left("'model' must name a model; GET /v1/models lists them.");
         }
         Either<String, String> prompt = chat ? chatPrompt(node) : textPrompt(node);
-        JsonNode most = node.has("max_completion_tokens") ? node.get("max_completion_tokens") : node.path("max_tokens");
-        if (!most.isMissingNode() && (!most.isInt() || most.intValue() < 1)) {
+        JsonNode maxTokensNode =
+                node.has("max_completion_tokens") ? node.get("max_completion_tokens") : node.path("max_tokens");
+        if (!maxTokensNode.isMissingNode() && (!maxTokensNode.isInt() || maxTokensNode.intValue() < 1)) {
             return Either.left("'max_tokens' must be a whole number above 0.");
         }
-        int maxTokens = most.isMissingNode() ? DEFAULT_MAX_TOKENS : most.intValue();
+        int maxTokens = maxTokensNode.isMissingNode() ? DEFAULT_MAX_TOKENS : maxTokensNode.intValue();
         return prompt.map(text -> new CompletionRequest(
                 generation(node, text, maxTokens), node.path("stream").asBoolean(false)));
     }
@@ -55,16 +56,16 @@
                 .setPrompt(prompt)
                 .setPromptTokens(Math.max(1, prompt.length() / CHARACTERS_PER_TOKEN))
                 .setMaxTokens(maxTokens)
-                .addAllPrefix(prefix(prompt))
+                .addAllPrefix(prefixHashes(prompt))
                 .build();
     }
 
-    /** Hashes of the blocks of a prompt, each over everything before it too. */
-    private static java.util.List<Long> prefix(String prompt) {
+    /** Returns the hashes of the blocks of a prompt, each chained with the hash of the block before. */
+    private static java.util.List<Long> prefixHashes(String prompt) {
         java.util.List<Long> blocks = new java.util.ArrayList<>();
         long hash = 0;
         for (int end = BLOCK_CHARACTERS;
-                end <= prompt.length() && blocks.size() < MOST_BLOCKS;
+                end <= prompt.length() && blocks.size() < MAX_BLOCKS;
                 end += BLOCK_CHARACTERS) {
             hash = LongHashFunction.xx3(hash).hashChars(prompt, end - BLOCK_CHARACTERS, BLOCK_CHARACTERS);
             blocks.add(hash);
--- a/src/main/java/org/cuminshelf/http/HttpListener.java
+++ b/src/main/java/org/cuminshelf/http/HttpListener.java
@@ -19,50 +19,50 @@
 import org.eclipse.jetty.util.thread.QueuedThreadPool;
 import org.tinylog.Logger;
 
-/** One listening HTTP or HTTPS port. */
+/** A listening HTTP or HTTPS port. */
 public final class HttpListener implements AutoCloseable {
 
     private static final String LOG = "http: ";
-    private static final int IDLE_MILLIS = 30_000;
-    private static final int LARGEST_HEADERS = 16 << 10;
-    private static final int FEWEST_THREADS = 4;
-    private static final long LOOK_AGAIN_MILLIS = 1_000;
+    private static final int IDLE_TIMEOUT_MILLIS = 30_000;
+    private static final int MAX_HEADER_BYTES = 16 << 10;
+    private static final int MIN_THREADS = 4;
+    private static final long PEM_POLL_MILLIS = 1_000;
 
     private final Server server;
     private final ServerConnector connector;
-    private final Optional<PemWatch> watch;
+    private final Optional<PemReloader> reloader;
 
-    private HttpListener(Server server, ServerConnector connector, Optional<PemWatch> watch) {
+    private HttpListener(Server server, ServerConnector connector, Optional<PemReloader> reloader) {
         this.server = server;
         this.connector = connector;
-        this.watch = watch;
+        this.reloader = reloader;
     }
 
     /**
-     * Starts to listen.
+     * Starts a listener.
      *
-     * @param address the address; port 0 takes a free one
-     * @param threads most threads
-     * @param handler answers requests
-     * @param tls     PEM files for HTTPS, or nothing for HTTP
-     * @return the listener
-     * @throws IOException if the address or the files can't be used
+     * @param address address to bind; port 0 selects a free port
+     * @param threads maximum number of threads
+     * @param handler handles the requests
+     * @param tls     PEM files for HTTPS, or empty for HTTP
+     * @return the running listener
+     * @throws IOException if the address can't be bound or the files can't be read
      */
     public static HttpListener start(Address address, int threads, Handler handler, Optional<PemFiles> tls)
             throws IOException {
-        QueuedThreadPool pool = new QueuedThreadPool(Math.max(threads, FEWEST_THREADS), FEWEST_THREADS);
+        QueuedThreadPool pool = new QueuedThreadPool(Math.max(threads, MIN_THREADS), MIN_THREADS);
         pool.setName("http");
         Server server = new Server(pool);
         HttpConfiguration configuration = new HttpConfiguration();
         configuration.setSendServerVersion(false);
-        configuration.setRequestHeaderSize(LARGEST_HEADERS);
+        configuration.setRequestHeaderSize(MAX_HEADER_BYTES);
         HttpConnectionFactory http = new HttpConnectionFactory(configuration);
-        Optional<PemWatch> watch = Optional.empty();
+        Optional<PemReloader> reloader = Optional.empty();
         ServerConnector connector;
         if (tls.isPresent()) {
-            PemWatch made = PemWatch.load(tls.get());
-            watch = Optional.of(made);
-            connector = new ServerConnector(server, 1, 1, made.factory(), http);
+            PemReloader loaded = PemReloader.load(tls.get());
+            reloader = Optional.of(loaded);
+            connector = new ServerConnector(server, 1, 1, loaded.connectionFactory(), http);
         } else {
             connector = new ServerConnector(server, 1, 1, http);
         }
@@ -70,10 +70,10 @@
         int colon = value.lastIndexOf(':');
         connector.setHost(value.substring(0, colon));
         connector.setPort(Integer.parseInt(value.substring(colon + 1)));
-        connector.setIdleTimeout(IDLE_MILLIS);
+        connector.setIdleTimeout(IDLE_TIMEOUT_MILLIS);
         server.addConnector(connector);
         server.setHandler(handler);
-        server.setErrorHandler(new ProblemErrors());
+        server.setErrorHandler(new ProblemErrorHandler());
         try {
             server.start();
         } catch (Exception e) {
@@ -81,13 +81,13 @@
             throw new IOException(
                     "can't listen on " + address + ": " + e.getMessage() + "; is another process using it?", e);
         }
-        HttpListener listener = new HttpListener(server, connector, watch);
-        watch.ifPresent(PemWatch::start);
+        HttpListener listener = new HttpListener(server, connector, reloader);
+        reloader.ifPresent(PemReloader::start);
         return listener;
     }
 
     /**
-     * The port in use.
+     * Returns the port that is bound.
      *
      * @return the port
      */
@@ -97,7 +97,7 @@
 
     @Override
     public void close() {
-        watch.ifPresent(PemWatch::close);
+        reloader.ifPresent(PemReloader::close);
         stopQuietly(server);
     }
 
@@ -105,12 +105,12 @@
         try {
             server.stop();
         } catch (Exception e) {
-            Logger.debug(LOG + "A listener did not stop cleanly: {}.", e.getMessage());
+            Logger.debug(LOG + "The listener did not stop cleanly: {}.", e.getMessage());
         }
     }
 
-    /** Errors that Jetty itself finds, such as a malformed request, as problem JSON. */
-    private static final class ProblemErrors extends ErrorHandler {
+    /** Reports errors that Jetty detects, such as a malformed request, as problem JSON. */
+    private static final class ProblemErrorHandler extends ErrorHandler {
         @Override
         public boolean handle(Request request, Response response, Callback callback) {
             int status = response.getStatus() == 0 ? 500 : response.getStatus();
@@ -123,28 +123,28 @@
         }
     }
 
-    /** Looks for renewed PEM files and gives them to Jetty, which uses them for new connections. */
-    private static final class PemWatch implements Runnable {
+    /** Polls the PEM files for changes and reloads them into Jetty, which uses them for new connections. */
+    private static final class PemReloader implements Runnable {
 
         private final PemFiles files;
         private final SslContextFactory.Server context;
         private final Thread thread = new Thread(this, "pem-watch");
-        private long stamp;
+        private long modificationStamp;
 
-        private PemWatch(PemFiles files, SslContextFactory.Server context, long stamp) {
+        private PemReloader(PemFiles files, SslContextFactory.Server context, long modificationStamp) {
             this.files = files;
             this.context = context;
-            this.stamp = stamp;
+            this.modificationStamp = modificationStamp;
         }
 
-        private static PemWatch load(PemFiles files) throws IOException {
+        private static PemReloader load(PemFiles files) throws IOException {
             SslContextFactory.Server context = new SslContextFactory.Server();
             context.setKeyStore(files.keyStore());
             context.setKeyStorePassword("");
-            return new PemWatch(files, context, stamp(files));
+            return new PemReloader(files, context, modificationStamp(files));
         }
 
-        private org.eclipse.jetty.server.SslConnectionFactory factory() {
+        private org.eclipse.jetty.server.SslConnectionFactory connectionFactory() {
             return new org.eclipse.jetty.server.SslConnectionFactory(context, "http/1.1");
         }
 
@@ -161,33 +161,35 @@
         public void run() {
             try {
                 while (true) {
-                    Thread.sleep(LOOK_AGAIN_MILLIS);
-                    look();
+                    Thread.sleep(PEM_POLL_MILLIS);
+                    reloadIfChanged();
                 }
             } catch (InterruptedException end) {
                 Thread.currentThread().interrupt();
             }
         }
 
-        private void look() {
+        private void reloadIfChanged() {
             try {
-                long found = stamp(files);
-                if (found != stamp) {
-                    stamp = found;
+                long currentStamp = modificationStamp(files);
+                if (currentStamp != modificationStamp) {
+                    modificationStamp = currentStamp;
                     java.security.KeyStore renewed = files.keyStore();
                     context.reload(factory -> factory.setKeyStore(renewed));
-                    Logger.info(LOG + "The certificate files were read again.");
+                    Logger.info(LOG + "The certificate files were reloaded.");
                 }
             } catch (Exception e) {
-                Logger.warn(LOG + "Changed certificate files can't be used; the earlier stay: {}.", e.getMessage());
+                Logger.warn(
+                        LOG + "The changed certificate files can't be loaded; the previous ones stay in use: {}.",
+                        e.getMessage());
             }
         }
 
-        private static long stamp(PemFiles files) throws IOException {
-            return modified(files.certificate()) * 31 + modified(files.key());
+        private static long modificationStamp(PemFiles files) throws IOException {
+            return modifiedMillis(files.certificate()) * 31 + modifiedMillis(files.key());
         }
 
-        private static long modified(Path file) throws IOException {
+        private static long modifiedMillis(Path file) throws IOException {
             if (!Files.isReadable(file)) {
                 throw new IOException(file + ": can't be read; name a readable PEM file");
             }
--- a/src/main/java/org/cuminshelf/http/MonitoringHandler.java
+++ b/src/main/java/org/cuminshelf/http/MonitoringHandler.java
@@ -13,7 +13,7 @@
 import org.eclipse.jetty.server.Response;
 import org.eclipse.jetty.util.Callback;
 
-/** The pages for the platform: {@code /healthz}, {@code /readyz} and {@code /metrics}. */
+/** HTTP handler of the monitoring endpoints {@code /healthz}, {@code /readyz} and {@code /metrics}. */
 public final class MonitoringHandler extends Handler.Abstract.NonBlocking {
 
     private final BooleanSupplier ready;
@@ -22,10 +22,10 @@
             PrometheusTextFormatWriter.builder().build();
 
     /**
-     * Makes the pages.
+     * Creates the handler.
      *
-     * @param ready    whether the balancer may send requests here
-     * @param registry the metrics
+     * @param ready    whether the load balancer may send requests to this process
+     * @param registry registry of the exposed metrics
      */
     public MonitoringHandler(BooleanSupplier ready, PrometheusRegistry registry) {
         this.ready = ready;
@@ -35,12 +35,12 @@
     @Override
     public boolean handle(Request request, Response response, Callback callback) throws IOException {
         switch (Request.getPathInContext(request)) {
-            case "/healthz" -> text(response, callback, 200, "alive\n");
+            case "/healthz" -> writeText(response, callback, 200, "alive\n");
             case "/readyz" -> {
                 boolean isReady = ready.getAsBoolean();
-                text(response, callback, isReady ? 200 : 503, isReady ? "ready\n" : "not ready\n");
+                writeText(response, callback, isReady ? 200 : 503, isReady ? "ready\n" : "not ready\n");
             }
-            case "/metrics" -> metrics(response, callback);
+            case "/metrics" -> writeMetrics(response, callback);
             default -> {
                 return false;
             }
@@ -48,7 +48,7 @@
         return true;
     }
 
-    private void metrics(Response response, Callback callback) throws IOException {
+    private void writeMetrics(Response response, Callback callback) throws IOException {
         ByteArrayOutputStream bytes = new ByteArrayOutputStream();
         writer.write(bytes, registry.scrape());
         response.setStatus(200);
@@ -56,7 +56,7 @@
         response.write(true, ByteBuffer.wrap(bytes.toByteArray()), callback);
     }
 
-    private static void text(Response response, Callback callback, int status, String text) {
+    private static void writeText(Response response, Callback callback, int status, String text) {
         response.setStatus(status);
         response.getHeaders().put(HttpHeader.CONTENT_TYPE, "text/plain");
         response.write(true, ByteBuffer.wrap(text.getBytes(StandardCharsets.US_ASCII)), callback);
--- a/src/main/java/org/cuminshelf/http/OpenCall.java
+++ b/src/main/java/org/cuminshelf/http/OpenCall.java
@@ -10,27 +10,27 @@
 import org.eclipse.jetty.server.Response;
 import org.eclipse.jetty.util.Callback;
 
-/** A caller that waits for its answer, in the form it asked for. */
+/** A call in progress; writes the answer of the core in the format that the caller requested. */
 sealed interface OpenCall {
 
-    /** The span of the entry's hop. */
+    /** Returns the entry's span of the call. */
     Span span();
 
-    /** Status and headers of a plain service's answer. */
-    void head(AnswerHead head);
+    /** Handles the status and headers of a plain service's answer. */
+    void onHead(AnswerHead head);
 
-    /** A part of the answer. */
-    void part(AnswerPart part);
+    /** Handles a part of the answer. */
+    void onPart(AnswerPart part);
 
-    /** The end of the answer. */
-    void end(AnswerEnd end);
+    /** Handles the end of the answer. */
+    void onEnd(AnswerEnd end);
 
-    /** The verdict of an end. */
+    /** Returns the verdict of an answer. */
     static Verdict verdict(AnswerEnd end) {
         return Verdict.of(end.getRan(), end.getCause(), end.getRetryAfterMs());
     }
 
-    /** An exchange with a plain service, passed through. */
+    /** A call of a plain service, whose response is passed through. */
     final class ServiceCall implements OpenCall {
 
         private final Span span;
@@ -52,7 +52,7 @@
         }
 
         @Override
-        public void head(AnswerHead head) {
+        public void onHead(AnswerHead head) {
             started = true;
             response.setStatus(head.getStatus());
             for (Header header : head.getHeadersList()) {
@@ -62,23 +62,23 @@
         }
 
         @Override
-        public void part(AnswerPart part) {
+        public void onPart(AnswerPart part) {
             writer.write(part.getBody().toByteArray(), false);
         }
 
         @Override
-        public void end(AnswerEnd end) {
+        public void onEnd(AnswerEnd end) {
             if (end.getWhole()) {
                 writer.write(new byte[0], true);
             } else if (started) {
-                writer.fail(new java.io.IOException("the answer is not whole: " + end.getCause()));
+                writer.fail(new java.io.IOException("the answer is incomplete: " + end.getCause()));
             } else {
                 Problem.of(verdict(end), end.getDetail()).write(response, callback);
             }
         }
     }
 
-    /** A generation whose tokens go to the caller as they come, as server-sent events. */
+    /** A completion whose tokens are streamed to the caller as server-sent events. */
     final class StreamedCompletion implements OpenCall {
 
         private final Span span;
@@ -103,32 +103,32 @@
         }
 
         @Override
-        public void head(AnswerHead head) {
-            // A generation has no head of its own.
+        public void onHead(AnswerHead head) {
+            // A completion has no head; its status and headers are fixed.
         }
 
         @Override
-        public void part(AnswerPart part) {
-            start();
+        public void onPart(AnswerPart part) {
+            startResponse();
             for (String token : part.getTokensList()) {
-                writer.write(json.event(token, ""), false);
+                writer.write(json.tokenEvent(token, ""), false);
             }
         }
 
         @Override
-        public void end(AnswerEnd end) {
+        public void onEnd(AnswerEnd end) {
             if (end.getWhole()) {
-                start();
-                writer.write(json.event("", end.getFinishReason()), false);
-                writer.write(CompletionJson.DONE, true);
+                startResponse();
+                writer.write(json.tokenEvent("", end.getFinishReason()), false);
+                writer.write(CompletionJson.DONE_EVENT, true);
             } else if (started) {
-                writer.write(CompletionJson.error(Problem.of(verdict(end), end.getDetail())), true);
+                writer.write(CompletionJson.errorEvent(Problem.of(verdict(end), end.getDetail())), true);
             } else {
                 Problem.of(verdict(end), end.getDetail()).write(response, callback);
             }
         }
 
-        private void start() {
+        private void startResponse() {
             if (!started) {
                 started = true;
                 response.setStatus(200);
@@ -139,7 +139,7 @@
         }
     }
 
-    /** A generation whose caller wants the whole answer at once. */
+    /** A completion that is sent to the caller as one complete response. */
     final class BufferedCompletion implements OpenCall {
 
         private final Span span;
@@ -161,17 +161,17 @@
         }
 
         @Override
-        public void head(AnswerHead head) {
-            // A generation has no head of its own.
+        public void onHead(AnswerHead head) {
+            // A completion has no head; its status and headers are fixed.
         }
 
         @Override
-        public void part(AnswerPart part) {
+        public void onPart(AnswerPart part) {
             part.getTokensList().forEach(text::append);
         }
 
         @Override
-        public void end(AnswerEnd end) {
+        public void onEnd(AnswerEnd end) {
             if (!end.getWhole()) {
                 Problem.of(verdict(end), end.getDetail()).write(response, callback);
                 return;
@@ -179,7 +179,7 @@
             response.setStatus(200);
             response.getHeaders().put(HttpHeader.CONTENT_TYPE, "application/json");
             response.getHeaders().put(Problem.VERDICT_HEADER, "ran");
-            response.write(true, java.nio.ByteBuffer.wrap(json.whole(text.toString(), end)), callback);
+            response.write(true, java.nio.ByteBuffer.wrap(json.completeResponse(text.toString(), end)), callback);
         }
     }
 }
--- a/src/main/java/org/cuminshelf/http/Problem.java
+++ b/src/main/java/org/cuminshelf/http/Problem.java
@@ -12,37 +12,37 @@
 import org.eclipse.jetty.util.Callback;
 
 /**
- * An error as callers see it: problem JSON (RFC 9457) with the verdict and, where the request did not run, the time
- * after which to try again.
+ * An error response: problem JSON (RFC 9457) with the verdict and, if the request did not run, the time after which to
+ * retry.
  *
- * @param status  the HTTP status
- * @param verdict whether the request may have run
- * @param detail  a sentence for people
+ * @param status  HTTP status code
+ * @param verdict whether the request may have run, and why it failed
+ * @param detail  human-readable description
  */
 public record Problem(int status, Verdict verdict, String detail) {
 
-    /** Header that carries the word of the verdict. */
+    /** Header with the verdict. */
     public static final String VERDICT_HEADER = "Cuminshelf-Verdict";
 
     private static final ObjectMapper JSON = new ObjectMapper();
     private static final long MILLIS_PER_SECOND = 1_000;
 
     /**
-     * Makes the problem for a verdict.
+     * Creates the problem for a verdict.
      *
-     * @param verdict whether the request may have run, and why it was not answered
-     * @param detail  a sentence, or empty for the usual one
+     * @param verdict whether the request may have run, and why it failed
+     * @param detail  human-readable description, or empty for the default one of the cause
      * @return the problem
      */
     public static Problem of(Verdict verdict, String detail) {
-        return new Problem(status(verdict), verdict, detail.isEmpty() ? sentence(verdict.cause()) : detail);
+        return new Problem(statusOf(verdict), verdict, detail.isEmpty() ? defaultDetail(verdict.cause()) : detail);
     }
 
     /**
-     * Makes the problem for a request that can't be understood.
+     * Creates the problem for an invalid request.
      *
-     * @param status the HTTP status
-     * @param detail what is wrong and how to mend it
+     * @param status HTTP status code
+     * @param detail description of the error and how to correct it
      * @return the problem
      */
     public static Problem badRequest(int status, String detail) {
@@ -50,10 +50,10 @@
     }
 
     /**
-     * Writes the problem as the whole response.
+     * Writes the problem as the complete response.
      *
-     * @param response the response, not committed
-     * @param callback completed when it is written
+     * @param response response that isn't committed yet
+     * @param callback completed when the response is written
      */
     public void write(Response response, Callback callback) {
         response.setStatus(status);
@@ -67,9 +67,9 @@
     }
 
     /**
-     * The problem as JSON.
+     * Encodes the problem as JSON.
      *
-     * @return UTF-8 bytes
+     * @return JSON in UTF-8
      */
     public byte[] json() {
         ObjectNode body = JSON.createObjectNode()
@@ -84,11 +84,11 @@
         try {
             return JSON.writeValueAsBytes(body);
         } catch (JsonProcessingException e) {
-            throw new IllegalStateException("A plain object can be written", e);
+            throw new IllegalStateException("The JSON object could not be encoded", e);
         }
     }
 
-    private static int status(Verdict verdict) {
+    private static int statusOf(Verdict verdict) {
         return switch (verdict.cause()) {
             case UNKNOWN_SERVICE, UNKNOWN_MODEL -> 404;
             case BAD_REQUEST -> 400;
@@ -102,7 +102,7 @@
         };
     }
 
-    private static String sentence(Cause cause) {
+    private static String defaultDetail(Cause cause) {
         return switch (cause) {
             case UNKNOWN_SERVICE -> "No such service is configured.";
             case UNKNOWN_MODEL -> "No such model is configured.";
--- a/src/main/java/org/cuminshelf/http/QuarantineJson.java
+++ b/src/main/java/org/cuminshelf/http/QuarantineJson.java
@@ -15,12 +15,12 @@
 import org.cuminshelf.poison.Fingerprint;
 import org.cuminshelf.poison.Quarantine;
 
-/** The calls of operators about poison requests: what they ask for, and the answers, as JSON. */
+/** JSON of the administration endpoints for quarantined poison requests: parses requests and encodes responses. */
 public final class QuarantineJson {
 
-    /** Path of the list, under the prefix of the interface. */
+    /** Path of the endpoint that lists the quarantine, relative to the prefix of the interface. */
     public static final String LIST_PATH = "quarantine";
-    /** Path of a release, under the prefix of the interface. */
+    /** Path of the endpoint that releases a request, relative to the prefix of the interface. */
     public static final String RELEASE_PATH = "quarantine/release";
 
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -28,7 +28,7 @@
     private QuarantineJson() {}
 
     /**
-     * Asks for the quarantine.
+     * Creates a request for the list of quarantined requests.
      *
      * @return the request
      */
@@ -37,11 +37,11 @@
     }
 
     /**
-     * Reads a release.
+     * Parses a request to release a quarantined request.
      *
-     * @param body   an object with {@code fingerprint} and {@code reason}, and {@code author} where no key names one
-     * @param author who releases, where a key names it
-     * @return the request, or what is wrong with the body
+     * @param body   JSON object with {@code fingerprint}, {@code reason} and, if no key identifies one, {@code author}
+     * @param author author of the release, if a key identifies one
+     * @return the request, or a description of the error in the body
      */
     public static Either<String, AdminRequest.Builder> releaseRequest(byte[] body, Optional<String> author) {
         JsonNode node;
@@ -50,41 +50,41 @@
         } catch (IOException e) {
             return Either.left("The body is not JSON: " + e.getMessage());
         }
-        Optional<Fingerprint> request =
+        Optional<Fingerprint> fingerprint =
                 Fingerprint.parse(node == null ? "" : node.path("fingerprint").asText(""));
-        if (request.isEmpty()) {
+        if (fingerprint.isEmpty()) {
             return Either.left("'fingerprint' must be the 32 hexadecimal digits that the list shows.");
         }
         String reason = node.path("reason").asText("").trim();
         if (reason.isEmpty()) {
             return Either.left("'reason' must say why the request may run again.");
         }
-        String by = author.orElse(node.path("author").asText("").trim());
-        if (by.isEmpty()) {
+        String releaseAuthor = author.orElse(node.path("author").asText("").trim());
+        if (releaseAuthor.isEmpty()) {
             return Either.left("'author' must name who releases it.");
         }
         return Either.right(AdminRequest.newBuilder()
                 .setQuarantineRelease(QuarantineRelease.newBuilder()
-                        .setHigh(request.get().high())
-                        .setLow(request.get().low())
-                        .setAuthor(by)
+                        .setHigh(fingerprint.get().high())
+                        .setLow(fingerprint.get().low())
+                        .setAuthor(releaseAuthor)
                         .setReason(reason)));
     }
 
     /**
-     * Writes the quarantine.
+     * Encodes the list of quarantined requests.
      *
-     * @param answer the answer to {@link #listRequest()}
-     * @return an object with {@code requests}
+     * @param answer answer to {@link #listRequest()}
+     * @return JSON object with {@code requests}
      */
     public static ObjectNode of(AdminAnswer answer) {
         ObjectNode node = JSON.createObjectNode();
         ArrayNode requests = node.putArray("requests");
-        answer.getQuarantinedList().forEach(row -> requests.add(request(row)));
+        answer.getQuarantinedList().forEach(row -> requests.add(requestNode(row)));
         return node;
     }
 
-    private static ObjectNode request(QuarantinedRequest row) {
+    private static ObjectNode requestNode(QuarantinedRequest row) {
         ObjectNode node = JSON.createObjectNode()
                 .put("fingerprint", Quarantine.fingerprint(row).toString())
                 .put("state", row.getReleased() ? "released" : "quarantined")
--- a/src/main/java/org/cuminshelf/http/RequestBodyReader.java
+++ b/src/main/java/org/cuminshelf/http/RequestBodyReader.java
@@ -8,53 +8,53 @@
 import org.eclipse.jetty.server.Request;
 import org.eclipse.jetty.server.Response;
 
-/** Reads request bodies without blocking and with a bound. */
+/** Reads request bodies without blocking and up to a maximum size. */
 final class RequestBodyReader {
 
     private RequestBodyReader() {}
 
     /**
-     * Reads a whole body.
+     * Reads a complete body.
      *
-     * @param request  the request
-     * @param response the response, to close its connection where the body is not read to its end
-     * @param largest  most bytes to take
-     * @param onBody   takes the body
-     * @param tooLarge called instead where there is more
-     * @param onError  called instead where the body ends early or comes too slowly
+     * @param request    the request
+     * @param response   the response, which closes the connection if the body isn't read to its end
+     * @param maxBytes   maximum size of the body
+     * @param onBody     receives the body
+     * @param onTooLarge called instead if the body is larger
+     * @param onError    called instead if the body is truncated or times out
      */
     static void read(
             Request request,
             Response response,
-            int largest,
+            int maxBytes,
             Consumer<byte[]> onBody,
-            Runnable tooLarge,
+            Runnable onTooLarge,
             Consumer<Throwable> onError) {
-        new Reader(request, response, largest, onBody, tooLarge, onError).run();
+        new PendingRead(request, response, maxBytes, onBody, onTooLarge, onError).run();
     }
 
-    private static final class Reader implements Runnable {
+    private static final class PendingRead implements Runnable {
 
         private final Request request;
         private final Response response;
-        private final int largest;
+        private final int maxBytes;
         private final Consumer<byte[]> onBody;
-        private final Runnable tooLarge;
+        private final Runnable onTooLarge;
         private final Consumer<Throwable> onError;
         private final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
 
-        private Reader(
+        private PendingRead(
                 Request request,
                 Response response,
-                int largest,
+                int maxBytes,
                 Consumer<byte[]> onBody,
-                Runnable tooLarge,
+                Runnable onTooLarge,
                 Consumer<Throwable> onError) {
             this.request = request;
             this.response = response;
-            this.largest = largest;
+            this.maxBytes = maxBytes;
             this.onBody = onBody;
-            this.tooLarge = tooLarge;
+            this.onTooLarge = onTooLarge;
             this.onError = onError;
         }
 
@@ -70,11 +70,11 @@
                     onError.accept(chunk.getFailure());
                     return;
                 }
-                take(chunk);
-                if (bytes.size() > largest) {
-                    // What is left of the body would be taken for the next request.
+                append(chunk);
+                if (bytes.size() > maxBytes) {
+                    // On a persistent connection the rest of the body would be parsed as the next request.
                     response.getHeaders().put(HttpHeader.CONNECTION, "close");
-                    tooLarge.run();
+                    onTooLarge.run();
                     return;
                 }
                 if (chunk.isLast()) {
@@ -84,7 +84,7 @@
             }
         }
 
-        private void take(Content.Chunk chunk) {
+        private void append(Content.Chunk chunk) {
             ByteBuffer buffer = chunk.getByteBuffer();
             byte[] part = new byte[buffer.remaining()];
             buffer.get(part);
--- a/src/main/java/org/cuminshelf/http/ResponseWriter.java
+++ b/src/main/java/org/cuminshelf/http/ResponseWriter.java
@@ -7,22 +7,22 @@
 import org.eclipse.jetty.util.Callback;
 
 /**
- * Writes the parts of a response one after another without blocking the caller of {@link #write}.
+ * Writes the parts of a response in order without blocking the thread that calls {@link #write}.
  *
- * <p>Failure it guards against: a caller reads slower than its answer is made, and parts pile up. Beyond a bound the
- * response is failed, which the owner sees as the caller having gone.
+ * <p>Guards against a caller that reads more slowly than its response is produced, so that parts accumulate in memory.
+ * Above a maximum the response fails, and the owner is notified as for a disconnect.
  */
 final class ResponseWriter {
 
-    private static final long MOST_WAITING_BYTES = 8L << 20;
+    private static final long MAX_QUEUED_BYTES = 8L << 20;
 
-    private record Part(ByteBuffer bytes, boolean last) {}
+    private record QueuedPart(ByteBuffer bytes, boolean last) {}
 
     private final Response response;
     private final Callback callback;
     private final Runnable onDisconnect;
-    private final Deque<Part> parts = new ArrayDeque<>();
-    private long waitingBytes;
+    private final Deque<QueuedPart> queue = new ArrayDeque<>();
+    private long queuedBytes;
     private boolean writing;
     private boolean ended;
 
@@ -36,40 +36,40 @@
         if (ended) {
             return;
         }
-        waitingBytes += bytes.length;
-        if (waitingBytes > MOST_WAITING_BYTES) {
+        queuedBytes += bytes.length;
+        if (queuedBytes > MAX_QUEUED_BYTES) {
             fail(new java.io.IOException("the caller reads too slowly"));
             return;
         }
-        parts.add(new Part(ByteBuffer.wrap(bytes), last));
+        queue.add(new QueuedPart(ByteBuffer.wrap(bytes), last));
         if (!writing) {
-            next();
+            writeNext();
         }
     }
 
-    /** Ends the response in a way that shows the caller it is not whole. */
+    /** Aborts the response, so that the caller sees that it is incomplete. */
     synchronized void fail(Throwable cause) {
         if (!ended) {
             ended = true;
-            parts.clear();
+            queue.clear();
             callback.failed(cause);
             onDisconnect.run();
         }
     }
 
-    private void next() {
-        Part part = parts.poll();
+    private void writeNext() {
+        QueuedPart part = queue.poll();
         if (part == null) {
             writing = false;
             return;
         }
         writing = true;
-        int size = part.bytes.remaining();
-        response.write(part.last, part.bytes, Callback.from(() -> written(part, size), this::fail));
+        int sizeBytes = part.bytes.remaining();
+        response.write(part.last, part.bytes, Callback.from(() -> onWritten(part, sizeBytes), this::fail));
     }
 
-    private synchronized void written(Part part, int size) {
-        waitingBytes -= size;
+    private synchronized void onWritten(QueuedPart part, int sizeBytes) {
+        queuedBytes -= sizeBytes;
         if (part.last) {
             if (!ended) {
                 ended = true;
@@ -77,6 +77,6 @@
             }
             return;
         }
-        next();
+        writeNext();
     }
 }
--- a/src/main/java/org/cuminshelf/http/StatusJson.java
+++ b/src/main/java/org/cuminshelf/http/StatusJson.java
@@ -10,7 +10,7 @@
 import org.cuminshelf.message.Order;
 import org.cuminshelf.message.UpstreamKind;
 
-/** The state of the fleet as JSON. */
+/** Encodes the status of the fleet as JSON. */
 final class StatusJson {
 
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -26,17 +26,17 @@
                 .put("claims", status.getClaims())
                 .put("role_changes", status.getRoleChanges());
         ArrayNode groups = node.putArray("groups");
-        status.getGroupsList().forEach(group -> groups.add(group(group)));
+        status.getGroupsList().forEach(group -> groups.add(groupNode(group)));
         ArrayNode upstreams = node.putArray("upstreams");
         status.getMembersList().stream()
                 .filter(member -> !member.getGone())
-                .forEach(member -> upstreams.add(member(member)));
+                .forEach(member -> upstreams.add(memberNode(member)));
         ArrayNode orders = node.putArray("pending_orders");
-        status.getPendingOrdersList().forEach(order -> orders.add(order(order)));
+        status.getPendingOrdersList().forEach(order -> orders.add(orderNode(order)));
         return node;
     }
 
-    private static ObjectNode group(GroupStatus group) {
+    private static ObjectNode groupNode(GroupStatus group) {
         ObjectNode node = JSON.createObjectNode()
                 .put("group", group.getGroup())
                 .put("role", group.getRole().toLowerCase(Locale.ROOT))
@@ -52,7 +52,7 @@
         return node;
     }
 
-    private static ObjectNode member(Member member) {
+    private static ObjectNode memberNode(Member member) {
         ObjectNode node = JSON.createObjectNode()
                 .put("vm", member.getVm())
                 .put("address", member.getAddress())
@@ -68,7 +68,7 @@
         return node;
     }
 
-    private static ObjectNode order(Order order) {
+    private static ObjectNode orderNode(Order order) {
         return JSON.createObjectNode()
                 .put("engine", order.getEngine())
                 .put("term", order.getTerm())
--- a/src/main/java/org/cuminshelf/http/package-info.java
+++ b/src/main/java/org/cuminshelf/http/package-info.java
@@ -1,5 +1,5 @@
 /**
- * HTTP by Jetty: the callers' interface of an entry, the administration interface of a control process, and the pages
- * that every process has for its platform.
+ * HTTP servers on Jetty: the API for callers of an entry, the administration interface of a control process, and the
+ * monitoring endpoints of every process.
  */
 package org.cuminshelf.http;
--- a/src/main/java/org/cuminshelf/spans/FileSpanExporter.java
+++ b/src/main/java/org/cuminshelf/spans/FileSpanExporter.java
@@ -14,7 +14,7 @@
 import java.nio.file.StandardOpenOption;
 import java.util.Collection;
 
-/** Appends spans to a file, a line of JSON each. */
+/** Appends spans to a file, as one line of JSON each. */
 final class FileSpanExporter implements SpanExporter {
 
     private static final ObjectMapper JSON = new ObjectMapper();
@@ -38,7 +38,7 @@
     public synchronized CompletableResultCode export(Collection<SpanData> spans) {
         try {
             for (SpanData span : spans) {
-                writer.write(JSON.writeValueAsString(describe(span)));
+                writer.write(JSON.writeValueAsString(toJson(span)));
                 writer.write('\n');
             }
             writer.flush();
@@ -48,7 +48,7 @@
         }
     }
 
-    private ObjectNode describe(SpanData span) {
+    private ObjectNode toJson(SpanData span) {
         ObjectNode node = JSON.createObjectNode()
                 .put("service", service)
                 .put("name", span.getName())
--- a/src/main/java/org/cuminshelf/spans/Spans.java
+++ b/src/main/java/org/cuminshelf/spans/Spans.java
@@ -18,24 +18,24 @@
 import java.util.Optional;
 import java.util.concurrent.TimeUnit;
 
-/** Starts and ends the spans of a process; the trace context crosses hops in the W3C {@code traceparent} form. */
+/** Starts and ends the spans of a process; the trace context is propagated as a W3C {@code traceparent}. */
 public final class Spans implements AutoCloseable {
 
-    private static final int PARTS_OF_TRACE_PARENT = 4;
-    private static final long CLOSE_SECONDS = 2;
+    private static final int TRACE_PARENT_FIELDS = 4;
+    private static final long SHUTDOWN_TIMEOUT_SECONDS = 2;
 
     private final Optional<SdkTracerProvider> provider;
     private final Tracer tracer;
 
     private Spans(Optional<SdkTracerProvider> provider) {
         this.provider = provider;
-        this.tracer = provider.map(made -> made.get("cuminshelf"))
+        this.tracer = provider.map(tracerProvider -> tracerProvider.get("cuminshelf"))
                 .orElseGet(
                         () -> io.opentelemetry.api.trace.TracerProvider.noop().get("cuminshelf"));
     }
 
     /**
-     * Spans that go nowhere.
+     * Returns spans that are not recorded.
      *
      * @return the spans
      */
@@ -44,13 +44,13 @@
     }
 
     /**
-     * Spans that are exported.
+     * Returns spans that are exported to a file, an OTLP endpoint or both; without either they are not recorded.
      *
-     * @param service  the name of the process in traces
-     * @param file     file to which spans are appended, a line of JSON each
+     * @param service  service name of the process in traces
+     * @param file     file to which spans are appended, as one line of JSON each
      * @param endpoint OTLP endpoint over HTTP, such as {@code http://127.0.0.1:4318/v1/traces}
      * @return the spans
-     * @throws IOException if the file can't be written
+     * @throws IOException if the file can't be opened
      */
     public static Spans export(String service, Optional<Path> file, Optional<String> endpoint) throws IOException {
         if (file.isEmpty() && endpoint.isEmpty()) {
@@ -73,24 +73,24 @@
     /**
      * Starts a span.
      *
-     * @param name        what is done
-     * @param kind        the side of the hop
-     * @param traceParent the context it belongs to, or empty for a new trace
+     * @param name        name of the operation
+     * @param kind        kind of the span, such as server or client
+     * @param traceParent {@code traceparent} of the parent span, or empty for a new trace
      * @return the span
      */
     public Span start(String name, SpanKind kind, String traceParent) {
         return tracer.spanBuilder(name)
                 .setSpanKind(kind)
-                .setParent(parent(traceParent))
+                .setParent(parentContext(traceParent))
                 .startSpan();
     }
 
     /**
-     * Ends a span with the word of its verdict.
+     * Ends a span and records its verdict.
      *
      * @param span    the span
-     * @param verdict the word
-     * @param failed  whether the hop failed
+     * @param verdict verdict as text
+     * @param failed  whether the operation failed
      */
     public static void end(Span span, String verdict, boolean failed) {
         span.setAttribute("cuminshelf.verdict", verdict);
@@ -101,10 +101,10 @@
     }
 
     /**
-     * The context of a span as the next hop takes it.
+     * Returns the trace context of a span to send to the next process.
      *
      * @param span     the span
-     * @param received the context received, passed on where no spans are recorded
+     * @param received {@code traceparent} that was received, returned if no spans are recorded
      * @return a {@code traceparent}, or empty
      */
     public static String traceParent(Span span, String received) {
@@ -118,16 +118,17 @@
 
     @Override
     public void close() {
-        provider.ifPresent(made -> made.shutdown().join(CLOSE_SECONDS, TimeUnit.SECONDS));
+        provider.ifPresent(
+                tracerProvider -> tracerProvider.shutdown().join(SHUTDOWN_TIMEOUT_SECONDS, TimeUnit.SECONDS));
     }
 
-    private static Context parent(String traceParent) {
-        String[] parts = traceParent.split("-");
-        if (parts.length < PARTS_OF_TRACE_PARENT) {
+    private static Context parentContext(String traceParent) {
+        String[] fields = traceParent.split("-");
+        if (fields.length < TRACE_PARENT_FIELDS) {
             return Context.root();
         }
         SpanContext context = SpanContext.createFromRemoteParent(
-                parts[1], parts[2], TraceFlags.fromHex(parts[3], 0), TraceState.getDefault());
+                fields[1], fields[2], TraceFlags.fromHex(fields[3], 0), TraceState.getDefault());
         return context.isValid() ? Context.root().with(Span.wrap(context)) : Context.root();
     }
 }
--- a/src/main/java/org/cuminshelf/spans/package-info.java
+++ b/src/main/java/org/cuminshelf/spans/package-info.java
@@ -1,2 +1,2 @@
-/** Traces: one span for each hop of a request, exported to a file, by OTLP, or both. */
+/** Distributed tracing: one span for each process that handles a request, exported to a file, by OTLP, or both. */
 package org.cuminshelf.spans;
