--- a/src/main/java/org/cuminshelf/message/AdminAnswer.java
+++ b/src/main/java/org/cuminshelf/message/AdminAnswer.java
@@ -388,7 +388,7 @@
   private boolean listsQuarantine_;
   /**
    * <pre>
-   * Whether this is the list of the quarantine, which may be empty.
+   * Whether this answer contains the list of quarantined requests, which may be empty.
    * </pre>
    *
    * <code>bool lists_quarantine = 9;</code>
@@ -400,7 +400,7 @@
   }
   /**
    * <pre>
-   * Whether this is the list of the quarantine, which may be empty.
+   * Whether this answer contains the list of quarantined requests, which may be empty.
    * </pre>
    *
    * <code>bool lists_quarantine = 9;</code>
@@ -412,7 +412,7 @@
   }
   /**
    * <pre>
-   * Whether this is the list of the quarantine, which may be empty.
+   * Whether this answer contains the list of quarantined requests, which may be empty.
    * </pre>
    *
    * <code>bool lists_quarantine = 9;</code>
@@ -899,7 +899,7 @@
 
     /**
      * <pre>
-     * Whether this is the list of the quarantine, which may be empty.
+     * Whether this answer contains the list of quarantined requests, which may be empty.
      * </pre>
      *
      * <code>bool lists_quarantine = 9;</code>
@@ -911,7 +911,7 @@
     }
     /**
      * <pre>
-     * Whether this is the list of the quarantine, which may be empty.
+     * Whether this answer contains the list of quarantined requests, which may be empty.
      * </pre>
      *
      * <code>bool lists_quarantine = 9;</code>
@@ -925,7 +925,7 @@
     }
     /**
      * <pre>
-     * Whether this is the list of the quarantine, which may be empty.
+     * Whether this answer contains the list of quarantined requests, which may be empty.
      * </pre>
      *
      * <code>bool lists_quarantine = 9;</code>
--- a/src/main/java/org/cuminshelf/message/AdminAnswerOrBuilder.java
+++ b/src/main/java/org/cuminshelf/message/AdminAnswerOrBuilder.java
@@ -90,7 +90,7 @@
 
   /**
    * <pre>
-   * Whether this is the list of the quarantine, which may be empty.
+   * Whether this answer contains the list of quarantined requests, which may be empty.
    * </pre>
    *
    * <code>bool lists_quarantine = 9;</code>
--- a/src/main/java/org/cuminshelf/message/Announce.java
+++ b/src/main/java/org/cuminshelf/message/Announce.java
@@ -334,7 +334,7 @@
   private boolean checksFence_;
   /**
    * <pre>
-   * Whether the upstream itself refuses an order with an old fencing number.
+   * Whether the upstream itself rejects orders with an outdated fencing number.
    * </pre>
    *
    * <code>bool checks_fence = 8;</code>
@@ -346,7 +346,7 @@
   }
   /**
    * <pre>
-   * Whether the upstream itself refuses an order with an old fencing number.
+   * Whether the upstream itself rejects orders with an outdated fencing number.
    * </pre>
    *
    * <code>bool checks_fence = 8;</code>
@@ -358,7 +358,7 @@
   }
   /**
    * <pre>
-   * Whether the upstream itself refuses an order with an old fencing number.
+   * Whether the upstream itself rejects orders with an outdated fencing number.
    * </pre>
    *
    * <code>bool checks_fence = 8;</code>
@@ -837,7 +837,7 @@
 
     /**
      * <pre>
-     * Whether the upstream itself refuses an order with an old fencing number.
+     * Whether the upstream itself rejects orders with an outdated fencing number.
      * </pre>
      *
      * <code>bool checks_fence = 8;</code>
@@ -849,7 +849,7 @@
     }
     /**
      * <pre>
-     * Whether the upstream itself refuses an order with an old fencing number.
+     * Whether the upstream itself rejects orders with an outdated fencing number.
      * </pre>
      *
      * <code>bool checks_fence = 8;</code>
@@ -863,7 +863,7 @@
     }
     /**
      * <pre>
-     * Whether the upstream itself refuses an order with an old fencing number.
+     * Whether the upstream itself rejects orders with an outdated fencing number.
      * </pre>
      *
      * <code>bool checks_fence = 8;</code>
--- a/src/main/java/org/cuminshelf/message/AnnounceOrBuilder.java
+++ b/src/main/java/org/cuminshelf/message/AnnounceOrBuilder.java
@@ -88,7 +88,7 @@
 
   /**
    * <pre>
-   * Whether the upstream itself refuses an order with an old fencing number.
+   * Whether the upstream itself rejects orders with an outdated fencing number.
    * </pre>
    *
    * <code>bool checks_fence = 8;</code>
--- a/src/main/java/org/cuminshelf/message/AnswerEnd.java
+++ b/src/main/java/org/cuminshelf/message/AnswerEnd.java
@@ -134,7 +134,7 @@
   private int retryAfterMs_;
   /**
    * <pre>
-   * Milliseconds after which a new try makes sense; 0 when unknown.
+   * Time in milliseconds after which the caller should retry; 0 if unknown.
    * </pre>
    *
    * <code>uint32 retry_after_ms = 4;</code>
@@ -146,7 +146,7 @@
   }
   /**
    * <pre>
-   * Milliseconds after which a new try makes sense; 0 when unknown.
+   * Time in milliseconds after which the caller should retry; 0 if unknown.
    * </pre>
    *
    * <code>uint32 retry_after_ms = 4;</code>
@@ -158,7 +158,7 @@
   }
   /**
    * <pre>
-   * Milliseconds after which a new try makes sense; 0 when unknown.
+   * Time in milliseconds after which the caller should retry; 0 if unknown.
    * </pre>
    *
    * <code>uint32 retry_after_ms = 4;</code>
@@ -268,7 +268,7 @@
   private boolean whole_;
   /**
    * <pre>
-   * Whether the answer is complete.
+   * Whether the response is complete.
    * </pre>
    *
    * <code>bool whole = 7;</code>
@@ -280,7 +280,7 @@
   }
   /**
    * <pre>
-   * Whether the answer is complete.
+   * Whether the response is complete.
    * </pre>
    *
    * <code>bool whole = 7;</code>
@@ -292,7 +292,7 @@
   }
   /**
    * <pre>
-   * Whether the answer is complete.
+   * Whether the response is complete.
    * </pre>
    *
    * <code>bool whole = 7;</code>
@@ -575,7 +575,7 @@
 
     /**
      * <pre>
-     * Milliseconds after which a new try makes sense; 0 when unknown.
+     * Time in milliseconds after which the caller should retry; 0 if unknown.
      * </pre>
      *
      * <code>uint32 retry_after_ms = 4;</code>
@@ -587,7 +587,7 @@
     }
     /**
      * <pre>
-     * Milliseconds after which a new try makes sense; 0 when unknown.
+     * Time in milliseconds after which the caller should retry; 0 if unknown.
      * </pre>
      *
      * <code>uint32 retry_after_ms = 4;</code>
@@ -601,7 +601,7 @@
     }
     /**
      * <pre>
-     * Milliseconds after which a new try makes sense; 0 when unknown.
+     * Time in milliseconds after which the caller should retry; 0 if unknown.
      * </pre>
      *
      * <code>uint32 retry_after_ms = 4;</code>
@@ -713,7 +713,7 @@
 
     /**
      * <pre>
-     * Whether the answer is complete.
+     * Whether the response is complete.
      * </pre>
      *
      * <code>bool whole = 7;</code>
@@ -725,7 +725,7 @@
     }
     /**
      * <pre>
-     * Whether the answer is complete.
+     * Whether the response is complete.
      * </pre>
      *
      * <code>bool whole = 7;</code>
@@ -739,7 +739,7 @@
     }
     /**
      * <pre>
-     * Whether the answer is complete.
+     * Whether the response is complete.
      * </pre>
      *
      * <code>bool whole = 7;</code>
--- a/src/main/java/org/cuminshelf/message/AnswerEndOrBuilder.java
+++ b/src/main/java/org/cuminshelf/message/AnswerEndOrBuilder.java
@@ -40,7 +40,7 @@
 
   /**
    * <pre>
-   * Milliseconds after which a new try makes sense; 0 when unknown.
+   * Time in milliseconds after which the caller should retry; 0 if unknown.
    * </pre>
    *
    * <code>uint32 retry_after_ms = 4;</code>
@@ -74,7 +74,7 @@
 
   /**
    * <pre>
-   * Whether the answer is complete.
+   * Whether the response is complete.
    * </pre>
    *
    * <code>bool whole = 7;</code>
--- a/src/main/java/org/cuminshelf/message/AppendAnswer.java
+++ b/src/main/java/org/cuminshelf/message/AppendAnswer.java
@@ -95,7 +95,7 @@
   private long index_;
   /**
    * <pre>
-   * Last index known to match, or a hint where to continue.
+   * Last index known to match, or, if matched is not set, a hint at which index to continue.
    * </pre>
    *
    * <code>uint64 index = 3;</code>
@@ -107,7 +107,7 @@
   }
   /**
    * <pre>
-   * Last index known to match, or a hint where to continue.
+   * Last index known to match, or, if matched is not set, a hint at which index to continue.
    * </pre>
    *
    * <code>uint64 index = 3;</code>
@@ -119,7 +119,7 @@
   }
   /**
    * <pre>
-   * Last index known to match, or a hint where to continue.
+   * Last index known to match, or, if matched is not set, a hint at which index to continue.
    * </pre>
    *
    * <code>uint64 index = 3;</code>
@@ -329,7 +329,7 @@
 
     /**
      * <pre>
-     * Last index known to match, or a hint where to continue.
+     * Last index known to match, or, if matched is not set, a hint at which index to continue.
      * </pre>
      *
      * <code>uint64 index = 3;</code>
@@ -341,7 +341,7 @@
     }
     /**
      * <pre>
-     * Last index known to match, or a hint where to continue.
+     * Last index known to match, or, if matched is not set, a hint at which index to continue.
      * </pre>
      *
      * <code>uint64 index = 3;</code>
@@ -355,7 +355,7 @@
     }
     /**
      * <pre>
-     * Last index known to match, or a hint where to continue.
+     * Last index known to match, or, if matched is not set, a hint at which index to continue.
      * </pre>
      *
      * <code>uint64 index = 3;</code>
--- a/src/main/java/org/cuminshelf/message/AppendAnswerOrBuilder.java
+++ b/src/main/java/org/cuminshelf/message/AppendAnswerOrBuilder.java
@@ -29,7 +29,7 @@
 
   /**
    * <pre>
-   * Last index known to match, or a hint where to continue.
+   * Last index known to match, or, if matched is not set, a hint at which index to continue.
    * </pre>
    *
    * <code>uint64 index = 3;</code>
--- a/src/main/java/org/cuminshelf/message/AppendRequest.java
+++ b/src/main/java/org/cuminshelf/message/AppendRequest.java
@@ -245,7 +245,7 @@
   private long round_;
   /**
    * <pre>
-   * Rises with every round; echoed.
+   * Round number, increasing with every round; returned in the answer.
    * </pre>
    *
    * <code>uint64 round = 6;</code>
@@ -257,7 +257,7 @@
   }
   /**
    * <pre>
-   * Rises with every round; echoed.
+   * Round number, increasing with every round; returned in the answer.
    * </pre>
    *
    * <code>uint64 round = 6;</code>
@@ -269,7 +269,7 @@
   }
   /**
    * <pre>
-   * Rises with every round; echoed.
+   * Round number, increasing with every round; returned in the answer.
    * </pre>
    *
    * <code>uint64 round = 6;</code>
@@ -611,7 +611,7 @@
 
     /**
      * <pre>
-     * Rises with every round; echoed.
+     * Round number, increasing with every round; returned in the answer.
      * </pre>
      *
      * <code>uint64 round = 6;</code>
@@ -623,7 +623,7 @@
     }
     /**
      * <pre>
-     * Rises with every round; echoed.
+     * Round number, increasing with every round; returned in the answer.
      * </pre>
      *
      * <code>uint64 round = 6;</code>
@@ -637,7 +637,7 @@
     }
     /**
      * <pre>
-     * Rises with every round; echoed.
+     * Round number, increasing with every round; returned in the answer.
      * </pre>
      *
      * <code>uint64 round = 6;</code>
--- a/src/main/java/org/cuminshelf/message/AppendRequestOrBuilder.java
+++ b/src/main/java/org/cuminshelf/message/AppendRequestOrBuilder.java
@@ -55,7 +55,7 @@
 
   /**
    * <pre>
-   * Rises with every round; echoed.
+   * Round number, increasing with every round; returned in the answer.
    * </pre>
    *
    * <code>uint64 round = 6;</code>
--- a/src/main/java/org/cuminshelf/message/ApplyOrder.java
+++ b/src/main/java/org/cuminshelf/message/ApplyOrder.java
@@ -69,7 +69,7 @@
   private long notAfterNanos_;
   /**
    * <pre>
-   * Nanoseconds of the process's monotonic clock after which the order may not be written.
+   * Reading of the process's monotonic clock, in nanoseconds, after which the order must not be sent to the upstream.
    * </pre>
    *
    * <code>uint64 not_after_nanos = 2;</code>
@@ -81,7 +81,7 @@
   }
   /**
    * <pre>
-   * Nanoseconds of the process's monotonic clock after which the order may not be written.
+   * Reading of the process's monotonic clock, in nanoseconds, after which the order must not be sent to the upstream.
    * </pre>
    *
    * <code>uint64 not_after_nanos = 2;</code>
@@ -93,7 +93,7 @@
   }
   /**
    * <pre>
-   * Nanoseconds of the process's monotonic clock after which the order may not be written.
+   * Reading of the process's monotonic clock, in nanoseconds, after which the order must not be sent to the upstream.
    * </pre>
    *
    * <code>uint64 not_after_nanos = 2;</code>
@@ -249,7 +249,7 @@
 
     /**
      * <pre>
-     * Nanoseconds of the process's monotonic clock after which the order may not be written.
+     * Reading of the process's monotonic clock, in nanoseconds, after which the order must not be sent to the upstream.
      * </pre>
      *
      * <code>uint64 not_after_nanos = 2;</code>
@@ -261,7 +261,7 @@
     }
     /**
      * <pre>
-     * Nanoseconds of the process's monotonic clock after which the order may not be written.
+     * Reading of the process's monotonic clock, in nanoseconds, after which the order must not be sent to the upstream.
      * </pre>
      *
      * <code>uint64 not_after_nanos = 2;</code>
@@ -275,7 +275,7 @@
     }
     /**
      * <pre>
-     * Nanoseconds of the process's monotonic clock after which the order may not be written.
+     * Reading of the process's monotonic clock, in nanoseconds, after which the order must not be sent to the upstream.
      * </pre>
      *
      * <code>uint64 not_after_nanos = 2;</code>
--- a/src/main/java/org/cuminshelf/message/ApplyOrderOrBuilder.java
+++ b/src/main/java/org/cuminshelf/message/ApplyOrderOrBuilder.java
@@ -23,7 +23,7 @@
 
   /**
    * <pre>
-   * Nanoseconds of the process's monotonic clock after which the order may not be written.
+   * Reading of the process's monotonic clock, in nanoseconds, after which the order must not be sent to the upstream.
    * </pre>
    *
    * <code>uint64 not_after_nanos = 2;</code>
--- a/src/main/java/org/cuminshelf/message/CallGone.java
+++ b/src/main/java/org/cuminshelf/message/CallGone.java
@@ -7,7 +7,7 @@
 
 /**
  * <pre>
- * The caller closed its connection.
+ * The caller has closed its connection.
  * </pre>
  *
  * Protobuf type {@code cuminshelf.CallGone}
@@ -131,7 +131,7 @@
 
   /**
    * <pre>
-   * The caller closed its connection.
+   * The caller has closed its connection.
    * </pre>
    *
    * Protobuf type {@code cuminshelf.CallGone}
--- a/src/main/java/org/cuminshelf/message/Cause.java
+++ b/src/main/java/org/cuminshelf/message/Cause.java
@@ -7,7 +7,7 @@
 
 /**
  * <pre>
- * Why a request was not answered in full.
+ * Reason why a request or an order failed or was only partly answered.
  * </pre>
  *
  * Protobuf enum {@code cuminshelf.Cause}
--- a/src/main/java/org/cuminshelf/message/Chunk.java
+++ b/src/main/java/org/cuminshelf/message/Chunk.java
@@ -75,7 +75,7 @@
   private long offset_;
   /**
    * <pre>
-   * Position of the first token or byte in the whole answer of the call.
+   * Offset of the first token or byte of this chunk in the complete response to the call.
    * </pre>
    *
    * <code>uint64 offset = 3;</code>
@@ -87,7 +87,7 @@
   }
   /**
    * <pre>
-   * Position of the first token or byte in the whole answer of the call.
+   * Offset of the first token or byte of this chunk in the complete response to the call.
    * </pre>
    *
    * <code>uint64 offset = 3;</code>
@@ -99,7 +99,7 @@
   }
   /**
    * <pre>
-   * Position of the first token or byte in the whole answer of the call.
+   * Offset of the first token or byte of this chunk in the complete response to the call.
    * </pre>
    *
    * <code>uint64 offset = 3;</code>
@@ -235,7 +235,7 @@
   private org.cuminshelf.message.ExchangeHead head_;
   /**
    * <pre>
-   * Present on the first chunk of an exchange.
+   * Set in the first chunk of an exchange.
    * </pre>
    *
    * <code>.cuminshelf.ExchangeHead head = 6;</code>
@@ -246,7 +246,7 @@
   }
   /**
    * <pre>
-   * Present on the first chunk of an exchange.
+   * Set in the first chunk of an exchange.
    * </pre>
    *
    * <code>.cuminshelf.ExchangeHead head = 6;</code>
@@ -257,7 +257,7 @@
   }
   /**
    * <pre>
-   * Present on the first chunk of an exchange.
+   * Set in the first chunk of an exchange.
    * </pre>
    *
    * <code>.cuminshelf.ExchangeHead head = 6;</code>
@@ -270,7 +270,7 @@
   }
   /**
    * <pre>
-   * Present on the first chunk of an exchange.
+   * Set in the first chunk of an exchange.
    * </pre>
    *
    * <code>.cuminshelf.ExchangeHead head = 6;</code>
@@ -289,7 +289,7 @@
   }
   /**
    * <pre>
-   * Present on the first chunk of an exchange.
+   * Set in the first chunk of an exchange.
    * </pre>
    *
    * <code>.cuminshelf.ExchangeHead head = 6;</code>
@@ -303,7 +303,7 @@
   private org.cuminshelf.message.LoadReport load_;
   /**
    * <pre>
-   * Present on the first chunk of a generation.
+   * Set in the first chunk of a generation.
    * </pre>
    *
    * <code>.cuminshelf.LoadReport load = 7;</code>
@@ -314,7 +314,7 @@
   }
   /**
    * <pre>
-   * Present on the first chunk of a generation.
+   * Set in the first chunk of a generation.
    * </pre>
    *
    * <code>.cuminshelf.LoadReport load = 7;</code>
@@ -325,7 +325,7 @@
   }
   /**
    * <pre>
-   * Present on the first chunk of a generation.
+   * Set in the first chunk of a generation.
    * </pre>
    *
    * <code>.cuminshelf.LoadReport load = 7;</code>
@@ -338,7 +338,7 @@
   }
   /**
    * <pre>
-   * Present on the first chunk of a generation.
+   * Set in the first chunk of a generation.
    * </pre>
    *
    * <code>.cuminshelf.LoadReport load = 7;</code>
@@ -357,7 +357,7 @@
   }
   /**
    * <pre>
-   * Present on the first chunk of a generation.
+   * Set in the first chunk of a generation.
    * </pre>
    *
    * <code>.cuminshelf.LoadReport load = 7;</code>
@@ -522,7 +522,7 @@
 
     /**
      * <pre>
-     * Position of the first token or byte in the whole answer of the call.
+     * Offset of the first token or byte of this chunk in the complete response to the call.
      * </pre>
      *
      * <code>uint64 offset = 3;</code>
@@ -534,7 +534,7 @@
     }
     /**
      * <pre>
-     * Position of the first token or byte in the whole answer of the call.
+     * Offset of the first token or byte of this chunk in the complete response to the call.
      * </pre>
      *
      * <code>uint64 offset = 3;</code>
@@ -548,7 +548,7 @@
     }
     /**
      * <pre>
-     * Position of the first token or byte in the whole answer of the call.
+     * Offset of the first token or byte of this chunk in the complete response to the call.
      * </pre>
      *
      * <code>uint64 offset = 3;</code>
@@ -682,7 +682,7 @@
 
     /**
      * <pre>
-     * Present on the first chunk of an exchange.
+     * Set in the first chunk of an exchange.
      * </pre>
      *
      * <code>.cuminshelf.ExchangeHead head = 6;</code>
@@ -693,7 +693,7 @@
     }
     /**
      * <pre>
-     * Present on the first chunk of an exchange.
+     * Set in the first chunk of an exchange.
      * </pre>
      *
      * <code>.cuminshelf.ExchangeHead head = 6;</code>
@@ -704,7 +704,7 @@
     }
     /**
      * <pre>
-     * Present on the first chunk of an exchange.
+     * Set in the first chunk of an exchange.
      * </pre>
      *
      * <code>.cuminshelf.ExchangeHead head = 6;</code>
@@ -716,7 +716,7 @@
       }
     /**
      * <pre>
-     * Present on the first chunk of an exchange.
+     * Set in the first chunk of an exchange.
      * </pre>
      *
      * <code>.cuminshelf.ExchangeHead head = 6;</code>
@@ -729,7 +729,7 @@
     }
     /**
      * <pre>
-     * Present on the first chunk of an exchange.
+     * Set in the first chunk of an exchange.
      * </pre>
      *
      * <code>.cuminshelf.ExchangeHead head = 6;</code>
@@ -741,7 +741,7 @@
     }
     /**
      * <pre>
-     * Present on the first chunk of an exchange.
+     * Set in the first chunk of an exchange.
      * </pre>
      *
      * <code>.cuminshelf.ExchangeHead head = 6;</code>
@@ -753,7 +753,7 @@
 
     /**
      * <pre>
-     * Present on the first chunk of a generation.
+     * Set in the first chunk of a generation.
      * </pre>
      *
      * <code>.cuminshelf.LoadReport load = 7;</code>
@@ -764,7 +764,7 @@
     }
     /**
      * <pre>
-     * Present on the first chunk of a generation.
+     * Set in the first chunk of a generation.
      * </pre>
      *
      * <code>.cuminshelf.LoadReport load = 7;</code>
@@ -775,7 +775,7 @@
     }
     /**
      * <pre>
-     * Present on the first chunk of a generation.
+     * Set in the first chunk of a generation.
      * </pre>
      *
      * <code>.cuminshelf.LoadReport load = 7;</code>
@@ -787,7 +787,7 @@
       }
     /**
      * <pre>
-     * Present on the first chunk of a generation.
+     * Set in the first chunk of a generation.
      * </pre>
      *
      * <code>.cuminshelf.LoadReport load = 7;</code>
@@ -800,7 +800,7 @@
     }
     /**
      * <pre>
-     * Present on the first chunk of a generation.
+     * Set in the first chunk of a generation.
      * </pre>
      *
      * <code>.cuminshelf.LoadReport load = 7;</code>
@@ -812,7 +812,7 @@
     }
     /**
      * <pre>
-     * Present on the first chunk of a generation.
+     * Set in the first chunk of a generation.
      * </pre>
      *
      * <code>.cuminshelf.LoadReport load = 7;</code>
--- a/src/main/java/org/cuminshelf/message/ChunkOrBuilder.java
+++ b/src/main/java/org/cuminshelf/message/ChunkOrBuilder.java
@@ -24,7 +24,7 @@
 
   /**
    * <pre>
-   * Position of the first token or byte in the whole answer of the call.
+   * Offset of the first token or byte of this chunk in the complete response to the call.
    * </pre>
    *
    * <code>uint64 offset = 3;</code>
@@ -65,7 +65,7 @@
 
   /**
    * <pre>
-   * Present on the first chunk of an exchange.
+   * Set in the first chunk of an exchange.
    * </pre>
    *
    * <code>.cuminshelf.ExchangeHead head = 6;</code>
@@ -74,7 +74,7 @@
   boolean hasHead();
   /**
    * <pre>
-   * Present on the first chunk of an exchange.
+   * Set in the first chunk of an exchange.
    * </pre>
    *
    * <code>.cuminshelf.ExchangeHead head = 6;</code>
@@ -84,7 +84,7 @@
 
   /**
    * <pre>
-   * Present on the first chunk of a generation.
+   * Set in the first chunk of a generation.
    * </pre>
    *
    * <code>.cuminshelf.LoadReport load = 7;</code>
@@ -93,7 +93,7 @@
   boolean hasLoad();
   /**
    * <pre>
-   * Present on the first chunk of a generation.
+   * Set in the first chunk of a generation.
    * </pre>
    *
    * <code>.cuminshelf.LoadReport load = 7;</code>
--- a/src/main/java/org/cuminshelf/message/Claim.java
+++ b/src/main/java/org/cuminshelf/message/Claim.java
@@ -7,7 +7,7 @@
 
 /**
  * <pre>
- * A claim as kept by the replicas.
+ * A claim in the replicated state.
  * </pre>
  *
  * Protobuf type {@code cuminshelf.Claim}
@@ -348,7 +348,7 @@
   private long takenAtMs_;
   /**
    * <pre>
-   * Time of the group's own clock, which only rises.
+   * Time at which the claim was granted, in milliseconds of the group's clock, which never decreases.
    * </pre>
    *
    * <code>uint64 taken_at_ms = 9;</code>
@@ -360,7 +360,7 @@
   }
   /**
    * <pre>
-   * Time of the group's own clock, which only rises.
+   * Time at which the claim was granted, in milliseconds of the group's clock, which never decreases.
    * </pre>
    *
    * <code>uint64 taken_at_ms = 9;</code>
@@ -372,7 +372,7 @@
   }
   /**
    * <pre>
-   * Time of the group's own clock, which only rises.
+   * Time at which the claim was granted, in milliseconds of the group's clock, which never decreases.
    * </pre>
    *
    * <code>uint64 taken_at_ms = 9;</code>
@@ -467,7 +467,7 @@
 
   /**
    * <pre>
-   * A claim as kept by the replicas.
+   * A claim in the replicated state.
    * </pre>
    *
    * Protobuf type {@code cuminshelf.Claim}
@@ -810,7 +810,7 @@
 
     /**
      * <pre>
-     * Time of the group's own clock, which only rises.
+     * Time at which the claim was granted, in milliseconds of the group's clock, which never decreases.
      * </pre>
      *
      * <code>uint64 taken_at_ms = 9;</code>
@@ -822,7 +822,7 @@
     }
     /**
      * <pre>
-     * Time of the group's own clock, which only rises.
+     * Time at which the claim was granted, in milliseconds of the group's clock, which never decreases.
      * </pre>
      *
      * <code>uint64 taken_at_ms = 9;</code>
@@ -836,7 +836,7 @@
     }
     /**
      * <pre>
-     * Time of the group's own clock, which only rises.
+     * Time at which the claim was granted, in milliseconds of the group's clock, which never decreases.
      * </pre>
      *
      * <code>uint64 taken_at_ms = 9;</code>
--- a/src/main/java/org/cuminshelf/message/ClaimDrop.java
+++ b/src/main/java/org/cuminshelf/message/ClaimDrop.java
@@ -7,7 +7,7 @@
 
 /**
  * <pre>
- * Frees the key of an attempt that did not run.
+ * Releases the claim of an attempt that was not executed.
  * </pre>
  *
  * Protobuf type {@code cuminshelf.ClaimDrop}
@@ -154,7 +154,7 @@
 
   /**
    * <pre>
-   * Frees the key of an attempt that did not run.
+   * Releases the claim of an attempt that was not executed.
    * </pre>
    *
    * Protobuf type {@code cuminshelf.ClaimDrop}
--- a/src/main/java/org/cuminshelf/message/ClaimEnd.java
+++ b/src/main/java/org/cuminshelf/message/ClaimEnd.java
@@ -7,7 +7,7 @@
 
 /**
  * <pre>
- * Records the answer.
+ * Records the response in the claim.
  * </pre>
  *
  * Protobuf type {@code cuminshelf.ClaimEnd}
@@ -230,7 +230,7 @@
 
   /**
    * <pre>
-   * Records the answer.
+   * Records the response in the claim.
    * </pre>
    *
    * Protobuf type {@code cuminshelf.ClaimEnd}
--- a/src/main/java/org/cuminshelf/message/ClaimMove.java
+++ b/src/main/java/org/cuminshelf/message/ClaimMove.java
@@ -7,7 +7,7 @@
 
 /**
  * <pre>
- * Moves the key from an attempt that did not run to another.
+ * Transfers the claim from an attempt that was not executed to another attempt.
  * </pre>
  *
  * Protobuf type {@code cuminshelf.ClaimMove}
@@ -202,7 +202,7 @@
 
   /**
    * <pre>
-   * Moves the key from an attempt that did not run to another.
+   * Transfers the claim from an attempt that was not executed to another attempt.
    * </pre>
    *
    * Protobuf type {@code cuminshelf.ClaimMove}
--- a/src/main/java/org/cuminshelf/message/ClaimOrBuilder.java
+++ b/src/main/java/org/cuminshelf/message/ClaimOrBuilder.java
@@ -88,7 +88,7 @@
 
   /**
    * <pre>
-   * Time of the group's own clock, which only rises.
+   * Time at which the claim was granted, in milliseconds of the group's clock, which never decreases.
    * </pre>
    *
    * <code>uint64 taken_at_ms = 9;</code>
--- a/src/main/java/org/cuminshelf/message/ClaimTake.java
+++ b/src/main/java/org/cuminshelf/message/ClaimTake.java
@@ -7,7 +7,7 @@
 
 /**
  * <pre>
- * Takes the key for an attempt, if it is free.
+ * Claims the idempotency key for an attempt if no claim for it exists.
  * </pre>
  *
  * Protobuf type {@code cuminshelf.ClaimTake}
@@ -180,7 +180,7 @@
 
   /**
    * <pre>
-   * Takes the key for an attempt, if it is free.
+   * Claims the idempotency key for an attempt if no claim for it exists.
    * </pre>
    *
    * Protobuf type {@code cuminshelf.ClaimTake}
--- a/src/main/java/org/cuminshelf/message/ConfigApply.java
+++ b/src/main/java/org/cuminshelf/message/ConfigApply.java
@@ -172,7 +172,7 @@
   private long declaredVersion_;
   /**
    * <pre>
-   * Version that the author gave; 0 where versions are counted here. The highest one given stands.
+   * Version assigned by the author, the highest of which takes effect; 0 if control assigns the versions.
    * </pre>
    *
    * <code>uint64 declared_version = 5;</code>
@@ -184,7 +184,7 @@
   }
   /**
    * <pre>
-   * Version that the author gave; 0 where versions are counted here. The highest one given stands.
+   * Version assigned by the author, the highest of which takes effect; 0 if control assigns the versions.
    * </pre>
    *
    * <code>uint64 declared_version = 5;</code>
@@ -196,7 +196,7 @@
   }
   /**
    * <pre>
-   * Version that the author gave; 0 where versions are counted here. The highest one given stands.
+   * Version assigned by the author, the highest of which takes effect; 0 if control assigns the versions.
    * </pre>
    *
    * <code>uint64 declared_version = 5;</code>
@@ -459,7 +459,7 @@
 
     /**
      * <pre>
-     * Version that the author gave; 0 where versions are counted here. The highest one given stands.
+     * Version assigned by the author, the highest of which takes effect; 0 if control assigns the versions.
      * </pre>
      *
      * <code>uint64 declared_version = 5;</code>
@@ -471,7 +471,7 @@
     }
     /**
      * <pre>
-     * Version that the author gave; 0 where versions are counted here. The highest one given stands.
+     * Version assigned by the author, the highest of which takes effect; 0 if control assigns the versions.
      * </pre>
      *
      * <code>uint64 declared_version = 5;</code>
@@ -485,7 +485,7 @@
     }
     /**
      * <pre>
-     * Version that the author gave; 0 where versions are counted here. The highest one given stands.
+     * Version assigned by the author, the highest of which takes effect; 0 if control assigns the versions.
      * </pre>
      *
      * <code>uint64 declared_version = 5;</code>
--- a/src/main/java/org/cuminshelf/message/ConfigApplyOrBuilder.java
+++ b/src/main/java/org/cuminshelf/message/ConfigApplyOrBuilder.java
@@ -48,7 +48,7 @@
 
   /**
    * <pre>
-   * Version that the author gave; 0 where versions are counted here. The highest one given stands.
+   * Version assigned by the author, the highest of which takes effect; 0 if control assigns the versions.
    * </pre>
    *
    * <code>uint64 declared_version = 5;</code>
--- a/src/main/java/org/cuminshelf/message/ConfigBody.java
+++ b/src/main/java/org/cuminshelf/message/ConfigBody.java
@@ -7,7 +7,7 @@
 
 /**
  * <pre>
- * The body of a configuration.
+ * Answer to a ConfigFetch, with the body of the configuration.
  * </pre>
  *
  * Protobuf type {@code cuminshelf.ConfigBody}
@@ -51,7 +51,7 @@
   private com.google.protobuf.ByteString deflated_;
   /**
    * <pre>
-   * The document, deflated; empty where the asker holds this version or a higher one.
+   * The document, compressed with DEFLATE; empty if the requester has this version or a newer one.
    * </pre>
    *
    * <code>bytes deflated = 2;</code>
@@ -63,7 +63,7 @@
   }
   /**
    * <pre>
-   * The document, deflated; empty where the asker holds this version or a higher one.
+   * The document, compressed with DEFLATE; empty if the requester has this version or a newer one.
    * </pre>
    *
    * <code>bytes deflated = 2;</code>
@@ -76,7 +76,7 @@
   }
   /**
    * <pre>
-   * The document, deflated; empty where the asker holds this version or a higher one.
+   * The document, compressed with DEFLATE; empty if the requester has this version or a newer one.
    * </pre>
    *
    * <code>bytes deflated = 2;</code>
@@ -171,7 +171,7 @@
 
   /**
    * <pre>
-   * The body of a configuration.
+   * Answer to a ConfigFetch, with the body of the configuration.
    * </pre>
    *
    * Protobuf type {@code cuminshelf.ConfigBody}
@@ -217,7 +217,7 @@
 
     /**
      * <pre>
-     * The document, deflated; empty where the asker holds this version or a higher one.
+     * The document, compressed with DEFLATE; empty if the requester has this version or a newer one.
      * </pre>
      *
      * <code>bytes deflated = 2;</code>
@@ -229,7 +229,7 @@
     }
     /**
      * <pre>
-     * The document, deflated; empty where the asker holds this version or a higher one.
+     * The document, compressed with DEFLATE; empty if the requester has this version or a newer one.
      * </pre>
      *
      * <code>bytes deflated = 2;</code>
@@ -243,7 +243,7 @@
     }
     /**
      * <pre>
-     * The document, deflated; empty where the asker holds this version or a higher one.
+     * The document, compressed with DEFLATE; empty if the requester has this version or a newer one.
      * </pre>
      *
      * <code>bytes deflated = 2;</code>
--- a/src/main/java/org/cuminshelf/message/ConfigBodyOrBuilder.java
+++ b/src/main/java/org/cuminshelf/message/ConfigBodyOrBuilder.java
@@ -18,7 +18,7 @@
 
   /**
    * <pre>
-   * The document, deflated; empty where the asker holds this version or a higher one.
+   * The document, compressed with DEFLATE; empty if the requester has this version or a newer one.
    * </pre>
    *
    * <code>bytes deflated = 2;</code>
--- a/src/main/java/org/cuminshelf/message/ConfigFetch.java
+++ b/src/main/java/org/cuminshelf/message/ConfigFetch.java
@@ -7,7 +7,7 @@
 
 /**
  * <pre>
- * Asks a control process for the body of the configuration that it told the version of.
+ * Requests the body of the configuration whose version the control process announced.
  * </pre>
  *
  * Protobuf type {@code cuminshelf.ConfigFetch}
@@ -24,7 +24,7 @@
   private long heldVersion_;
   /**
    * <pre>
-   * Version that the asker has in force.
+   * Configuration version that the requester has in force.
    * </pre>
    *
    * <code>uint64 held_version = 1;</code>
@@ -36,7 +36,7 @@
   }
   /**
    * <pre>
-   * Version that the asker has in force.
+   * Configuration version that the requester has in force.
    * </pre>
    *
    * <code>uint64 held_version = 1;</code>
@@ -48,7 +48,7 @@
   }
   /**
    * <pre>
-   * Version that the asker has in force.
+   * Configuration version that the requester has in force.
    * </pre>
    *
    * <code>uint64 held_version = 1;</code>
@@ -143,7 +143,7 @@
 
   /**
    * <pre>
-   * Asks a control process for the body of the configuration that it told the version of.
+   * Requests the body of the configuration whose version the control process announced.
    * </pre>
    *
    * Protobuf type {@code cuminshelf.ConfigFetch}
@@ -161,7 +161,7 @@
 
     /**
      * <pre>
-     * Version that the asker has in force.
+     * Configuration version that the requester has in force.
      * </pre>
      *
      * <code>uint64 held_version = 1;</code>
@@ -173,7 +173,7 @@
     }
     /**
      * <pre>
-     * Version that the asker has in force.
+     * Configuration version that the requester has in force.
      * </pre>
      *
      * <code>uint64 held_version = 1;</code>
@@ -187,7 +187,7 @@
     }
     /**
      * <pre>
-     * Version that the asker has in force.
+     * Configuration version that the requester has in force.
      * </pre>
      *
      * <code>uint64 held_version = 1;</code>
--- a/src/main/java/org/cuminshelf/message/ConfigFetchOrBuilder.java
+++ b/src/main/java/org/cuminshelf/message/ConfigFetchOrBuilder.java
@@ -12,7 +12,7 @@
 
   /**
    * <pre>
-   * Version that the asker has in force.
+   * Configuration version that the requester has in force.
    * </pre>
    *
    * <code>uint64 held_version = 1;</code>
--- a/src/main/java/org/cuminshelf/message/ConfigMachineState.java
+++ b/src/main/java/org/cuminshelf/message/ConfigMachineState.java
@@ -7,7 +7,7 @@
 
 /**
  * <pre>
- * State of the global group's machine in a snapshot.
+ * State of the global group's state machine in a snapshot.
  * </pre>
  *
  * Protobuf type {@code cuminshelf.ConfigMachineState}
@@ -228,7 +228,7 @@
   private com.google.protobuf.Internal.ProtobufList<org.cuminshelf.message.DirectOrder> orders_;
   /**
    * <pre>
-   * The last order to each upstream that announces itself straight to control.
+   * The last order to each upstream without a sidecar.
    * </pre>
    *
    * <code>repeated .cuminshelf.DirectOrder orders = 5;</code>
@@ -239,7 +239,7 @@
   }
   /**
    * <pre>
-   * The last order to each upstream that announces itself straight to control.
+   * The last order to each upstream without a sidecar.
    * </pre>
    *
    * <code>repeated .cuminshelf.DirectOrder orders = 5;</code>
@@ -250,7 +250,7 @@
   }
   /**
    * <pre>
-   * The last order to each upstream that announces itself straight to control.
+   * The last order to each upstream without a sidecar.
    * </pre>
    *
    * <code>repeated .cuminshelf.DirectOrder orders = 5;</code>
@@ -261,7 +261,7 @@
   }
   /**
    * <pre>
-   * The last order to each upstream that announces itself straight to control.
+   * The last order to each upstream without a sidecar.
    * </pre>
    *
    * <code>repeated .cuminshelf.DirectOrder orders = 5;</code>
@@ -272,7 +272,7 @@
   }
   /**
    * <pre>
-   * The last order to each upstream that announces itself straight to control.
+   * The last order to each upstream without a sidecar.
    * </pre>
    *
    * <code>repeated .cuminshelf.DirectOrder orders = 5;</code>
@@ -291,7 +291,7 @@
 
   /**
    * <pre>
-   * The last order to each upstream that announces itself straight to control.
+   * The last order to each upstream without a sidecar.
    * </pre>
    *
    * <code>repeated .cuminshelf.DirectOrder orders = 5;</code>
@@ -305,7 +305,7 @@
   }
   /**
    * <pre>
-   * The last order to each upstream that announces itself straight to control.
+   * The last order to each upstream without a sidecar.
    * </pre>
    *
    * <code>repeated .cuminshelf.DirectOrder orders = 5;</code>
@@ -318,7 +318,7 @@
   }
   /**
    * <pre>
-   * The last order to each upstream that announces itself straight to control.
+   * The last order to each upstream without a sidecar.
    * </pre>
    *
    * <code>repeated .cuminshelf.DirectOrder orders = 5;</code>
@@ -332,7 +332,7 @@
   }
   /**
    * <pre>
-   * The last order to each upstream that announces itself straight to control.
+   * The last order to each upstream without a sidecar.
    * </pre>
    *
    * <code>repeated .cuminshelf.DirectOrder orders = 5;</code>
@@ -345,7 +345,7 @@
   }
   /**
    * <pre>
-   * The last order to each upstream that announces itself straight to control.
+   * The last order to each upstream without a sidecar.
    * </pre>
    *
    * <code>repeated .cuminshelf.DirectOrder orders = 5;</code>
@@ -355,7 +355,7 @@
   }
   /**
    * <pre>
-   * The last order to each upstream that announces itself straight to control.
+   * The last order to each upstream without a sidecar.
    * </pre>
    *
    * <code>repeated .cuminshelf.DirectOrder orders = 5;</code>
@@ -466,7 +466,7 @@
   private long usageSettled_;
   /**
    * <pre>
-   * Number of the last window whose counts stand, and the windows whose report wasn't acknowledged.
+   * Number of the last window whose counts are final, and the windows whose reports have not been acknowledged.
    * </pre>
    *
    * <code>uint64 usage_settled = 7;</code>
@@ -478,7 +478,7 @@
   }
   /**
    * <pre>
-   * Number of the last window whose counts stand, and the windows whose report wasn't acknowledged.
+   * Number of the last window whose counts are final, and the windows whose reports have not been acknowledged.
    * </pre>
    *
    * <code>uint64 usage_settled = 7;</code>
@@ -490,7 +490,7 @@
   }
   /**
    * <pre>
-   * Number of the last window whose counts stand, and the windows whose report wasn't acknowledged.
+   * Number of the last window whose counts are final, and the windows whose reports have not been acknowledged.
    * </pre>
    *
    * <code>uint64 usage_settled = 7;</code>
@@ -682,7 +682,7 @@
 
   /**
    * <pre>
-   * State of the global group's machine in a snapshot.
+   * State of the global group's state machine in a snapshot.
    * </pre>
    *
    * Protobuf type {@code cuminshelf.ConfigMachineState}
@@ -907,7 +907,7 @@
 
     /**
      * <pre>
-     * The last order to each upstream that announces itself straight to control.
+     * The last order to each upstream without a sidecar.
      * </pre>
      *
      * <code>repeated .cuminshelf.DirectOrder orders = 5;</code>
@@ -919,7 +919,7 @@
     }
     /**
      * <pre>
-     * The last order to each upstream that announces itself straight to control.
+     * The last order to each upstream without a sidecar.
      * </pre>
      *
      * <code>repeated .cuminshelf.DirectOrder orders = 5;</code>
@@ -929,7 +929,7 @@
       return instance.getOrdersCount();
     }/**
      * <pre>
-     * The last order to each upstream that announces itself straight to control.
+     * The last order to each upstream without a sidecar.
      * </pre>
      *
      * <code>repeated .cuminshelf.DirectOrder orders = 5;</code>
@@ -940,7 +940,7 @@
     }
     /**
      * <pre>
-     * The last order to each upstream that announces itself straight to control.
+     * The last order to each upstream without a sidecar.
      * </pre>
      *
      * <code>repeated .cuminshelf.DirectOrder orders = 5;</code>
@@ -953,7 +953,7 @@
     }
     /**
      * <pre>
-     * The last order to each upstream that announces itself straight to control.
+     * The last order to each upstream without a sidecar.
      * </pre>
      *
      * <code>repeated .cuminshelf.DirectOrder orders = 5;</code>
@@ -967,7 +967,7 @@
     }
     /**
      * <pre>
-     * The last order to each upstream that announces itself straight to control.
+     * The last order to each upstream without a sidecar.
      * </pre>
      *
      * <code>repeated .cuminshelf.DirectOrder orders = 5;</code>
@@ -979,7 +979,7 @@
     }
     /**
      * <pre>
-     * The last order to each upstream that announces itself straight to control.
+     * The last order to each upstream without a sidecar.
      * </pre>
      *
      * <code>repeated .cuminshelf.DirectOrder orders = 5;</code>
@@ -992,7 +992,7 @@
     }
     /**
      * <pre>
-     * The last order to each upstream that announces itself straight to control.
+     * The last order to each upstream without a sidecar.
      * </pre>
      *
      * <code>repeated .cuminshelf.DirectOrder orders = 5;</code>
@@ -1005,7 +1005,7 @@
     }
     /**
      * <pre>
-     * The last order to each upstream that announces itself straight to control.
+     * The last order to each upstream without a sidecar.
      * </pre>
      *
      * <code>repeated .cuminshelf.DirectOrder orders = 5;</code>
@@ -1019,7 +1019,7 @@
     }
     /**
      * <pre>
-     * The last order to each upstream that announces itself straight to control.
+     * The last order to each upstream without a sidecar.
      * </pre>
      *
      * <code>repeated .cuminshelf.DirectOrder orders = 5;</code>
@@ -1032,7 +1032,7 @@
     }
     /**
      * <pre>
-     * The last order to each upstream that announces itself straight to control.
+     * The last order to each upstream without a sidecar.
      * </pre>
      *
      * <code>repeated .cuminshelf.DirectOrder orders = 5;</code>
@@ -1044,7 +1044,7 @@
     }
     /**
      * <pre>
-     * The last order to each upstream that announces itself straight to control.
+     * The last order to each upstream without a sidecar.
      * </pre>
      *
      * <code>repeated .cuminshelf.DirectOrder orders = 5;</code>
@@ -1159,7 +1159,7 @@
 
     /**
      * <pre>
-     * Number of the last window whose counts stand, and the windows whose report wasn't acknowledged.
+     * Number of the last window whose counts are final, and the windows whose reports have not been acknowledged.
      * </pre>
      *
      * <code>uint64 usage_settled = 7;</code>
@@ -1171,7 +1171,7 @@
     }
     /**
      * <pre>
-     * Number of the last window whose counts stand, and the windows whose report wasn't acknowledged.
+     * Number of the last window whose counts are final, and the windows whose reports have not been acknowledged.
      * </pre>
      *
      * <code>uint64 usage_settled = 7;</code>
@@ -1185,7 +1185,7 @@
     }
     /**
      * <pre>
-     * Number of the last window whose counts stand, and the windows whose report wasn't acknowledged.
+     * Number of the last window whose counts are final, and the windows whose reports have not been acknowledged.
      * </pre>
      *
      * <code>uint64 usage_settled = 7;</code>
--- a/src/main/java/org/cuminshelf/message/ConfigMachineStateOrBuilder.java
+++ b/src/main/java/org/cuminshelf/message/ConfigMachineStateOrBuilder.java
@@ -50,7 +50,7 @@
 
   /**
    * <pre>
-   * The last order to each upstream that announces itself straight to control.
+   * The last order to each upstream without a sidecar.
    * </pre>
    *
    * <code>repeated .cuminshelf.DirectOrder orders = 5;</code>
@@ -59,7 +59,7 @@
       getOrdersList();
   /**
    * <pre>
-   * The last order to each upstream that announces itself straight to control.
+   * The last order to each upstream without a sidecar.
    * </pre>
    *
    * <code>repeated .cuminshelf.DirectOrder orders = 5;</code>
@@ -67,7 +67,7 @@
   org.cuminshelf.message.DirectOrder getOrders(int index);
   /**
    * <pre>
-   * The last order to each upstream that announces itself straight to control.
+   * The last order to each upstream without a sidecar.
    * </pre>
    *
    * <code>repeated .cuminshelf.DirectOrder orders = 5;</code>
@@ -90,7 +90,7 @@
 
   /**
    * <pre>
-   * Number of the last window whose counts stand, and the windows whose report wasn't acknowledged.
+   * Number of the last window whose counts are final, and the windows whose reports have not been acknowledged.
    * </pre>
    *
    * <code>uint64 usage_settled = 7;</code>
--- a/src/main/java/org/cuminshelf/message/ConfigRead.java
+++ b/src/main/java/org/cuminshelf/message/ConfigRead.java
@@ -20,7 +20,7 @@
   private boolean confirmed_;
   /**
    * <pre>
-   * Answered only once a quorum confirmed that nothing newer was accepted before the question.
+   * The answer is sent only after a quorum confirmed that no newer configuration was accepted before the request.
    * </pre>
    *
    * <code>bool confirmed = 1;</code>
@@ -32,7 +32,7 @@
   }
   /**
    * <pre>
-   * Answered only once a quorum confirmed that nothing newer was accepted before the question.
+   * The answer is sent only after a quorum confirmed that no newer configuration was accepted before the request.
    * </pre>
    *
    * <code>bool confirmed = 1;</code>
@@ -44,7 +44,7 @@
   }
   /**
    * <pre>
-   * Answered only once a quorum confirmed that nothing newer was accepted before the question.
+   * The answer is sent only after a quorum confirmed that no newer configuration was accepted before the request.
    * </pre>
    *
    * <code>bool confirmed = 1;</code>
@@ -153,7 +153,7 @@
 
     /**
      * <pre>
-     * Answered only once a quorum confirmed that nothing newer was accepted before the question.
+     * The answer is sent only after a quorum confirmed that no newer configuration was accepted before the request.
      * </pre>
      *
      * <code>bool confirmed = 1;</code>
@@ -165,7 +165,7 @@
     }
     /**
      * <pre>
-     * Answered only once a quorum confirmed that nothing newer was accepted before the question.
+     * The answer is sent only after a quorum confirmed that no newer configuration was accepted before the request.
      * </pre>
      *
      * <code>bool confirmed = 1;</code>
@@ -179,7 +179,7 @@
     }
     /**
      * <pre>
-     * Answered only once a quorum confirmed that nothing newer was accepted before the question.
+     * The answer is sent only after a quorum confirmed that no newer configuration was accepted before the request.
      * </pre>
      *
      * <code>bool confirmed = 1;</code>
--- a/src/main/java/org/cuminshelf/message/ConfigReadOrBuilder.java
+++ b/src/main/java/org/cuminshelf/message/ConfigReadOrBuilder.java
@@ -12,7 +12,7 @@
 
   /**
    * <pre>
-   * Answered only once a quorum confirmed that nothing newer was accepted before the question.
+   * The answer is sent only after a quorum confirmed that no newer configuration was accepted before the request.
    * </pre>
    *
    * <code>bool confirmed = 1;</code>
--- a/src/main/java/org/cuminshelf/message/CrashedRun.java
+++ b/src/main/java/org/cuminshelf/message/CrashedRun.java
@@ -20,7 +20,7 @@
   private long high_;
   /**
    * <pre>
-   * Fingerprint of the request.
+   * Fingerprint of the request: the upper and lower 64 bits.
    * </pre>
    *
    * <code>fixed64 high = 1;</code>
@@ -32,7 +32,7 @@
   }
   /**
    * <pre>
-   * Fingerprint of the request.
+   * Fingerprint of the request: the upper and lower 64 bits.
    * </pre>
    *
    * <code>fixed64 high = 1;</code>
@@ -44,7 +44,7 @@
   }
   /**
    * <pre>
-   * Fingerprint of the request.
+   * Fingerprint of the request: the upper and lower 64 bits.
    * </pre>
    *
    * <code>fixed64 high = 1;</code>
@@ -222,7 +222,7 @@
 
     /**
      * <pre>
-     * Fingerprint of the request.
+     * Fingerprint of the request: the upper and lower 64 bits.
      * </pre>
      *
      * <code>fixed64 high = 1;</code>
@@ -234,7 +234,7 @@
     }
     /**
      * <pre>
-     * Fingerprint of the request.
+     * Fingerprint of the request: the upper and lower 64 bits.
      * </pre>
      *
      * <code>fixed64 high = 1;</code>
@@ -248,7 +248,7 @@
     }
     /**
      * <pre>
-     * Fingerprint of the request.
+     * Fingerprint of the request: the upper and lower 64 bits.
      * </pre>
      *
      * <code>fixed64 high = 1;</code>
--- a/src/main/java/org/cuminshelf/message/CrashedRunOrBuilder.java
+++ b/src/main/java/org/cuminshelf/message/CrashedRunOrBuilder.java
@@ -12,7 +12,7 @@
 
   /**
    * <pre>
-   * Fingerprint of the request.
+   * Fingerprint of the request: the upper and lower 64 bits.
    * </pre>
    *
    * <code>fixed64 high = 1;</code>
--- a/src/main/java/org/cuminshelf/message/DirectOrder.java
+++ b/src/main/java/org/cuminshelf/message/DirectOrder.java
@@ -7,7 +7,7 @@
 
 /**
  * <pre>
- * An order to an upstream that announces itself straight to control.
+ * A role change order to an upstream without a sidecar.
  * </pre>
  *
  * Protobuf type {@code cuminshelf.DirectOrder}
@@ -26,7 +26,7 @@
   private java.lang.String upstream_;
   /**
    * <pre>
-   * The name of the upstream, whatever start of it takes the order.
+   * Name of the upstream; any instance of it may receive the order.
    * </pre>
    *
    * <code>string upstream = 1;</code>
@@ -38,7 +38,7 @@
   }
   /**
    * <pre>
-   * The name of the upstream, whatever start of it takes the order.
+   * Name of the upstream; any instance of it may receive the order.
    * </pre>
    *
    * <code>string upstream = 1;</code>
@@ -51,7 +51,7 @@
   }
   /**
    * <pre>
-   * The name of the upstream, whatever start of it takes the order.
+   * Name of the upstream; any instance of it may receive the order.
    * </pre>
    *
    * <code>string upstream = 1;</code>
@@ -66,7 +66,7 @@
   }
   /**
    * <pre>
-   * The name of the upstream, whatever start of it takes the order.
+   * Name of the upstream; any instance of it may receive the order.
    * </pre>
    *
    * <code>string upstream = 1;</code>
@@ -77,7 +77,7 @@
   }
   /**
    * <pre>
-   * The name of the upstream, whatever start of it takes the order.
+   * Name of the upstream; any instance of it may receive the order.
    * </pre>
    *
    * <code>string upstream = 1;</code>
@@ -185,7 +185,7 @@
   private long number_;
   /**
    * <pre>
-   * Index in the log of the global group: the fencing number.
+   * Fencing number: index of the order in the log of the global group.
    * </pre>
    *
    * <code>uint64 number = 4;</code>
@@ -197,7 +197,7 @@
   }
   /**
    * <pre>
-   * Index in the log of the global group: the fencing number.
+   * Fencing number: index of the order in the log of the global group.
    * </pre>
    *
    * <code>uint64 number = 4;</code>
@@ -209,7 +209,7 @@
   }
   /**
    * <pre>
-   * Index in the log of the global group: the fencing number.
+   * Fencing number: index of the order in the log of the global group.
    * </pre>
    *
    * <code>uint64 number = 4;</code>
@@ -304,7 +304,7 @@
 
   /**
    * <pre>
-   * An order to an upstream that announces itself straight to control.
+   * A role change order to an upstream without a sidecar.
    * </pre>
    *
    * Protobuf type {@code cuminshelf.DirectOrder}
@@ -322,7 +322,7 @@
 
     /**
      * <pre>
-     * The name of the upstream, whatever start of it takes the order.
+     * Name of the upstream; any instance of it may receive the order.
      * </pre>
      *
      * <code>string upstream = 1;</code>
@@ -334,7 +334,7 @@
     }
     /**
      * <pre>
-     * The name of the upstream, whatever start of it takes the order.
+     * Name of the upstream; any instance of it may receive the order.
      * </pre>
      *
      * <code>string upstream = 1;</code>
@@ -347,7 +347,7 @@
     }
     /**
      * <pre>
-     * The name of the upstream, whatever start of it takes the order.
+     * Name of the upstream; any instance of it may receive the order.
      * </pre>
      *
      * <code>string upstream = 1;</code>
@@ -362,7 +362,7 @@
     }
     /**
      * <pre>
-     * The name of the upstream, whatever start of it takes the order.
+     * Name of the upstream; any instance of it may receive the order.
      * </pre>
      *
      * <code>string upstream = 1;</code>
@@ -375,7 +375,7 @@
     }
     /**
      * <pre>
-     * The name of the upstream, whatever start of it takes the order.
+     * Name of the upstream; any instance of it may receive the order.
      * </pre>
      *
      * <code>string upstream = 1;</code>
@@ -487,7 +487,7 @@
 
     /**
      * <pre>
-     * Index in the log of the global group: the fencing number.
+     * Fencing number: index of the order in the log of the global group.
      * </pre>
      *
      * <code>uint64 number = 4;</code>
@@ -499,7 +499,7 @@
     }
     /**
      * <pre>
-     * Index in the log of the global group: the fencing number.
+     * Fencing number: index of the order in the log of the global group.
      * </pre>
      *
      * <code>uint64 number = 4;</code>
@@ -513,7 +513,7 @@
     }
     /**
      * <pre>
-     * Index in the log of the global group: the fencing number.
+     * Fencing number: index of the order in the log of the global group.
      * </pre>
      *
      * <code>uint64 number = 4;</code>
--- a/src/main/java/org/cuminshelf/message/DirectOrderOrBuilder.java
+++ b/src/main/java/org/cuminshelf/message/DirectOrderOrBuilder.java
@@ -12,7 +12,7 @@
 
   /**
    * <pre>
-   * The name of the upstream, whatever start of it takes the order.
+   * Name of the upstream; any instance of it may receive the order.
    * </pre>
    *
    * <code>string upstream = 1;</code>
@@ -21,7 +21,7 @@
   java.lang.String getUpstream();
   /**
    * <pre>
-   * The name of the upstream, whatever start of it takes the order.
+   * Name of the upstream; any instance of it may receive the order.
    * </pre>
    *
    * <code>string upstream = 1;</code>
@@ -55,7 +55,7 @@
 
   /**
    * <pre>
-   * Index in the log of the global group: the fencing number.
+   * Fencing number: index of the order in the log of the global group.
    * </pre>
    *
    * <code>uint64 number = 4;</code>
--- a/src/main/java/org/cuminshelf/message/Dispatch.java
+++ b/src/main/java/org/cuminshelf/message/Dispatch.java
@@ -92,7 +92,7 @@
   private long number_;
   /**
    * <pre>
-   * Strictly rising within a session.
+   * Dispatch number, strictly increasing within a session.
    * </pre>
    *
    * <code>uint64 number = 2;</code>
@@ -104,7 +104,7 @@
   }
   /**
    * <pre>
-   * Strictly rising within a session.
+   * Dispatch number, strictly increasing within a session.
    * </pre>
    *
    * <code>uint64 number = 2;</code>
@@ -116,7 +116,7 @@
   }
   /**
    * <pre>
-   * Strictly rising within a session.
+   * Dispatch number, strictly increasing within a session.
    * </pre>
    *
    * <code>uint64 number = 2;</code>
@@ -382,7 +382,7 @@
   private int promptCost_;
   /**
    * <pre>
-   * Prompt tokens that the entry expects not to be cached there.
+   * Number of prompt tokens that the entry expects not to be in the upstream's cache.
    * </pre>
    *
    * <code>uint32 prompt_cost = 9;</code>
@@ -394,7 +394,7 @@
   }
   /**
    * <pre>
-   * Prompt tokens that the entry expects not to be cached there.
+   * Number of prompt tokens that the entry expects not to be in the upstream's cache.
    * </pre>
    *
    * <code>uint32 prompt_cost = 9;</code>
@@ -406,7 +406,7 @@
   }
   /**
    * <pre>
-   * Prompt tokens that the entry expects not to be cached there.
+   * Number of prompt tokens that the entry expects not to be in the upstream's cache.
    * </pre>
    *
    * <code>uint32 prompt_cost = 9;</code>
@@ -555,7 +555,7 @@
 
     /**
      * <pre>
-     * Strictly rising within a session.
+     * Dispatch number, strictly increasing within a session.
      * </pre>
      *
      * <code>uint64 number = 2;</code>
@@ -567,7 +567,7 @@
     }
     /**
      * <pre>
-     * Strictly rising within a session.
+     * Dispatch number, strictly increasing within a session.
      * </pre>
      *
      * <code>uint64 number = 2;</code>
@@ -581,7 +581,7 @@
     }
     /**
      * <pre>
-     * Strictly rising within a session.
+     * Dispatch number, strictly increasing within a session.
      * </pre>
      *
      * <code>uint64 number = 2;</code>
@@ -845,7 +845,7 @@
 
     /**
      * <pre>
-     * Prompt tokens that the entry expects not to be cached there.
+     * Number of prompt tokens that the entry expects not to be in the upstream's cache.
      * </pre>
      *
      * <code>uint32 prompt_cost = 9;</code>
@@ -857,7 +857,7 @@
     }
     /**
      * <pre>
-     * Prompt tokens that the entry expects not to be cached there.
+     * Number of prompt tokens that the entry expects not to be in the upstream's cache.
      * </pre>
      *
      * <code>uint32 prompt_cost = 9;</code>
@@ -871,7 +871,7 @@
     }
     /**
      * <pre>
-     * Prompt tokens that the entry expects not to be cached there.
+     * Number of prompt tokens that the entry expects not to be in the upstream's cache.
      * </pre>
      *
      * <code>uint32 prompt_cost = 9;</code>
--- a/src/main/java/org/cuminshelf/message/DispatchOrBuilder.java
+++ b/src/main/java/org/cuminshelf/message/DispatchOrBuilder.java
@@ -18,7 +18,7 @@
 
   /**
    * <pre>
-   * Strictly rising within a session.
+   * Dispatch number, strictly increasing within a session.
    * </pre>
    *
    * <code>uint64 number = 2;</code>
@@ -86,7 +86,7 @@
 
   /**
    * <pre>
-   * Prompt tokens that the entry expects not to be cached there.
+   * Number of prompt tokens that the entry expects not to be in the upstream's cache.
    * </pre>
    *
    * <code>uint32 prompt_cost = 9;</code>
--- a/src/main/java/org/cuminshelf/message/Ended.java
+++ b/src/main/java/org/cuminshelf/message/Ended.java
@@ -74,7 +74,7 @@
   private long length_;
   /**
    * <pre>
-   * Length of the whole answer in tokens or bytes.
+   * Length of the complete response in tokens (generation) or bytes (exchange).
    * </pre>
    *
    * <code>uint64 length = 3;</code>
@@ -86,7 +86,7 @@
   }
   /**
    * <pre>
-   * Length of the whole answer in tokens or bytes.
+   * Length of the complete response in tokens (generation) or bytes (exchange).
    * </pre>
    *
    * <code>uint64 length = 3;</code>
@@ -98,7 +98,7 @@
   }
   /**
    * <pre>
-   * Length of the whole answer in tokens or bytes.
+   * Length of the complete response in tokens (generation) or bytes (exchange).
    * </pre>
    *
    * <code>uint64 length = 3;</code>
@@ -445,7 +445,7 @@
 
     /**
      * <pre>
-     * Length of the whole answer in tokens or bytes.
+     * Length of the complete response in tokens (generation) or bytes (exchange).
      * </pre>
      *
      * <code>uint64 length = 3;</code>
@@ -457,7 +457,7 @@
     }
     /**
      * <pre>
-     * Length of the whole answer in tokens or bytes.
+     * Length of the complete response in tokens (generation) or bytes (exchange).
      * </pre>
      *
      * <code>uint64 length = 3;</code>
@@ -471,7 +471,7 @@
     }
     /**
      * <pre>
-     * Length of the whole answer in tokens or bytes.
+     * Length of the complete response in tokens (generation) or bytes (exchange).
      * </pre>
      *
      * <code>uint64 length = 3;</code>
--- a/src/main/java/org/cuminshelf/message/EndedOrBuilder.java
+++ b/src/main/java/org/cuminshelf/message/EndedOrBuilder.java
@@ -24,7 +24,7 @@
 
   /**
    * <pre>
-   * Length of the whole answer in tokens or bytes.
+   * Length of the complete response in tokens (generation) or bytes (exchange).
    * </pre>
    *
    * <code>uint64 length = 3;</code>
--- a/src/main/java/org/cuminshelf/message/EntryLoad.java
+++ b/src/main/java/org/cuminshelf/message/EntryLoad.java
@@ -7,7 +7,7 @@
 
 /**
  * <pre>
- * What one entry has under way at upstreams, told to the other entries, whose choices it changes.
+ * Load that one entry has placed on upstreams, reported to the other entries, which use it to select upstreams.
  * </pre>
  *
  * Protobuf type {@code cuminshelf.EntryLoad}
@@ -128,7 +128,7 @@
   private com.google.protobuf.Internal.ProtobufList<org.cuminshelf.message.SentPrompt> sent_;
   /**
    * <pre>
-   * Prompts sent since the last message, so that all entries know which engine holds which parts.
+   * Prompts sent since the last message, so that all entries know which engine has which prompt segments cached.
    * </pre>
    *
    * <code>repeated .cuminshelf.SentPrompt sent = 2;</code>
@@ -139,7 +139,7 @@
   }
   /**
    * <pre>
-   * Prompts sent since the last message, so that all entries know which engine holds which parts.
+   * Prompts sent since the last message, so that all entries know which engine has which prompt segments cached.
    * </pre>
    *
    * <code>repeated .cuminshelf.SentPrompt sent = 2;</code>
@@ -150,7 +150,7 @@
   }
   /**
    * <pre>
-   * Prompts sent since the last message, so that all entries know which engine holds which parts.
+   * Prompts sent since the last message, so that all entries know which engine has which prompt segments cached.
    * </pre>
    *
    * <code>repeated .cuminshelf.SentPrompt sent = 2;</code>
@@ -161,7 +161,7 @@
   }
   /**
    * <pre>
-   * Prompts sent since the last message, so that all entries know which engine holds which parts.
+   * Prompts sent since the last message, so that all entries know which engine has which prompt segments cached.
    * </pre>
    *
    * <code>repeated .cuminshelf.SentPrompt sent = 2;</code>
@@ -172,7 +172,7 @@
   }
   /**
    * <pre>
-   * Prompts sent since the last message, so that all entries know which engine holds which parts.
+   * Prompts sent since the last message, so that all entries know which engine has which prompt segments cached.
    * </pre>
    *
    * <code>repeated .cuminshelf.SentPrompt sent = 2;</code>
@@ -191,7 +191,7 @@
 
   /**
    * <pre>
-   * Prompts sent since the last message, so that all entries know which engine holds which parts.
+   * Prompts sent since the last message, so that all entries know which engine has which prompt segments cached.
    * </pre>
    *
    * <code>repeated .cuminshelf.SentPrompt sent = 2;</code>
@@ -205,7 +205,7 @@
   }
   /**
    * <pre>
-   * Prompts sent since the last message, so that all entries know which engine holds which parts.
+   * Prompts sent since the last message, so that all entries know which engine has which prompt segments cached.
    * </pre>
    *
    * <code>repeated .cuminshelf.SentPrompt sent = 2;</code>
@@ -218,7 +218,7 @@
   }
   /**
    * <pre>
-   * Prompts sent since the last message, so that all entries know which engine holds which parts.
+   * Prompts sent since the last message, so that all entries know which engine has which prompt segments cached.
    * </pre>
    *
    * <code>repeated .cuminshelf.SentPrompt sent = 2;</code>
@@ -232,7 +232,7 @@
   }
   /**
    * <pre>
-   * Prompts sent since the last message, so that all entries know which engine holds which parts.
+   * Prompts sent since the last message, so that all entries know which engine has which prompt segments cached.
    * </pre>
    *
    * <code>repeated .cuminshelf.SentPrompt sent = 2;</code>
@@ -245,7 +245,7 @@
   }
   /**
    * <pre>
-   * Prompts sent since the last message, so that all entries know which engine holds which parts.
+   * Prompts sent since the last message, so that all entries know which engine has which prompt segments cached.
    * </pre>
    *
    * <code>repeated .cuminshelf.SentPrompt sent = 2;</code>
@@ -255,7 +255,7 @@
   }
   /**
    * <pre>
-   * Prompts sent since the last message, so that all entries know which engine holds which parts.
+   * Prompts sent since the last message, so that all entries know which engine has which prompt segments cached.
    * </pre>
    *
    * <code>repeated .cuminshelf.SentPrompt sent = 2;</code>
@@ -269,7 +269,7 @@
   private com.google.protobuf.Internal.ProtobufList<org.cuminshelf.message.TakenPrompt> taken_;
   /**
    * <pre>
-   * Prompts taken in since the last message, so that all entries learn from all.
+   * Prompts whose prefill completed since the last message, so that the latency models of all entries use all samples.
    * </pre>
    *
    * <code>repeated .cuminshelf.TakenPrompt taken = 3;</code>
@@ -280,7 +280,7 @@
   }
   /**
    * <pre>
-   * Prompts taken in since the last message, so that all entries learn from all.
+   * Prompts whose prefill completed since the last message, so that the latency models of all entries use all samples.
    * </pre>
    *
    * <code>repeated .cuminshelf.TakenPrompt taken = 3;</code>
@@ -291,7 +291,7 @@
   }
   /**
    * <pre>
-   * Prompts taken in since the last message, so that all entries learn from all.
+   * Prompts whose prefill completed since the last message, so that the latency models of all entries use all samples.
    * </pre>
    *
    * <code>repeated .cuminshelf.TakenPrompt taken = 3;</code>
@@ -302,7 +302,7 @@
   }
   /**
    * <pre>
-   * Prompts taken in since the last message, so that all entries learn from all.
+   * Prompts whose prefill completed since the last message, so that the latency models of all entries use all samples.
    * </pre>
    *
    * <code>repeated .cuminshelf.TakenPrompt taken = 3;</code>
@@ -313,7 +313,7 @@
   }
   /**
    * <pre>
-   * Prompts taken in since the last message, so that all entries learn from all.
+   * Prompts whose prefill completed since the last message, so that the latency models of all entries use all samples.
    * </pre>
    *
    * <code>repeated .cuminshelf.TakenPrompt taken = 3;</code>
@@ -332,7 +332,7 @@
 
   /**
    * <pre>
-   * Prompts taken in since the last message, so that all entries learn from all.
+   * Prompts whose prefill completed since the last message, so that the latency models of all entries use all samples.
    * </pre>
    *
    * <code>repeated .cuminshelf.TakenPrompt taken = 3;</code>
@@ -346,7 +346,7 @@
   }
   /**
    * <pre>
-   * Prompts taken in since the last message, so that all entries learn from all.
+   * Prompts whose prefill completed since the last message, so that the latency models of all entries use all samples.
    * </pre>
    *
    * <code>repeated .cuminshelf.TakenPrompt taken = 3;</code>
@@ -359,7 +359,7 @@
   }
   /**
    * <pre>
-   * Prompts taken in since the last message, so that all entries learn from all.
+   * Prompts whose prefill completed since the last message, so that the latency models of all entries use all samples.
    * </pre>
    *
    * <code>repeated .cuminshelf.TakenPrompt taken = 3;</code>
@@ -373,7 +373,7 @@
   }
   /**
    * <pre>
-   * Prompts taken in since the last message, so that all entries learn from all.
+   * Prompts whose prefill completed since the last message, so that the latency models of all entries use all samples.
    * </pre>
    *
    * <code>repeated .cuminshelf.TakenPrompt taken = 3;</code>
@@ -386,7 +386,7 @@
   }
   /**
    * <pre>
-   * Prompts taken in since the last message, so that all entries learn from all.
+   * Prompts whose prefill completed since the last message, so that the latency models of all entries use all samples.
    * </pre>
    *
    * <code>repeated .cuminshelf.TakenPrompt taken = 3;</code>
@@ -396,7 +396,7 @@
   }
   /**
    * <pre>
-   * Prompts taken in since the last message, so that all entries learn from all.
+   * Prompts whose prefill completed since the last message, so that the latency models of all entries use all samples.
    * </pre>
    *
    * <code>repeated .cuminshelf.TakenPrompt taken = 3;</code>
@@ -410,7 +410,7 @@
   private com.google.protobuf.Internal.ProtobufList<org.cuminshelf.message.HeardLimit> limits_;
   /**
    * <pre>
-   * What upstreams said to the entry of the requests that they take.
+   * Rate limits that upstreams announced to the entry.
    * </pre>
    *
    * <code>repeated .cuminshelf.HeardLimit limits = 4;</code>
@@ -421,7 +421,7 @@
   }
   /**
    * <pre>
-   * What upstreams said to the entry of the requests that they take.
+   * Rate limits that upstreams announced to the entry.
    * </pre>
    *
    * <code>repeated .cuminshelf.HeardLimit limits = 4;</code>
@@ -432,7 +432,7 @@
   }
   /**
    * <pre>
-   * What upstreams said to the entry of the requests that they take.
+   * Rate limits that upstreams announced to the entry.
    * </pre>
    *
    * <code>repeated .cuminshelf.HeardLimit limits = 4;</code>
@@ -443,7 +443,7 @@
   }
   /**
    * <pre>
-   * What upstreams said to the entry of the requests that they take.
+   * Rate limits that upstreams announced to the entry.
    * </pre>
    *
    * <code>repeated .cuminshelf.HeardLimit limits = 4;</code>
@@ -454,7 +454,7 @@
   }
   /**
    * <pre>
-   * What upstreams said to the entry of the requests that they take.
+   * Rate limits that upstreams announced to the entry.
    * </pre>
    *
    * <code>repeated .cuminshelf.HeardLimit limits = 4;</code>
@@ -473,7 +473,7 @@
 
   /**
    * <pre>
-   * What upstreams said to the entry of the requests that they take.
+   * Rate limits that upstreams announced to the entry.
    * </pre>
    *
    * <code>repeated .cuminshelf.HeardLimit limits = 4;</code>
@@ -487,7 +487,7 @@
   }
   /**
    * <pre>
-   * What upstreams said to the entry of the requests that they take.
+   * Rate limits that upstreams announced to the entry.
    * </pre>
    *
    * <code>repeated .cuminshelf.HeardLimit limits = 4;</code>
@@ -500,7 +500,7 @@
   }
   /**
    * <pre>
-   * What upstreams said to the entry of the requests that they take.
+   * Rate limits that upstreams announced to the entry.
    * </pre>
    *
    * <code>repeated .cuminshelf.HeardLimit limits = 4;</code>
@@ -514,7 +514,7 @@
   }
   /**
    * <pre>
-   * What upstreams said to the entry of the requests that they take.
+   * Rate limits that upstreams announced to the entry.
    * </pre>
    *
    * <code>repeated .cuminshelf.HeardLimit limits = 4;</code>
@@ -527,7 +527,7 @@
   }
   /**
    * <pre>
-   * What upstreams said to the entry of the requests that they take.
+   * Rate limits that upstreams announced to the entry.
    * </pre>
    *
    * <code>repeated .cuminshelf.HeardLimit limits = 4;</code>
@@ -537,7 +537,7 @@
   }
   /**
    * <pre>
-   * What upstreams said to the entry of the requests that they take.
+   * Rate limits that upstreams announced to the entry.
    * </pre>
    *
    * <code>repeated .cuminshelf.HeardLimit limits = 4;</code>
@@ -551,7 +551,7 @@
   private com.google.protobuf.Internal.ProtobufList<org.cuminshelf.message.ServiceDemand> demands_;
   /**
    * <pre>
-   * Calls at the entry for services of which an upstream states a limit.
+   * Call rates at the entry for services of which an upstream has announced a rate limit.
    * </pre>
    *
    * <code>repeated .cuminshelf.ServiceDemand demands = 5;</code>
@@ -562,7 +562,7 @@
   }
   /**
    * <pre>
-   * Calls at the entry for services of which an upstream states a limit.
+   * Call rates at the entry for services of which an upstream has announced a rate limit.
    * </pre>
    *
    * <code>repeated .cuminshelf.ServiceDemand demands = 5;</code>
@@ -573,7 +573,7 @@
   }
   /**
    * <pre>
-   * Calls at the entry for services of which an upstream states a limit.
+   * Call rates at the entry for services of which an upstream has announced a rate limit.
    * </pre>
    *
    * <code>repeated .cuminshelf.ServiceDemand demands = 5;</code>
@@ -584,7 +584,7 @@
   }
   /**
    * <pre>
-   * Calls at the entry for services of which an upstream states a limit.
+   * Call rates at the entry for services of which an upstream has announced a rate limit.
    * </pre>
    *
    * <code>repeated .cuminshelf.ServiceDemand demands = 5;</code>
@@ -595,7 +595,7 @@
   }
   /**
    * <pre>
-   * Calls at the entry for services of which an upstream states a limit.
+   * Call rates at the entry for services of which an upstream has announced a rate limit.
    * </pre>
    *
    * <code>repeated .cuminshelf.ServiceDemand demands = 5;</code>
@@ -614,7 +614,7 @@
 
   /**
    * <pre>
-   * Calls at the entry for services of which an upstream states a limit.
+   * Call rates at the entry for services of which an upstream has announced a rate limit.
    * </pre>
    *
    * <code>repeated .cuminshelf.ServiceDemand demands = 5;</code>
@@ -628,7 +628,7 @@
   }
   /**
    * <pre>
-   * Calls at the entry for services of which an upstream states a limit.
+   * Call rates at the entry for services of which an upstream has announced a rate limit.
    * </pre>
    *
    * <code>repeated .cuminshelf.ServiceDemand demands = 5;</code>
@@ -641,7 +641,7 @@
   }
   /**
    * <pre>
-   * Calls at the entry for services of which an upstream states a limit.
+   * Call rates at the entry for services of which an upstream has announced a rate limit.
    * </pre>
    *
    * <code>repeated .cuminshelf.ServiceDemand demands = 5;</code>
@@ -655,7 +655,7 @@
   }
   /**
    * <pre>
-   * Calls at the entry for services of which an upstream states a limit.
+   * Call rates at the entry for services of which an upstream has announced a rate limit.
    * </pre>
    *
    * <code>repeated .cuminshelf.ServiceDemand demands = 5;</code>
@@ -668,7 +668,7 @@
   }
   /**
    * <pre>
-   * Calls at the entry for services of which an upstream states a limit.
+   * Call rates at the entry for services of which an upstream has announced a rate limit.
    * </pre>
    *
    * <code>repeated .cuminshelf.ServiceDemand demands = 5;</code>
@@ -678,7 +678,7 @@
   }
   /**
    * <pre>
-   * Calls at the entry for services of which an upstream states a limit.
+   * Call rates at the entry for services of which an upstream has announced a rate limit.
    * </pre>
    *
    * <code>repeated .cuminshelf.ServiceDemand demands = 5;</code>
@@ -692,7 +692,7 @@
   private com.google.protobuf.Internal.ProtobufList<org.cuminshelf.message.RestingUpstream> rests_;
   /**
    * <pre>
-   * Rest that upstreams asked of the entry.
+   * Backoffs that upstreams requested from the entry.
    * </pre>
    *
    * <code>repeated .cuminshelf.RestingUpstream rests = 6;</code>
@@ -703,7 +703,7 @@
   }
   /**
    * <pre>
-   * Rest that upstreams asked of the entry.
+   * Backoffs that upstreams requested from the entry.
    * </pre>
    *
    * <code>repeated .cuminshelf.RestingUpstream rests = 6;</code>
@@ -714,7 +714,7 @@
   }
   /**
    * <pre>
-   * Rest that upstreams asked of the entry.
+   * Backoffs that upstreams requested from the entry.
    * </pre>
    *
    * <code>repeated .cuminshelf.RestingUpstream rests = 6;</code>
@@ -725,7 +725,7 @@
   }
   /**
    * <pre>
-   * Rest that upstreams asked of the entry.
+   * Backoffs that upstreams requested from the entry.
    * </pre>
    *
    * <code>repeated .cuminshelf.RestingUpstream rests = 6;</code>
@@ -736,7 +736,7 @@
   }
   /**
    * <pre>
-   * Rest that upstreams asked of the entry.
+   * Backoffs that upstreams requested from the entry.
    * </pre>
    *
    * <code>repeated .cuminshelf.RestingUpstream rests = 6;</code>
@@ -755,7 +755,7 @@
 
   /**
    * <pre>
-   * Rest that upstreams asked of the entry.
+   * Backoffs that upstreams requested from the entry.
    * </pre>
    *
    * <code>repeated .cuminshelf.RestingUpstream rests = 6;</code>
@@ -769,7 +769,7 @@
   }
   /**
    * <pre>
-   * Rest that upstreams asked of the entry.
+   * Backoffs that upstreams requested from the entry.
    * </pre>
    *
    * <code>repeated .cuminshelf.RestingUpstream rests = 6;</code>
@@ -782,7 +782,7 @@
   }
   /**
    * <pre>
-   * Rest that upstreams asked of the entry.
+   * Backoffs that upstreams requested from the entry.
    * </pre>
    *
    * <code>repeated .cuminshelf.RestingUpstream rests = 6;</code>
@@ -796,7 +796,7 @@
   }
   /**
    * <pre>
-   * Rest that upstreams asked of the entry.
+   * Backoffs that upstreams requested from the entry.
    * </pre>
    *
    * <code>repeated .cuminshelf.RestingUpstream rests = 6;</code>
@@ -809,7 +809,7 @@
   }
   /**
    * <pre>
-   * Rest that upstreams asked of the entry.
+   * Backoffs that upstreams requested from the entry.
    * </pre>
    *
    * <code>repeated .cuminshelf.RestingUpstream rests = 6;</code>
@@ -819,7 +819,7 @@
   }
   /**
    * <pre>
-   * Rest that upstreams asked of the entry.
+   * Backoffs that upstreams requested from the entry.
    * </pre>
    *
    * <code>repeated .cuminshelf.RestingUpstream rests = 6;</code>
@@ -833,7 +833,7 @@
   private com.google.protobuf.Internal.ProtobufList<java.lang.String> leaving_;
   /**
    * <pre>
-   * Starts of upstreams that said to the entry that they leave.
+   * Identities of upstream instances that notified the entry that they are shutting down.
    * </pre>
    *
    * <code>repeated string leaving = 7;</code>
@@ -845,7 +845,7 @@
   }
   /**
    * <pre>
-   * Starts of upstreams that said to the entry that they leave.
+   * Identities of upstream instances that notified the entry that they are shutting down.
    * </pre>
    *
    * <code>repeated string leaving = 7;</code>
@@ -857,7 +857,7 @@
   }
   /**
    * <pre>
-   * Starts of upstreams that said to the entry that they leave.
+   * Identities of upstream instances that notified the entry that they are shutting down.
    * </pre>
    *
    * <code>repeated string leaving = 7;</code>
@@ -870,7 +870,7 @@
   }
   /**
    * <pre>
-   * Starts of upstreams that said to the entry that they leave.
+   * Identities of upstream instances that notified the entry that they are shutting down.
    * </pre>
    *
    * <code>repeated string leaving = 7;</code>
@@ -892,7 +892,7 @@
   }
   /**
    * <pre>
-   * Starts of upstreams that said to the entry that they leave.
+   * Identities of upstream instances that notified the entry that they are shutting down.
    * </pre>
    *
    * <code>repeated string leaving = 7;</code>
@@ -908,7 +908,7 @@
   }
   /**
    * <pre>
-   * Starts of upstreams that said to the entry that they leave.
+   * Identities of upstream instances that notified the entry that they are shutting down.
    * </pre>
    *
    * <code>repeated string leaving = 7;</code>
@@ -923,7 +923,7 @@
   }
   /**
    * <pre>
-   * Starts of upstreams that said to the entry that they leave.
+   * Identities of upstream instances that notified the entry that they are shutting down.
    * </pre>
    *
    * <code>repeated string leaving = 7;</code>
@@ -937,7 +937,7 @@
   }
   /**
    * <pre>
-   * Starts of upstreams that said to the entry that they leave.
+   * Identities of upstream instances that notified the entry that they are shutting down.
    * </pre>
    *
    * <code>repeated string leaving = 7;</code>
@@ -947,7 +947,7 @@
   }
   /**
    * <pre>
-   * Starts of upstreams that said to the entry that they leave.
+   * Identities of upstream instances that notified the entry that they are shutting down.
    * </pre>
    *
    * <code>repeated string leaving = 7;</code>
@@ -1045,7 +1045,7 @@
 
   /**
    * <pre>
-   * What one entry has under way at upstreams, told to the other entries, whose choices it changes.
+   * Load that one entry has placed on upstreams, reported to the other entries, which use it to select upstreams.
    * </pre>
    *
    * Protobuf type {@code cuminshelf.EntryLoad}
@@ -1165,7 +1165,7 @@
 
     /**
      * <pre>
-     * Prompts sent since the last message, so that all entries know which engine holds which parts.
+     * Prompts sent since the last message, so that all entries know which engine has which prompt segments cached.
      * </pre>
      *
      * <code>repeated .cuminshelf.SentPrompt sent = 2;</code>
@@ -1177,7 +1177,7 @@
     }
     /**
      * <pre>
-     * Prompts sent since the last message, so that all entries know which engine holds which parts.
+     * Prompts sent since the last message, so that all entries know which engine has which prompt segments cached.
      * </pre>
      *
      * <code>repeated .cuminshelf.SentPrompt sent = 2;</code>
@@ -1187,7 +1187,7 @@
       return instance.getSentCount();
     }/**
      * <pre>
-     * Prompts sent since the last message, so that all entries know which engine holds which parts.
+     * Prompts sent since the last message, so that all entries know which engine has which prompt segments cached.
      * </pre>
      *
      * <code>repeated .cuminshelf.SentPrompt sent = 2;</code>
@@ -1198,7 +1198,7 @@
     }
     /**
      * <pre>
-     * Prompts sent since the last message, so that all entries know which engine holds which parts.
+     * Prompts sent since the last message, so that all entries know which engine has which prompt segments cached.
      * </pre>
      *
      * <code>repeated .cuminshelf.SentPrompt sent = 2;</code>
@@ -1211,7 +1211,7 @@
     }
     /**
      * <pre>
-     * Prompts sent since the last message, so that all entries know which engine holds which parts.
+     * Prompts sent since the last message, so that all entries know which engine has which prompt segments cached.
      * </pre>
      *
      * <code>repeated .cuminshelf.SentPrompt sent = 2;</code>
@@ -1225,7 +1225,7 @@
     }
     /**
      * <pre>
-     * Prompts sent since the last message, so that all entries know which engine holds which parts.
+     * Prompts sent since the last message, so that all entries know which engine has which prompt segments cached.
      * </pre>
      *
      * <code>repeated .cuminshelf.SentPrompt sent = 2;</code>
@@ -1237,7 +1237,7 @@
     }
     /**
      * <pre>
-     * Prompts sent since the last message, so that all entries know which engine holds which parts.
+     * Prompts sent since the last message, so that all entries know which engine has which prompt segments cached.
      * </pre>
      *
      * <code>repeated .cuminshelf.SentPrompt sent = 2;</code>
@@ -1250,7 +1250,7 @@
     }
     /**
      * <pre>
-     * Prompts sent since the last message, so that all entries know which engine holds which parts.
+     * Prompts sent since the last message, so that all entries know which engine has which prompt segments cached.
      * </pre>
      *
      * <code>repeated .cuminshelf.SentPrompt sent = 2;</code>
@@ -1263,7 +1263,7 @@
     }
     /**
      * <pre>
-     * Prompts sent since the last message, so that all entries know which engine holds which parts.
+     * Prompts sent since the last message, so that all entries know which engine has which prompt segments cached.
      * </pre>
      *
      * <code>repeated .cuminshelf.SentPrompt sent = 2;</code>
@@ -1277,7 +1277,7 @@
     }
     /**
      * <pre>
-     * Prompts sent since the last message, so that all entries know which engine holds which parts.
+     * Prompts sent since the last message, so that all entries know which engine has which prompt segments cached.
      * </pre>
      *
      * <code>repeated .cuminshelf.SentPrompt sent = 2;</code>
@@ -1290,7 +1290,7 @@
     }
     /**
      * <pre>
-     * Prompts sent since the last message, so that all entries know which engine holds which parts.
+     * Prompts sent since the last message, so that all entries know which engine has which prompt segments cached.
      * </pre>
      *
      * <code>repeated .cuminshelf.SentPrompt sent = 2;</code>
@@ -1302,7 +1302,7 @@
     }
     /**
      * <pre>
-     * Prompts sent since the last message, so that all entries know which engine holds which parts.
+     * Prompts sent since the last message, so that all entries know which engine has which prompt segments cached.
      * </pre>
      *
      * <code>repeated .cuminshelf.SentPrompt sent = 2;</code>
@@ -1315,7 +1315,7 @@
 
     /**
      * <pre>
-     * Prompts taken in since the last message, so that all entries learn from all.
+     * Prompts whose prefill completed since the last message, so that the latency models of all entries use all samples.
      * </pre>
      *
      * <code>repeated .cuminshelf.TakenPrompt taken = 3;</code>
@@ -1327,7 +1327,7 @@
     }
     /**
      * <pre>
-     * Prompts taken in since the last message, so that all entries learn from all.
+     * Prompts whose prefill completed since the last message, so that the latency models of all entries use all samples.
      * </pre>
      *
      * <code>repeated .cuminshelf.TakenPrompt taken = 3;</code>
@@ -1337,7 +1337,7 @@
       return instance.getTakenCount();
     }/**
      * <pre>
-     * Prompts taken in since the last message, so that all entries learn from all.
+     * Prompts whose prefill completed since the last message, so that the latency models of all entries use all samples.
      * </pre>
      *
      * <code>repeated .cuminshelf.TakenPrompt taken = 3;</code>
@@ -1348,7 +1348,7 @@
     }
     /**
      * <pre>
-     * Prompts taken in since the last message, so that all entries learn from all.
+     * Prompts whose prefill completed since the last message, so that the latency models of all entries use all samples.
      * </pre>
      *
      * <code>repeated .cuminshelf.TakenPrompt taken = 3;</code>
@@ -1361,7 +1361,7 @@
     }
     /**
      * <pre>
-     * Prompts taken in since the last message, so that all entries learn from all.
+     * Prompts whose prefill completed since the last message, so that the latency models of all entries use all samples.
      * </pre>
      *
      * <code>repeated .cuminshelf.TakenPrompt taken = 3;</code>
@@ -1375,7 +1375,7 @@
     }
     /**
      * <pre>
-     * Prompts taken in since the last message, so that all entries learn from all.
+     * Prompts whose prefill completed since the last message, so that the latency models of all entries use all samples.
      * </pre>
      *
      * <code>repeated .cuminshelf.TakenPrompt taken = 3;</code>
@@ -1387,7 +1387,7 @@
     }
     /**
      * <pre>
-     * Prompts taken in since the last message, so that all entries learn from all.
+     * Prompts whose prefill completed since the last message, so that the latency models of all entries use all samples.
      * </pre>
      *
      * <code>repeated .cuminshelf.TakenPrompt taken = 3;</code>
@@ -1400,7 +1400,7 @@
     }
     /**
      * <pre>
-     * Prompts taken in since the last message, so that all entries learn from all.
+     * Prompts whose prefill completed since the last message, so that the latency models of all entries use all samples.
      * </pre>
      *
      * <code>repeated .cuminshelf.TakenPrompt taken = 3;</code>
@@ -1413,7 +1413,7 @@
     }
     /**
      * <pre>
-     * Prompts taken in since the last message, so that all entries learn from all.
+     * Prompts whose prefill completed since the last message, so that the latency models of all entries use all samples.
      * </pre>
      *
      * <code>repeated .cuminshelf.TakenPrompt taken = 3;</code>
@@ -1427,7 +1427,7 @@
     }
     /**
      * <pre>
-     * Prompts taken in since the last message, so that all entries learn from all.
+     * Prompts whose prefill completed since the last message, so that the latency models of all entries use all samples.
      * </pre>
      *
      * <code>repeated .cuminshelf.TakenPrompt taken = 3;</code>
@@ -1440,7 +1440,7 @@
     }
     /**
      * <pre>
-     * Prompts taken in since the last message, so that all entries learn from all.
+     * Prompts whose prefill completed since the last message, so that the latency models of all entries use all samples.
      * </pre>
      *
      * <code>repeated .cuminshelf.TakenPrompt taken = 3;</code>
@@ -1452,7 +1452,7 @@
     }
     /**
      * <pre>
-     * Prompts taken in since the last message, so that all entries learn from all.
+     * Prompts whose prefill completed since the last message, so that the latency models of all entries use all samples.
      * </pre>
      *
      * <code>repeated .cuminshelf.TakenPrompt taken = 3;</code>
@@ -1465,7 +1465,7 @@
 
     /**
      * <pre>
-     * What upstreams said to the entry of the requests that they take.
+     * Rate limits that upstreams announced to the entry.
      * </pre>
      *
      * <code>repeated .cuminshelf.HeardLimit limits = 4;</code>
@@ -1477,7 +1477,7 @@
     }
     /**
      * <pre>
-     * What upstreams said to the entry of the requests that they take.
+     * Rate limits that upstreams announced to the entry.
      * </pre>
      *
      * <code>repeated .cuminshelf.HeardLimit limits = 4;</code>
@@ -1487,7 +1487,7 @@
       return instance.getLimitsCount();
     }/**
      * <pre>
-     * What upstreams said to the entry of the requests that they take.
+     * Rate limits that upstreams announced to the entry.
      * </pre>
      *
      * <code>repeated .cuminshelf.HeardLimit limits = 4;</code>
@@ -1498,7 +1498,7 @@
     }
     /**
      * <pre>
-     * What upstreams said to the entry of the requests that they take.
+     * Rate limits that upstreams announced to the entry.
      * </pre>
      *
      * <code>repeated .cuminshelf.HeardLimit limits = 4;</code>
@@ -1511,7 +1511,7 @@
     }
     /**
      * <pre>
-     * What upstreams said to the entry of the requests that they take.
+     * Rate limits that upstreams announced to the entry.
      * </pre>
      *
      * <code>repeated .cuminshelf.HeardLimit limits = 4;</code>
@@ -1525,7 +1525,7 @@
     }
     /**
      * <pre>
-     * What upstreams said to the entry of the requests that they take.
+     * Rate limits that upstreams announced to the entry.
      * </pre>
      *
      * <code>repeated .cuminshelf.HeardLimit limits = 4;</code>
@@ -1537,7 +1537,7 @@
     }
     /**
      * <pre>
-     * What upstreams said to the entry of the requests that they take.
+     * Rate limits that upstreams announced to the entry.
      * </pre>
      *
      * <code>repeated .cuminshelf.HeardLimit limits = 4;</code>
@@ -1550,7 +1550,7 @@
     }
     /**
      * <pre>
-     * What upstreams said to the entry of the requests that they take.
+     * Rate limits that upstreams announced to the entry.
      * </pre>
      *
      * <code>repeated .cuminshelf.HeardLimit limits = 4;</code>
@@ -1563,7 +1563,7 @@
     }
     /**
      * <pre>
-     * What upstreams said to the entry of the requests that they take.
+     * Rate limits that upstreams announced to the entry.
      * </pre>
      *
      * <code>repeated .cuminshelf.HeardLimit limits = 4;</code>
@@ -1577,7 +1577,7 @@
     }
     /**
      * <pre>
-     * What upstreams said to the entry of the requests that they take.
+     * Rate limits that upstreams announced to the entry.
      * </pre>
      *
      * <code>repeated .cuminshelf.HeardLimit limits = 4;</code>
@@ -1590,7 +1590,7 @@
     }
     /**
      * <pre>
-     * What upstreams said to the entry of the requests that they take.
+     * Rate limits that upstreams announced to the entry.
      * </pre>
      *
      * <code>repeated .cuminshelf.HeardLimit limits = 4;</code>
@@ -1602,7 +1602,7 @@
     }
     /**
      * <pre>
-     * What upstreams said to the entry of the requests that they take.
+     * Rate limits that upstreams announced to the entry.
      * </pre>
      *
      * <code>repeated .cuminshelf.HeardLimit limits = 4;</code>
@@ -1615,7 +1615,7 @@
 
     /**
      * <pre>
-     * Calls at the entry for services of which an upstream states a limit.
+     * Call rates at the entry for services of which an upstream has announced a rate limit.
      * </pre>
      *
      * <code>repeated .cuminshelf.ServiceDemand demands = 5;</code>
@@ -1627,7 +1627,7 @@
     }
     /**
      * <pre>
-     * Calls at the entry for services of which an upstream states a limit.
+     * Call rates at the entry for services of which an upstream has announced a rate limit.
      * </pre>
      *
      * <code>repeated .cuminshelf.ServiceDemand demands = 5;</code>
@@ -1637,7 +1637,7 @@
       return instance.getDemandsCount();
     }/**
      * <pre>
-     * Calls at the entry for services of which an upstream states a limit.
+     * Call rates at the entry for services of which an upstream has announced a rate limit.
      * </pre>
      *
      * <code>repeated .cuminshelf.ServiceDemand demands = 5;</code>
@@ -1648,7 +1648,7 @@
     }
     /**
      * <pre>
-     * Calls at the entry for services of which an upstream states a limit.
+     * Call rates at the entry for services of which an upstream has announced a rate limit.
      * </pre>
      *
      * <code>repeated .cuminshelf.ServiceDemand demands = 5;</code>
@@ -1661,7 +1661,7 @@
     }
     /**
      * <pre>
-     * Calls at the entry for services of which an upstream states a limit.
+     * Call rates at the entry for services of which an upstream has announced a rate limit.
      * </pre>
      *
      * <code>repeated .cuminshelf.ServiceDemand demands = 5;</code>
@@ -1675,7 +1675,7 @@
     }
     /**
      * <pre>
-     * Calls at the entry for services of which an upstream states a limit.
+     * Call rates at the entry for services of which an upstream has announced a rate limit.
      * </pre>
      *
      * <code>repeated .cuminshelf.ServiceDemand demands = 5;</code>
@@ -1687,7 +1687,7 @@
     }
     /**
      * <pre>
-     * Calls at the entry for services of which an upstream states a limit.
+     * Call rates at the entry for services of which an upstream has announced a rate limit.
      * </pre>
      *
      * <code>repeated .cuminshelf.ServiceDemand demands = 5;</code>
@@ -1700,7 +1700,7 @@
     }
     /**
      * <pre>
-     * Calls at the entry for services of which an upstream states a limit.
+     * Call rates at the entry for services of which an upstream has announced a rate limit.
      * </pre>
      *
      * <code>repeated .cuminshelf.ServiceDemand demands = 5;</code>
@@ -1713,7 +1713,7 @@
     }
     /**
      * <pre>
-     * Calls at the entry for services of which an upstream states a limit.
+     * Call rates at the entry for services of which an upstream has announced a rate limit.
      * </pre>
      *
      * <code>repeated .cuminshelf.ServiceDemand demands = 5;</code>
@@ -1727,7 +1727,7 @@
     }
     /**
      * <pre>
-     * Calls at the entry for services of which an upstream states a limit.
+     * Call rates at the entry for services of which an upstream has announced a rate limit.
      * </pre>
      *
      * <code>repeated .cuminshelf.ServiceDemand demands = 5;</code>
@@ -1740,7 +1740,7 @@
     }
     /**
      * <pre>
-     * Calls at the entry for services of which an upstream states a limit.
+     * Call rates at the entry for services of which an upstream has announced a rate limit.
      * </pre>
      *
      * <code>repeated .cuminshelf.ServiceDemand demands = 5;</code>
@@ -1752,7 +1752,7 @@
     }
     /**
      * <pre>
-     * Calls at the entry for services of which an upstream states a limit.
+     * Call rates at the entry for services of which an upstream has announced a rate limit.
      * </pre>
      *
      * <code>repeated .cuminshelf.ServiceDemand demands = 5;</code>
@@ -1765,7 +1765,7 @@
 
     /**
      * <pre>
-     * Rest that upstreams asked of the entry.
+     * Backoffs that upstreams requested from the entry.
      * </pre>
      *
      * <code>repeated .cuminshelf.RestingUpstream rests = 6;</code>
@@ -1777,7 +1777,7 @@
     }
     /**
      * <pre>
-     * Rest that upstreams asked of the entry.
+     * Backoffs that upstreams requested from the entry.
      * </pre>
      *
      * <code>repeated .cuminshelf.RestingUpstream rests = 6;</code>
@@ -1787,7 +1787,7 @@
       return instance.getRestsCount();
     }/**
      * <pre>
-     * Rest that upstreams asked of the entry.
+     * Backoffs that upstreams requested from the entry.
      * </pre>
      *
      * <code>repeated .cuminshelf.RestingUpstream rests = 6;</code>
@@ -1798,7 +1798,7 @@
     }
     /**
      * <pre>
-     * Rest that upstreams asked of the entry.
+     * Backoffs that upstreams requested from the entry.
      * </pre>
      *
      * <code>repeated .cuminshelf.RestingUpstream rests = 6;</code>
@@ -1811,7 +1811,7 @@
     }
     /**
      * <pre>
-     * Rest that upstreams asked of the entry.
+     * Backoffs that upstreams requested from the entry.
      * </pre>
      *
      * <code>repeated .cuminshelf.RestingUpstream rests = 6;</code>
@@ -1825,7 +1825,7 @@
     }
     /**
      * <pre>
-     * Rest that upstreams asked of the entry.
+     * Backoffs that upstreams requested from the entry.
      * </pre>
      *
      * <code>repeated .cuminshelf.RestingUpstream rests = 6;</code>
@@ -1837,7 +1837,7 @@
     }
     /**
      * <pre>
-     * Rest that upstreams asked of the entry.
+     * Backoffs that upstreams requested from the entry.
      * </pre>
      *
      * <code>repeated .cuminshelf.RestingUpstream rests = 6;</code>
@@ -1850,7 +1850,7 @@
     }
     /**
      * <pre>
-     * Rest that upstreams asked of the entry.
+     * Backoffs that upstreams requested from the entry.
      * </pre>
      *
      * <code>repeated .cuminshelf.RestingUpstream rests = 6;</code>
@@ -1863,7 +1863,7 @@
     }
     /**
      * <pre>
-     * Rest that upstreams asked of the entry.
+     * Backoffs that upstreams requested from the entry.
      * </pre>
      *
      * <code>repeated .cuminshelf.RestingUpstream rests = 6;</code>
@@ -1877,7 +1877,7 @@
     }
     /**
      * <pre>
-     * Rest that upstreams asked of the entry.
+     * Backoffs that upstreams requested from the entry.
      * </pre>
      *
      * <code>repeated .cuminshelf.RestingUpstream rests = 6;</code>
@@ -1890,7 +1890,7 @@
     }
     /**
      * <pre>
-     * Rest that upstreams asked of the entry.
+     * Backoffs that upstreams requested from the entry.
      * </pre>
      *
      * <code>repeated .cuminshelf.RestingUpstream rests = 6;</code>
@@ -1902,7 +1902,7 @@
     }
     /**
      * <pre>
-     * Rest that upstreams asked of the entry.
+     * Backoffs that upstreams requested from the entry.
      * </pre>
      *
      * <code>repeated .cuminshelf.RestingUpstream rests = 6;</code>
@@ -1915,7 +1915,7 @@
 
     /**
      * <pre>
-     * Starts of upstreams that said to the entry that they leave.
+     * Identities of upstream instances that notified the entry that they are shutting down.
      * </pre>
      *
      * <code>repeated string leaving = 7;</code>
@@ -1929,7 +1929,7 @@
     }
     /**
      * <pre>
-     * Starts of upstreams that said to the entry that they leave.
+     * Identities of upstream instances that notified the entry that they are shutting down.
      * </pre>
      *
      * <code>repeated string leaving = 7;</code>
@@ -1941,7 +1941,7 @@
     }
     /**
      * <pre>
-     * Starts of upstreams that said to the entry that they leave.
+     * Identities of upstream instances that notified the entry that they are shutting down.
      * </pre>
      *
      * <code>repeated string leaving = 7;</code>
@@ -1954,7 +1954,7 @@
     }
     /**
      * <pre>
-     * Starts of upstreams that said to the entry that they leave.
+     * Identities of upstream instances that notified the entry that they are shutting down.
      * </pre>
      *
      * <code>repeated string leaving = 7;</code>
@@ -1968,7 +1968,7 @@
     }
     /**
      * <pre>
-     * Starts of upstreams that said to the entry that they leave.
+     * Identities of upstream instances that notified the entry that they are shutting down.
      * </pre>
      *
      * <code>repeated string leaving = 7;</code>
@@ -1984,7 +1984,7 @@
     }
     /**
      * <pre>
-     * Starts of upstreams that said to the entry that they leave.
+     * Identities of upstream instances that notified the entry that they are shutting down.
      * </pre>
      *
      * <code>repeated string leaving = 7;</code>
@@ -1999,7 +1999,7 @@
     }
     /**
      * <pre>
-     * Starts of upstreams that said to the entry that they leave.
+     * Identities of upstream instances that notified the entry that they are shutting down.
      * </pre>
      *
      * <code>repeated string leaving = 7;</code>
@@ -2014,7 +2014,7 @@
     }
     /**
      * <pre>
-     * Starts of upstreams that said to the entry that they leave.
+     * Identities of upstream instances that notified the entry that they are shutting down.
      * </pre>
      *
      * <code>repeated string leaving = 7;</code>
@@ -2027,7 +2027,7 @@
     }
     /**
      * <pre>
-     * Starts of upstreams that said to the entry that they leave.
+     * Identities of upstream instances that notified the entry that they are shutting down.
      * </pre>
      *
      * <code>repeated string leaving = 7;</code>
--- a/src/main/java/org/cuminshelf/message/EntryLoadOrBuilder.java
+++ b/src/main/java/org/cuminshelf/message/EntryLoadOrBuilder.java
@@ -26,7 +26,7 @@
 
   /**
    * <pre>
-   * Prompts sent since the last message, so that all entries know which engine holds which parts.
+   * Prompts sent since the last message, so that all entries know which engine has which prompt segments cached.
    * </pre>
    *
    * <code>repeated .cuminshelf.SentPrompt sent = 2;</code>
@@ -35,7 +35,7 @@
       getSentList();
   /**
    * <pre>
-   * Prompts sent since the last message, so that all entries know which engine holds which parts.
+   * Prompts sent since the last message, so that all entries know which engine has which prompt segments cached.
    * </pre>
    *
    * <code>repeated .cuminshelf.SentPrompt sent = 2;</code>
@@ -43,7 +43,7 @@
   org.cuminshelf.message.SentPrompt getSent(int index);
   /**
    * <pre>
-   * Prompts sent since the last message, so that all entries know which engine holds which parts.
+   * Prompts sent since the last message, so that all entries know which engine has which prompt segments cached.
    * </pre>
    *
    * <code>repeated .cuminshelf.SentPrompt sent = 2;</code>
@@ -52,7 +52,7 @@
 
   /**
    * <pre>
-   * Prompts taken in since the last message, so that all entries learn from all.
+   * Prompts whose prefill completed since the last message, so that the latency models of all entries use all samples.
    * </pre>
    *
    * <code>repeated .cuminshelf.TakenPrompt taken = 3;</code>
@@ -61,7 +61,7 @@
       getTakenList();
   /**
    * <pre>
-   * Prompts taken in since the last message, so that all entries learn from all.
+   * Prompts whose prefill completed since the last message, so that the latency models of all entries use all samples.
    * </pre>
    *
    * <code>repeated .cuminshelf.TakenPrompt taken = 3;</code>
@@ -69,7 +69,7 @@
   org.cuminshelf.message.TakenPrompt getTaken(int index);
   /**
    * <pre>
-   * Prompts taken in since the last message, so that all entries learn from all.
+   * Prompts whose prefill completed since the last message, so that the latency models of all entries use all samples.
    * </pre>
    *
    * <code>repeated .cuminshelf.TakenPrompt taken = 3;</code>
@@ -78,7 +78,7 @@
 
   /**
    * <pre>
-   * What upstreams said to the entry of the requests that they take.
+   * Rate limits that upstreams announced to the entry.
    * </pre>
    *
    * <code>repeated .cuminshelf.HeardLimit limits = 4;</code>
@@ -87,7 +87,7 @@
       getLimitsList();
   /**
    * <pre>
-   * What upstreams said to the entry of the requests that they take.
+   * Rate limits that upstreams announced to the entry.
    * </pre>
    *
    * <code>repeated .cuminshelf.HeardLimit limits = 4;</code>
@@ -95,7 +95,7 @@
   org.cuminshelf.message.HeardLimit getLimits(int index);
   /**
    * <pre>
-   * What upstreams said to the entry of the requests that they take.
+   * Rate limits that upstreams announced to the entry.
    * </pre>
    *
    * <code>repeated .cuminshelf.HeardLimit limits = 4;</code>
@@ -104,7 +104,7 @@
 
   /**
    * <pre>
-   * Calls at the entry for services of which an upstream states a limit.
+   * Call rates at the entry for services of which an upstream has announced a rate limit.
    * </pre>
    *
    * <code>repeated .cuminshelf.ServiceDemand demands = 5;</code>
@@ -113,7 +113,7 @@
       getDemandsList();
   /**
    * <pre>
-   * Calls at the entry for services of which an upstream states a limit.
+   * Call rates at the entry for services of which an upstream has announced a rate limit.
    * </pre>
    *
    * <code>repeated .cuminshelf.ServiceDemand demands = 5;</code>
@@ -121,7 +121,7 @@
   org.cuminshelf.message.ServiceDemand getDemands(int index);
   /**
    * <pre>
-   * Calls at the entry for services of which an upstream states a limit.
+   * Call rates at the entry for services of which an upstream has announced a rate limit.
    * </pre>
    *
    * <code>repeated .cuminshelf.ServiceDemand demands = 5;</code>
@@ -130,7 +130,7 @@
 
   /**
    * <pre>
-   * Rest that upstreams asked of the entry.
+   * Backoffs that upstreams requested from the entry.
    * </pre>
    *
    * <code>repeated .cuminshelf.RestingUpstream rests = 6;</code>
@@ -139,7 +139,7 @@
       getRestsList();
   /**
    * <pre>
-   * Rest that upstreams asked of the entry.
+   * Backoffs that upstreams requested from the entry.
    * </pre>
    *
    * <code>repeated .cuminshelf.RestingUpstream rests = 6;</code>
@@ -147,7 +147,7 @@
   org.cuminshelf.message.RestingUpstream getRests(int index);
   /**
    * <pre>
-   * Rest that upstreams asked of the entry.
+   * Backoffs that upstreams requested from the entry.
    * </pre>
    *
    * <code>repeated .cuminshelf.RestingUpstream rests = 6;</code>
@@ -156,7 +156,7 @@
 
   /**
    * <pre>
-   * Starts of upstreams that said to the entry that they leave.
+   * Identities of upstream instances that notified the entry that they are shutting down.
    * </pre>
    *
    * <code>repeated string leaving = 7;</code>
@@ -166,7 +166,7 @@
       getLeavingList();
   /**
    * <pre>
-   * Starts of upstreams that said to the entry that they leave.
+   * Identities of upstream instances that notified the entry that they are shutting down.
    * </pre>
    *
    * <code>repeated string leaving = 7;</code>
@@ -175,7 +175,7 @@
   int getLeavingCount();
   /**
    * <pre>
-   * Starts of upstreams that said to the entry that they leave.
+   * Identities of upstream instances that notified the entry that they are shutting down.
    * </pre>
    *
    * <code>repeated string leaving = 7;</code>
@@ -185,7 +185,7 @@
   java.lang.String getLeaving(int index);
   /**
    * <pre>
-   * Starts of upstreams that said to the entry that they leave.
+   * Identities of upstream instances that notified the entry that they are shutting down.
    * </pre>
    *
    * <code>repeated string leaving = 7;</code>
--- a/src/main/java/org/cuminshelf/message/Envelope.java
+++ b/src/main/java/org/cuminshelf/message/Envelope.java
@@ -7,7 +7,7 @@
 
 /**
  * <pre>
- * One message with its sender. The body of a local port's message never leaves the process.
+ * A message and its sender. The body of a message from or to a local port never leaves the process.
  * </pre>
  *
  * Protobuf type {@code cuminshelf.Envelope}
@@ -245,7 +245,7 @@
   private long incarnation_;
   /**
    * <pre>
-   * Incarnation of the sending process.
+   * Incarnation of the sending process, which identifies one run of it.
    * </pre>
    *
    * <code>uint64 incarnation = 2;</code>
@@ -257,7 +257,7 @@
   }
   /**
    * <pre>
-   * Incarnation of the sending process.
+   * Incarnation of the sending process, which identifies one run of it.
    * </pre>
    *
    * <code>uint64 incarnation = 2;</code>
@@ -269,7 +269,7 @@
   }
   /**
    * <pre>
-   * Incarnation of the sending process.
+   * Incarnation of the sending process, which identifies one run of it.
    * </pre>
    *
    * <code>uint64 incarnation = 2;</code>
@@ -282,7 +282,7 @@
   public static final int OPEN_SESSION_FIELD_NUMBER = 10;
   /**
    * <pre>
-   * entry and sidecar
+   * Between entry and sidecar.
    * </pre>
    *
    * <code>.cuminshelf.OpenSession open_session = 10;</code>
@@ -293,7 +293,7 @@
   }
   /**
    * <pre>
-   * entry and sidecar
+   * Between entry and sidecar.
    * </pre>
    *
    * <code>.cuminshelf.OpenSession open_session = 10;</code>
@@ -307,7 +307,7 @@
   }
   /**
    * <pre>
-   * entry and sidecar
+   * Between entry and sidecar.
    * </pre>
    *
    * <code>.cuminshelf.OpenSession open_session = 10;</code>
@@ -320,7 +320,7 @@
   }
   /**
    * <pre>
-   * entry and sidecar
+   * Between entry and sidecar.
    * </pre>
    *
    * <code>.cuminshelf.OpenSession open_session = 10;</code>
@@ -339,7 +339,7 @@
   }
   /**
    * <pre>
-   * entry and sidecar
+   * Between entry and sidecar.
    * </pre>
    *
    * <code>.cuminshelf.OpenSession open_session = 10;</code>
@@ -874,7 +874,7 @@
   public static final int ANNOUNCE_FIELD_NUMBER = 30;
   /**
    * <pre>
-   * any process and control
+   * Between any process and control.
    * </pre>
    *
    * <code>.cuminshelf.Announce announce = 30;</code>
@@ -885,7 +885,7 @@
   }
   /**
    * <pre>
-   * any process and control
+   * Between any process and control.
    * </pre>
    *
    * <code>.cuminshelf.Announce announce = 30;</code>
@@ -899,7 +899,7 @@
   }
   /**
    * <pre>
-   * any process and control
+   * Between any process and control.
    * </pre>
    *
    * <code>.cuminshelf.Announce announce = 30;</code>
@@ -912,7 +912,7 @@
   }
   /**
    * <pre>
-   * any process and control
+   * Between any process and control.
    * </pre>
    *
    * <code>.cuminshelf.Announce announce = 30;</code>
@@ -931,7 +931,7 @@
   }
   /**
    * <pre>
-   * any process and control
+   * Between any process and control.
    * </pre>
    *
    * <code>.cuminshelf.Announce announce = 30;</code>
@@ -1362,7 +1362,7 @@
   public static final int FORMATION_QUERY_FIELD_NUMBER = 50;
   /**
    * <pre>
-   * between replicas of a group
+   * Between the replicas of a group.
    * </pre>
    *
    * <code>.cuminshelf.FormationQuery formation_query = 50;</code>
@@ -1373,7 +1373,7 @@
   }
   /**
    * <pre>
-   * between replicas of a group
+   * Between the replicas of a group.
    * </pre>
    *
    * <code>.cuminshelf.FormationQuery formation_query = 50;</code>
@@ -1387,7 +1387,7 @@
   }
   /**
    * <pre>
-   * between replicas of a group
+   * Between the replicas of a group.
    * </pre>
    *
    * <code>.cuminshelf.FormationQuery formation_query = 50;</code>
@@ -1400,7 +1400,7 @@
   }
   /**
    * <pre>
-   * between replicas of a group
+   * Between the replicas of a group.
    * </pre>
    *
    * <code>.cuminshelf.FormationQuery formation_query = 50;</code>
@@ -1419,7 +1419,7 @@
   }
   /**
    * <pre>
-   * between replicas of a group
+   * Between the replicas of a group.
    * </pre>
    *
    * <code>.cuminshelf.FormationQuery formation_query = 50;</code>
@@ -1850,7 +1850,8 @@
   public static final int UPSTREAM_BEAT_FIELD_NUMBER = 60;
   /**
    * <pre>
-   * upstreams that announce themselves straight to control
+   * Upstreams without a sidecar, which send heartbeats directly to control; messages between entries; configuration
+   * transfer.
    * </pre>
    *
    * <code>.cuminshelf.UpstreamBeat upstream_beat = 60;</code>
@@ -1861,7 +1862,8 @@
   }
   /**
    * <pre>
-   * upstreams that announce themselves straight to control
+   * Upstreams without a sidecar, which send heartbeats directly to control; messages between entries; configuration
+   * transfer.
    * </pre>
    *
    * <code>.cuminshelf.UpstreamBeat upstream_beat = 60;</code>
@@ -1875,7 +1877,8 @@
   }
   /**
    * <pre>
-   * upstreams that announce themselves straight to control
+   * Upstreams without a sidecar, which send heartbeats directly to control; messages between entries; configuration
+   * transfer.
    * </pre>
    *
    * <code>.cuminshelf.UpstreamBeat upstream_beat = 60;</code>
@@ -1888,7 +1891,8 @@
   }
   /**
    * <pre>
-   * upstreams that announce themselves straight to control
+   * Upstreams without a sidecar, which send heartbeats directly to control; messages between entries; configuration
+   * transfer.
    * </pre>
    *
    * <code>.cuminshelf.UpstreamBeat upstream_beat = 60;</code>
@@ -1907,7 +1911,8 @@
   }
   /**
    * <pre>
-   * upstreams that announce themselves straight to control
+   * Upstreams without a sidecar, which send heartbeats directly to control; messages between entries; configuration
+   * transfer.
    * </pre>
    *
    * <code>.cuminshelf.UpstreamBeat upstream_beat = 60;</code>
@@ -2078,7 +2083,7 @@
   public static final int SEND_DIRECT_ORDER_FIELD_NUMBER = 62;
   /**
    * <pre>
-   * local: orders port of a control process
+   * Local: orders port of a control process.
    * </pre>
    *
    * <code>.cuminshelf.DirectOrder send_direct_order = 62;</code>
@@ -2089,7 +2094,7 @@
   }
   /**
    * <pre>
-   * local: orders port of a control process
+   * Local: orders port of a control process.
    * </pre>
    *
    * <code>.cuminshelf.DirectOrder send_direct_order = 62;</code>
@@ -2103,7 +2108,7 @@
   }
   /**
    * <pre>
-   * local: orders port of a control process
+   * Local: orders port of a control process.
    * </pre>
    *
    * <code>.cuminshelf.DirectOrder send_direct_order = 62;</code>
@@ -2116,7 +2121,7 @@
   }
   /**
    * <pre>
-   * local: orders port of a control process
+   * Local: orders port of a control process.
    * </pre>
    *
    * <code>.cuminshelf.DirectOrder send_direct_order = 62;</code>
@@ -2135,7 +2140,7 @@
   }
   /**
    * <pre>
-   * local: orders port of a control process
+   * Local: orders port of a control process.
    * </pre>
    *
    * <code>.cuminshelf.DirectOrder send_direct_order = 62;</code>
@@ -2150,7 +2155,7 @@
   public static final int SEND_USAGE_REPORT_FIELD_NUMBER = 65;
   /**
    * <pre>
-   * local: the same port, for calls to the platform
+   * Local: orders port of a control process, for requests to the platform.
    * </pre>
    *
    * <code>.cuminshelf.UsageReport send_usage_report = 65;</code>
@@ -2161,7 +2166,7 @@
   }
   /**
    * <pre>
-   * local: the same port, for calls to the platform
+   * Local: orders port of a control process, for requests to the platform.
    * </pre>
    *
    * <code>.cuminshelf.UsageReport send_usage_report = 65;</code>
@@ -2175,7 +2180,7 @@
   }
   /**
    * <pre>
-   * local: the same port, for calls to the platform
+   * Local: orders port of a control process, for requests to the platform.
    * </pre>
    *
    * <code>.cuminshelf.UsageReport send_usage_report = 65;</code>
@@ -2188,7 +2193,7 @@
   }
   /**
    * <pre>
-   * local: the same port, for calls to the platform
+   * Local: orders port of a control process, for requests to the platform.
    * </pre>
    *
    * <code>.cuminshelf.UsageReport send_usage_report = 65;</code>
@@ -2207,7 +2212,7 @@
   }
   /**
    * <pre>
-   * local: the same port, for calls to the platform
+   * Local: orders port of a control process, for requests to the platform.
    * </pre>
    *
    * <code>.cuminshelf.UsageReport send_usage_report = 65;</code>
@@ -2326,7 +2331,7 @@
   public static final int CALL_ARRIVED_FIELD_NUMBER = 70;
   /**
    * <pre>
-   * local: callers' port of an entry
+   * Local: callers' port of an entry.
    * </pre>
    *
    * <code>.cuminshelf.CallArrived call_arrived = 70;</code>
@@ -2337,7 +2342,7 @@
   }
   /**
    * <pre>
-   * local: callers' port of an entry
+   * Local: callers' port of an entry.
    * </pre>
    *
    * <code>.cuminshelf.CallArrived call_arrived = 70;</code>
@@ -2351,7 +2356,7 @@
   }
   /**
    * <pre>
-   * local: callers' port of an entry
+   * Local: callers' port of an entry.
    * </pre>
    *
    * <code>.cuminshelf.CallArrived call_arrived = 70;</code>
@@ -2364,7 +2369,7 @@
   }
   /**
    * <pre>
-   * local: callers' port of an entry
+   * Local: callers' port of an entry.
    * </pre>
    *
    * <code>.cuminshelf.CallArrived call_arrived = 70;</code>
@@ -2383,7 +2388,7 @@
   }
   /**
    * <pre>
-   * local: callers' port of an entry
+   * Local: callers' port of an entry.
    * </pre>
    *
    * <code>.cuminshelf.CallArrived call_arrived = 70;</code>
@@ -2606,7 +2611,7 @@
   public static final int START_UPSTREAM_FIELD_NUMBER = 80;
   /**
    * <pre>
-   * local: upstream port of a sidecar
+   * Local: upstream port of a sidecar.
    * </pre>
    *
    * <code>.cuminshelf.StartUpstream start_upstream = 80;</code>
@@ -2617,7 +2622,7 @@
   }
   /**
    * <pre>
-   * local: upstream port of a sidecar
+   * Local: upstream port of a sidecar.
    * </pre>
    *
    * <code>.cuminshelf.StartUpstream start_upstream = 80;</code>
@@ -2631,7 +2636,7 @@
   }
   /**
    * <pre>
-   * local: upstream port of a sidecar
+   * Local: upstream port of a sidecar.
    * </pre>
    *
    * <code>.cuminshelf.StartUpstream start_upstream = 80;</code>
@@ -2644,7 +2649,7 @@
   }
   /**
    * <pre>
-   * local: upstream port of a sidecar
+   * Local: upstream port of a sidecar.
    * </pre>
    *
    * <code>.cuminshelf.StartUpstream start_upstream = 80;</code>
@@ -2663,7 +2668,7 @@
   }
   /**
    * <pre>
-   * local: upstream port of a sidecar
+   * Local: upstream port of a sidecar.
    * </pre>
    *
    * <code>.cuminshelf.StartUpstream start_upstream = 80;</code>
@@ -3094,7 +3099,7 @@
   public static final int PERSIST_FIELD_NUMBER = 90;
   /**
    * <pre>
-   * local: storage port of a control process
+   * Local: storage port of a control process.
    * </pre>
    *
    * <code>.cuminshelf.Persist persist = 90;</code>
@@ -3105,7 +3110,7 @@
   }
   /**
    * <pre>
-   * local: storage port of a control process
+   * Local: storage port of a control process.
    * </pre>
    *
    * <code>.cuminshelf.Persist persist = 90;</code>
@@ -3119,7 +3124,7 @@
   }
   /**
    * <pre>
-   * local: storage port of a control process
+   * Local: storage port of a control process.
    * </pre>
    *
    * <code>.cuminshelf.Persist persist = 90;</code>
@@ -3132,7 +3137,7 @@
   }
   /**
    * <pre>
-   * local: storage port of a control process
+   * Local: storage port of a control process.
    * </pre>
    *
    * <code>.cuminshelf.Persist persist = 90;</code>
@@ -3151,7 +3156,7 @@
   }
   /**
    * <pre>
-   * local: storage port of a control process
+   * Local: storage port of a control process.
    * </pre>
    *
    * <code>.cuminshelf.Persist persist = 90;</code>
@@ -3218,7 +3223,7 @@
   public static final int STOP_FIELD_NUMBER = 95;
   /**
    * <pre>
-   * local: process
+   * Local: process lifecycle and clock.
    * </pre>
    *
    * <code>.cuminshelf.Stop stop = 95;</code>
@@ -3229,7 +3234,7 @@
   }
   /**
    * <pre>
-   * local: process
+   * Local: process lifecycle and clock.
    * </pre>
    *
    * <code>.cuminshelf.Stop stop = 95;</code>
@@ -3243,7 +3248,7 @@
   }
   /**
    * <pre>
-   * local: process
+   * Local: process lifecycle and clock.
    * </pre>
    *
    * <code>.cuminshelf.Stop stop = 95;</code>
@@ -3256,7 +3261,7 @@
   }
   /**
    * <pre>
-   * local: process
+   * Local: process lifecycle and clock.
    * </pre>
    *
    * <code>.cuminshelf.Stop stop = 95;</code>
@@ -3275,7 +3280,7 @@
   }
   /**
    * <pre>
-   * local: process
+   * Local: process lifecycle and clock.
    * </pre>
    *
    * <code>.cuminshelf.Stop stop = 95;</code>
@@ -3476,7 +3481,7 @@
 
   /**
    * <pre>
-   * One message with its sender. The body of a local port's message never leaves the process.
+   * A message and its sender. The body of a message from or to a local port never leaves the process.
    * </pre>
    *
    * Protobuf type {@code cuminshelf.Envelope}
@@ -3575,7 +3580,7 @@
 
     /**
      * <pre>
-     * Incarnation of the sending process.
+     * Incarnation of the sending process, which identifies one run of it.
      * </pre>
      *
      * <code>uint64 incarnation = 2;</code>
@@ -3587,7 +3592,7 @@
     }
     /**
      * <pre>
-     * Incarnation of the sending process.
+     * Incarnation of the sending process, which identifies one run of it.
      * </pre>
      *
      * <code>uint64 incarnation = 2;</code>
@@ -3601,7 +3606,7 @@
     }
     /**
      * <pre>
-     * Incarnation of the sending process.
+     * Incarnation of the sending process, which identifies one run of it.
      * </pre>
      *
      * <code>uint64 incarnation = 2;</code>
@@ -3615,7 +3620,7 @@
 
     /**
      * <pre>
-     * entry and sidecar
+     * Between entry and sidecar.
      * </pre>
      *
      * <code>.cuminshelf.OpenSession open_session = 10;</code>
@@ -3626,7 +3631,7 @@
     }
     /**
      * <pre>
-     * entry and sidecar
+     * Between entry and sidecar.
      * </pre>
      *
      * <code>.cuminshelf.OpenSession open_session = 10;</code>
@@ -3637,7 +3642,7 @@
     }
     /**
      * <pre>
-     * entry and sidecar
+     * Between entry and sidecar.
      * </pre>
      *
      * <code>.cuminshelf.OpenSession open_session = 10;</code>
@@ -3649,7 +3654,7 @@
     }
     /**
      * <pre>
-     * entry and sidecar
+     * Between entry and sidecar.
      * </pre>
      *
      * <code>.cuminshelf.OpenSession open_session = 10;</code>
@@ -3662,7 +3667,7 @@
     }
     /**
      * <pre>
-     * entry and sidecar
+     * Between entry and sidecar.
      * </pre>
      *
      * <code>.cuminshelf.OpenSession open_session = 10;</code>
@@ -3674,7 +3679,7 @@
     }
     /**
      * <pre>
-     * entry and sidecar
+     * Between entry and sidecar.
      * </pre>
      *
      * <code>.cuminshelf.OpenSession open_session = 10;</code>
@@ -4167,7 +4172,7 @@
 
     /**
      * <pre>
-     * any process and control
+     * Between any process and control.
      * </pre>
      *
      * <code>.cuminshelf.Announce announce = 30;</code>
@@ -4178,7 +4183,7 @@
     }
     /**
      * <pre>
-     * any process and control
+     * Between any process and control.
      * </pre>
      *
      * <code>.cuminshelf.Announce announce = 30;</code>
@@ -4189,7 +4194,7 @@
     }
     /**
      * <pre>
-     * any process and control
+     * Between any process and control.
      * </pre>
      *
      * <code>.cuminshelf.Announce announce = 30;</code>
@@ -4201,7 +4206,7 @@
     }
     /**
      * <pre>
-     * any process and control
+     * Between any process and control.
      * </pre>
      *
      * <code>.cuminshelf.Announce announce = 30;</code>
@@ -4214,7 +4219,7 @@
     }
     /**
      * <pre>
-     * any process and control
+     * Between any process and control.
      * </pre>
      *
      * <code>.cuminshelf.Announce announce = 30;</code>
@@ -4226,7 +4231,7 @@
     }
     /**
      * <pre>
-     * any process and control
+     * Between any process and control.
      * </pre>
      *
      * <code>.cuminshelf.Announce announce = 30;</code>
@@ -4623,7 +4628,7 @@
 
     /**
      * <pre>
-     * between replicas of a group
+     * Between the replicas of a group.
      * </pre>
      *
      * <code>.cuminshelf.FormationQuery formation_query = 50;</code>
@@ -4634,7 +4639,7 @@
     }
     /**
      * <pre>
-     * between replicas of a group
+     * Between the replicas of a group.
      * </pre>
      *
      * <code>.cuminshelf.FormationQuery formation_query = 50;</code>
@@ -4645,7 +4650,7 @@
     }
     /**
      * <pre>
-     * between replicas of a group
+     * Between the replicas of a group.
      * </pre>
      *
      * <code>.cuminshelf.FormationQuery formation_query = 50;</code>
@@ -4657,7 +4662,7 @@
     }
     /**
      * <pre>
-     * between replicas of a group
+     * Between the replicas of a group.
      * </pre>
      *
      * <code>.cuminshelf.FormationQuery formation_query = 50;</code>
@@ -4670,7 +4675,7 @@
     }
     /**
      * <pre>
-     * between replicas of a group
+     * Between the replicas of a group.
      * </pre>
      *
      * <code>.cuminshelf.FormationQuery formation_query = 50;</code>
@@ -4682,7 +4687,7 @@
     }
     /**
      * <pre>
-     * between replicas of a group
+     * Between the replicas of a group.
      * </pre>
      *
      * <code>.cuminshelf.FormationQuery formation_query = 50;</code>
@@ -5079,7 +5084,8 @@
 
     /**
      * <pre>
-     * upstreams that announce themselves straight to control
+     * Upstreams without a sidecar, which send heartbeats directly to control; messages between entries; configuration
+     * transfer.
      * </pre>
      *
      * <code>.cuminshelf.UpstreamBeat upstream_beat = 60;</code>
@@ -5090,7 +5096,8 @@
     }
     /**
      * <pre>
-     * upstreams that announce themselves straight to control
+     * Upstreams without a sidecar, which send heartbeats directly to control; messages between entries; configuration
+     * transfer.
      * </pre>
      *
      * <code>.cuminshelf.UpstreamBeat upstream_beat = 60;</code>
@@ -5101,7 +5108,8 @@
     }
     /**
      * <pre>
-     * upstreams that announce themselves straight to control
+     * Upstreams without a sidecar, which send heartbeats directly to control; messages between entries; configuration
+     * transfer.
      * </pre>
      *
      * <code>.cuminshelf.UpstreamBeat upstream_beat = 60;</code>
@@ -5113,7 +5121,8 @@
     }
     /**
      * <pre>
-     * upstreams that announce themselves straight to control
+     * Upstreams without a sidecar, which send heartbeats directly to control; messages between entries; configuration
+     * transfer.
      * </pre>
      *
      * <code>.cuminshelf.UpstreamBeat upstream_beat = 60;</code>
@@ -5126,7 +5135,8 @@
     }
     /**
      * <pre>
-     * upstreams that announce themselves straight to control
+     * Upstreams without a sidecar, which send heartbeats directly to control; messages between entries; configuration
+     * transfer.
      * </pre>
      *
      * <code>.cuminshelf.UpstreamBeat upstream_beat = 60;</code>
@@ -5138,7 +5148,8 @@
     }
     /**
      * <pre>
-     * upstreams that announce themselves straight to control
+     * Upstreams without a sidecar, which send heartbeats directly to control; messages between entries; configuration
+     * transfer.
      * </pre>
      *
      * <code>.cuminshelf.UpstreamBeat upstream_beat = 60;</code>
@@ -5295,7 +5306,7 @@
 
     /**
      * <pre>
-     * local: orders port of a control process
+     * Local: orders port of a control process.
      * </pre>
      *
      * <code>.cuminshelf.DirectOrder send_direct_order = 62;</code>
@@ -5306,7 +5317,7 @@
     }
     /**
      * <pre>
-     * local: orders port of a control process
+     * Local: orders port of a control process.
      * </pre>
      *
      * <code>.cuminshelf.DirectOrder send_direct_order = 62;</code>
@@ -5317,7 +5328,7 @@
     }
     /**
      * <pre>
-     * local: orders port of a control process
+     * Local: orders port of a control process.
      * </pre>
      *
      * <code>.cuminshelf.DirectOrder send_direct_order = 62;</code>
@@ -5329,7 +5340,7 @@
     }
     /**
      * <pre>
-     * local: orders port of a control process
+     * Local: orders port of a control process.
      * </pre>
      *
      * <code>.cuminshelf.DirectOrder send_direct_order = 62;</code>
@@ -5342,7 +5353,7 @@
     }
     /**
      * <pre>
-     * local: orders port of a control process
+     * Local: orders port of a control process.
      * </pre>
      *
      * <code>.cuminshelf.DirectOrder send_direct_order = 62;</code>
@@ -5354,7 +5365,7 @@
     }
     /**
      * <pre>
-     * local: orders port of a control process
+     * Local: orders port of a control process.
      * </pre>
      *
      * <code>.cuminshelf.DirectOrder send_direct_order = 62;</code>
@@ -5367,7 +5378,7 @@
 
     /**
      * <pre>
-     * local: the same port, for calls to the platform
+     * Local: orders port of a control process, for requests to the platform.
      * </pre>
      *
      * <code>.cuminshelf.UsageReport send_usage_report = 65;</code>
@@ -5378,7 +5389,7 @@
     }
     /**
      * <pre>
-     * local: the same port, for calls to the platform
+     * Local: orders port of a control process, for requests to the platform.
      * </pre>
      *
      * <code>.cuminshelf.UsageReport send_usage_report = 65;</code>
@@ -5389,7 +5400,7 @@
     }
     /**
      * <pre>
-     * local: the same port, for calls to the platform
+     * Local: orders port of a control process, for requests to the platform.
      * </pre>
      *
      * <code>.cuminshelf.UsageReport send_usage_report = 65;</code>
@@ -5401,7 +5412,7 @@
     }
     /**
      * <pre>
-     * local: the same port, for calls to the platform
+     * Local: orders port of a control process, for requests to the platform.
      * </pre>
      *
      * <code>.cuminshelf.UsageReport send_usage_report = 65;</code>
@@ -5414,7 +5425,7 @@
     }
     /**
      * <pre>
-     * local: the same port, for calls to the platform
+     * Local: orders port of a control process, for requests to the platform.
      * </pre>
      *
      * <code>.cuminshelf.UsageReport send_usage_report = 65;</code>
@@ -5426,7 +5437,7 @@
     }
     /**
      * <pre>
-     * local: the same port, for calls to the platform
+     * Local: orders port of a control process, for requests to the platform.
      * </pre>
      *
      * <code>.cuminshelf.UsageReport send_usage_report = 65;</code>
@@ -5535,7 +5546,7 @@
 
     /**
      * <pre>
-     * local: callers' port of an entry
+     * Local: callers' port of an entry.
      * </pre>
      *
      * <code>.cuminshelf.CallArrived call_arrived = 70;</code>
@@ -5546,7 +5557,7 @@
     }
     /**
      * <pre>
-     * local: callers' port of an entry
+     * Local: callers' port of an entry.
      * </pre>
      *
      * <code>.cuminshelf.CallArrived call_arrived = 70;</code>
@@ -5557,7 +5568,7 @@
     }
     /**
      * <pre>
-     * local: callers' port of an entry
+     * Local: callers' port of an entry.
      * </pre>
      *
      * <code>.cuminshelf.CallArrived call_arrived = 70;</code>
@@ -5569,7 +5580,7 @@
     }
     /**
      * <pre>
-     * local: callers' port of an entry
+     * Local: callers' port of an entry.
      * </pre>
      *
      * <code>.cuminshelf.CallArrived call_arrived = 70;</code>
@@ -5582,7 +5593,7 @@
     }
     /**
      * <pre>
-     * local: callers' port of an entry
+     * Local: callers' port of an entry.
      * </pre>
      *
      * <code>.cuminshelf.CallArrived call_arrived = 70;</code>
@@ -5594,7 +5605,7 @@
     }
     /**
      * <pre>
-     * local: callers' port of an entry
+     * Local: callers' port of an entry.
      * </pre>
      *
      * <code>.cuminshelf.CallArrived call_arrived = 70;</code>
@@ -5799,7 +5810,7 @@
 
     /**
      * <pre>
-     * local: upstream port of a sidecar
+     * Local: upstream port of a sidecar.
      * </pre>
      *
      * <code>.cuminshelf.StartUpstream start_upstream = 80;</code>
@@ -5810,7 +5821,7 @@
     }
     /**
      * <pre>
-     * local: upstream port of a sidecar
+     * Local: upstream port of a sidecar.
      * </pre>
      *
      * <code>.cuminshelf.StartUpstream start_upstream = 80;</code>
@@ -5821,7 +5832,7 @@
     }
     /**
      * <pre>
-     * local: upstream port of a sidecar
+     * Local: upstream port of a sidecar.
      * </pre>
      *
      * <code>.cuminshelf.StartUpstream start_upstream = 80;</code>
@@ -5833,7 +5844,7 @@
     }
     /**
      * <pre>
-     * local: upstream port of a sidecar
+     * Local: upstream port of a sidecar.
      * </pre>
      *
      * <code>.cuminshelf.StartUpstream start_upstream = 80;</code>
@@ -5846,7 +5857,7 @@
     }
     /**
      * <pre>
-     * local: upstream port of a sidecar
+     * Local: upstream port of a sidecar.
      * </pre>
      *
      * <code>.cuminshelf.StartUpstream start_upstream = 80;</code>
@@ -5858,7 +5869,7 @@
     }
     /**
      * <pre>
-     * local: upstream port of a sidecar
+     * Local: upstream port of a sidecar.
      * </pre>
      *
      * <code>.cuminshelf.StartUpstream start_upstream = 80;</code>
@@ -6255,7 +6266,7 @@
 
     /**
      * <pre>
-     * local: storage port of a control process
+     * Local: storage port of a control process.
      * </pre>
      *
      * <code>.cuminshelf.Persist persist = 90;</code>
@@ -6266,7 +6277,7 @@
     }
     /**
      * <pre>
-     * local: storage port of a control process
+     * Local: storage port of a control process.
      * </pre>
      *
      * <code>.cuminshelf.Persist persist = 90;</code>
@@ -6277,7 +6288,7 @@
     }
     /**
      * <pre>
-     * local: storage port of a control process
+     * Local: storage port of a control process.
      * </pre>
      *
      * <code>.cuminshelf.Persist persist = 90;</code>
@@ -6289,7 +6300,7 @@
     }
     /**
      * <pre>
-     * local: storage port of a control process
+     * Local: storage port of a control process.
      * </pre>
      *
      * <code>.cuminshelf.Persist persist = 90;</code>
@@ -6302,7 +6313,7 @@
     }
     /**
      * <pre>
-     * local: storage port of a control process
+     * Local: storage port of a control process.
      * </pre>
      *
      * <code>.cuminshelf.Persist persist = 90;</code>
@@ -6314,7 +6325,7 @@
     }
     /**
      * <pre>
-     * local: storage port of a control process
+     * Local: storage port of a control process.
      * </pre>
      *
      * <code>.cuminshelf.Persist persist = 90;</code>
@@ -6375,7 +6386,7 @@
 
     /**
      * <pre>
-     * local: process
+     * Local: process lifecycle and clock.
      * </pre>
      *
      * <code>.cuminshelf.Stop stop = 95;</code>
@@ -6386,7 +6397,7 @@
     }
     /**
      * <pre>
-     * local: process
+     * Local: process lifecycle and clock.
      * </pre>
      *
      * <code>.cuminshelf.Stop stop = 95;</code>
@@ -6397,7 +6408,7 @@
     }
     /**
      * <pre>
-     * local: process
+     * Local: process lifecycle and clock.
      * </pre>
      *
      * <code>.cuminshelf.Stop stop = 95;</code>
@@ -6409,7 +6420,7 @@
     }
     /**
      * <pre>
-     * local: process
+     * Local: process lifecycle and clock.
      * </pre>
      *
      * <code>.cuminshelf.Stop stop = 95;</code>
@@ -6422,7 +6433,7 @@
     }
     /**
      * <pre>
-     * local: process
+     * Local: process lifecycle and clock.
      * </pre>
      *
      * <code>.cuminshelf.Stop stop = 95;</code>
@@ -6434,7 +6445,7 @@
     }
     /**
      * <pre>
-     * local: process
+     * Local: process lifecycle and clock.
      * </pre>
      *
      * <code>.cuminshelf.Stop stop = 95;</code>
--- a/src/main/java/org/cuminshelf/message/EnvelopeOrBuilder.java
+++ b/src/main/java/org/cuminshelf/message/EnvelopeOrBuilder.java
@@ -32,7 +32,7 @@
 
   /**
    * <pre>
-   * Incarnation of the sending process.
+   * Incarnation of the sending process, which identifies one run of it.
    * </pre>
    *
    * <code>uint64 incarnation = 2;</code>
@@ -42,7 +42,7 @@
 
   /**
    * <pre>
-   * entry and sidecar
+   * Between entry and sidecar.
    * </pre>
    *
    * <code>.cuminshelf.OpenSession open_session = 10;</code>
@@ -51,7 +51,7 @@
   boolean hasOpenSession();
   /**
    * <pre>
-   * entry and sidecar
+   * Between entry and sidecar.
    * </pre>
    *
    * <code>.cuminshelf.OpenSession open_session = 10;</code>
@@ -171,7 +171,7 @@
 
   /**
    * <pre>
-   * any process and control
+   * Between any process and control.
    * </pre>
    *
    * <code>.cuminshelf.Announce announce = 30;</code>
@@ -180,7 +180,7 @@
   boolean hasAnnounce();
   /**
    * <pre>
-   * any process and control
+   * Between any process and control.
    * </pre>
    *
    * <code>.cuminshelf.Announce announce = 30;</code>
@@ -278,7 +278,7 @@
 
   /**
    * <pre>
-   * between replicas of a group
+   * Between the replicas of a group.
    * </pre>
    *
    * <code>.cuminshelf.FormationQuery formation_query = 50;</code>
@@ -287,7 +287,7 @@
   boolean hasFormationQuery();
   /**
    * <pre>
-   * between replicas of a group
+   * Between the replicas of a group.
    * </pre>
    *
    * <code>.cuminshelf.FormationQuery formation_query = 50;</code>
@@ -385,7 +385,8 @@
 
   /**
    * <pre>
-   * upstreams that announce themselves straight to control
+   * Upstreams without a sidecar, which send heartbeats directly to control; messages between entries; configuration
+   * transfer.
    * </pre>
    *
    * <code>.cuminshelf.UpstreamBeat upstream_beat = 60;</code>
@@ -394,7 +395,8 @@
   boolean hasUpstreamBeat();
   /**
    * <pre>
-   * upstreams that announce themselves straight to control
+   * Upstreams without a sidecar, which send heartbeats directly to control; messages between entries; configuration
+   * transfer.
    * </pre>
    *
    * <code>.cuminshelf.UpstreamBeat upstream_beat = 60;</code>
@@ -437,7 +439,7 @@
 
   /**
    * <pre>
-   * local: orders port of a control process
+   * Local: orders port of a control process.
    * </pre>
    *
    * <code>.cuminshelf.DirectOrder send_direct_order = 62;</code>
@@ -446,7 +448,7 @@
   boolean hasSendDirectOrder();
   /**
    * <pre>
-   * local: orders port of a control process
+   * Local: orders port of a control process.
    * </pre>
    *
    * <code>.cuminshelf.DirectOrder send_direct_order = 62;</code>
@@ -456,7 +458,7 @@
 
   /**
    * <pre>
-   * local: the same port, for calls to the platform
+   * Local: orders port of a control process, for requests to the platform.
    * </pre>
    *
    * <code>.cuminshelf.UsageReport send_usage_report = 65;</code>
@@ -465,7 +467,7 @@
   boolean hasSendUsageReport();
   /**
    * <pre>
-   * local: the same port, for calls to the platform
+   * Local: orders port of a control process, for requests to the platform.
    * </pre>
    *
    * <code>.cuminshelf.UsageReport send_usage_report = 65;</code>
@@ -497,7 +499,7 @@
 
   /**
    * <pre>
-   * local: callers' port of an entry
+   * Local: callers' port of an entry.
    * </pre>
    *
    * <code>.cuminshelf.CallArrived call_arrived = 70;</code>
@@ -506,7 +508,7 @@
   boolean hasCallArrived();
   /**
    * <pre>
-   * local: callers' port of an entry
+   * Local: callers' port of an entry.
    * </pre>
    *
    * <code>.cuminshelf.CallArrived call_arrived = 70;</code>
@@ -560,7 +562,7 @@
 
   /**
    * <pre>
-   * local: upstream port of a sidecar
+   * Local: upstream port of a sidecar.
    * </pre>
    *
    * <code>.cuminshelf.StartUpstream start_upstream = 80;</code>
@@ -569,7 +571,7 @@
   boolean hasStartUpstream();
   /**
    * <pre>
-   * local: upstream port of a sidecar
+   * Local: upstream port of a sidecar.
    * </pre>
    *
    * <code>.cuminshelf.StartUpstream start_upstream = 80;</code>
@@ -667,7 +669,7 @@
 
   /**
    * <pre>
-   * local: storage port of a control process
+   * Local: storage port of a control process.
    * </pre>
    *
    * <code>.cuminshelf.Persist persist = 90;</code>
@@ -676,7 +678,7 @@
   boolean hasPersist();
   /**
    * <pre>
-   * local: storage port of a control process
+   * Local: storage port of a control process.
    * </pre>
    *
    * <code>.cuminshelf.Persist persist = 90;</code>
@@ -697,7 +699,7 @@
 
   /**
    * <pre>
-   * local: process
+   * Local: process lifecycle and clock.
    * </pre>
    *
    * <code>.cuminshelf.Stop stop = 95;</code>
@@ -706,7 +708,7 @@
   boolean hasStop();
   /**
    * <pre>
-   * local: process
+   * Local: process lifecycle and clock.
    * </pre>
    *
    * <code>.cuminshelf.Stop stop = 95;</code>
--- a/src/main/java/org/cuminshelf/message/Exchange.java
+++ b/src/main/java/org/cuminshelf/message/Exchange.java
@@ -7,7 +7,7 @@
 
 /**
  * <pre>
- * One HTTP exchange with a plain service.
+ * An HTTP request to a plain service.
  * </pre>
  *
  * Protobuf type {@code cuminshelf.Exchange}
@@ -297,7 +297,7 @@
   private boolean idempotent_;
   /**
    * <pre>
-   * Whether the exchange may run more than once without a further effect.
+   * Whether repeated execution has no additional effect.
    * </pre>
    *
    * <code>bool idempotent = 6;</code>
@@ -309,7 +309,7 @@
   }
   /**
    * <pre>
-   * Whether the exchange may run more than once without a further effect.
+   * Whether repeated execution has no additional effect.
    * </pre>
    *
    * <code>bool idempotent = 6;</code>
@@ -321,7 +321,7 @@
   }
   /**
    * <pre>
-   * Whether the exchange may run more than once without a further effect.
+   * Whether repeated execution has no additional effect.
    * </pre>
    *
    * <code>bool idempotent = 6;</code>
@@ -416,7 +416,7 @@
 
   /**
    * <pre>
-   * One HTTP exchange with a plain service.
+   * An HTTP request to a plain service.
    * </pre>
    *
    * Protobuf type {@code cuminshelf.Exchange}
@@ -711,7 +711,7 @@
 
     /**
      * <pre>
-     * Whether the exchange may run more than once without a further effect.
+     * Whether repeated execution has no additional effect.
      * </pre>
      *
      * <code>bool idempotent = 6;</code>
@@ -723,7 +723,7 @@
     }
     /**
      * <pre>
-     * Whether the exchange may run more than once without a further effect.
+     * Whether repeated execution has no additional effect.
      * </pre>
      *
      * <code>bool idempotent = 6;</code>
@@ -737,7 +737,7 @@
     }
     /**
      * <pre>
-     * Whether the exchange may run more than once without a further effect.
+     * Whether repeated execution has no additional effect.
      * </pre>
      *
      * <code>bool idempotent = 6;</code>
--- a/src/main/java/org/cuminshelf/message/ExchangeOrBuilder.java
+++ b/src/main/java/org/cuminshelf/message/ExchangeOrBuilder.java
@@ -68,7 +68,7 @@
 
   /**
    * <pre>
-   * Whether the exchange may run more than once without a further effect.
+   * Whether repeated execution has no additional effect.
    * </pre>
    *
    * <code>bool idempotent = 6;</code>
--- a/src/main/java/org/cuminshelf/message/FormationAnswer.java
+++ b/src/main/java/org/cuminshelf/message/FormationAnswer.java
@@ -95,7 +95,7 @@
   private long cluster_;
   /**
    * <pre>
-   * Zero where the peer belongs to no cluster of that group.
+   * 0 if the peer belongs to no cluster of the group.
    * </pre>
    *
    * <code>fixed64 cluster = 3;</code>
@@ -107,7 +107,7 @@
   }
   /**
    * <pre>
-   * Zero where the peer belongs to no cluster of that group.
+   * 0 if the peer belongs to no cluster of the group.
    * </pre>
    *
    * <code>fixed64 cluster = 3;</code>
@@ -119,7 +119,7 @@
   }
   /**
    * <pre>
-   * Zero where the peer belongs to no cluster of that group.
+   * 0 if the peer belongs to no cluster of the group.
    * </pre>
    *
    * <code>fixed64 cluster = 3;</code>
@@ -305,7 +305,7 @@
 
     /**
      * <pre>
-     * Zero where the peer belongs to no cluster of that group.
+     * 0 if the peer belongs to no cluster of the group.
      * </pre>
      *
      * <code>fixed64 cluster = 3;</code>
@@ -317,7 +317,7 @@
     }
     /**
      * <pre>
-     * Zero where the peer belongs to no cluster of that group.
+     * 0 if the peer belongs to no cluster of the group.
      * </pre>
      *
      * <code>fixed64 cluster = 3;</code>
@@ -331,7 +331,7 @@
     }
     /**
      * <pre>
-     * Zero where the peer belongs to no cluster of that group.
+     * 0 if the peer belongs to no cluster of the group.
      * </pre>
      *
      * <code>fixed64 cluster = 3;</code>
--- a/src/main/java/org/cuminshelf/message/FormationAnswerOrBuilder.java
+++ b/src/main/java/org/cuminshelf/message/FormationAnswerOrBuilder.java
@@ -30,7 +30,7 @@
 
   /**
    * <pre>
-   * Zero where the peer belongs to no cluster of that group.
+   * 0 if the peer belongs to no cluster of the group.
    * </pre>
    *
    * <code>fixed64 cluster = 3;</code>
--- a/src/main/java/org/cuminshelf/message/FormationQuery.java
+++ b/src/main/java/org/cuminshelf/message/FormationQuery.java
@@ -7,7 +7,7 @@
 
 /**
  * <pre>
- * Asks a peer whether it already belongs to the group.
+ * Queries whether a peer already belongs to the group.
  * </pre>
  *
  * Protobuf type {@code cuminshelf.FormationQuery}
@@ -154,7 +154,7 @@
 
   /**
    * <pre>
-   * Asks a peer whether it already belongs to the group.
+   * Queries whether a peer already belongs to the group.
    * </pre>
    *
    * Protobuf type {@code cuminshelf.FormationQuery}
--- a/src/main/java/org/cuminshelf/message/Generation.java
+++ b/src/main/java/org/cuminshelf/message/Generation.java
@@ -7,7 +7,7 @@
 
 /**
  * <pre>
- * Generation by a language model.
+ * A text generation request to a language model.
  * </pre>
  *
  * Protobuf type {@code cuminshelf.Generation}
@@ -226,7 +226,7 @@
   private com.google.protobuf.Internal.ProtobufList<java.lang.String> held_;
   /**
    * <pre>
-   * Tokens the caller already holds; the engine continues after them.
+   * Output tokens that the caller has already received; the engine continues after them.
    * </pre>
    *
    * <code>repeated string held = 6;</code>
@@ -238,7 +238,7 @@
   }
   /**
    * <pre>
-   * Tokens the caller already holds; the engine continues after them.
+   * Output tokens that the caller has already received; the engine continues after them.
    * </pre>
    *
    * <code>repeated string held = 6;</code>
@@ -250,7 +250,7 @@
   }
   /**
    * <pre>
-   * Tokens the caller already holds; the engine continues after them.
+   * Output tokens that the caller has already received; the engine continues after them.
    * </pre>
    *
    * <code>repeated string held = 6;</code>
@@ -263,7 +263,7 @@
   }
   /**
    * <pre>
-   * Tokens the caller already holds; the engine continues after them.
+   * Output tokens that the caller has already received; the engine continues after them.
    * </pre>
    *
    * <code>repeated string held = 6;</code>
@@ -285,7 +285,7 @@
   }
   /**
    * <pre>
-   * Tokens the caller already holds; the engine continues after them.
+   * Output tokens that the caller has already received; the engine continues after them.
    * </pre>
    *
    * <code>repeated string held = 6;</code>
@@ -301,7 +301,7 @@
   }
   /**
    * <pre>
-   * Tokens the caller already holds; the engine continues after them.
+   * Output tokens that the caller has already received; the engine continues after them.
    * </pre>
    *
    * <code>repeated string held = 6;</code>
@@ -316,7 +316,7 @@
   }
   /**
    * <pre>
-   * Tokens the caller already holds; the engine continues after them.
+   * Output tokens that the caller has already received; the engine continues after them.
    * </pre>
    *
    * <code>repeated string held = 6;</code>
@@ -330,7 +330,7 @@
   }
   /**
    * <pre>
-   * Tokens the caller already holds; the engine continues after them.
+   * Output tokens that the caller has already received; the engine continues after them.
    * </pre>
    *
    * <code>repeated string held = 6;</code>
@@ -340,7 +340,7 @@
   }
   /**
    * <pre>
-   * Tokens the caller already holds; the engine continues after them.
+   * Output tokens that the caller has already received; the engine continues after them.
    * </pre>
    *
    * <code>repeated string held = 6;</code>
@@ -357,7 +357,7 @@
   private com.google.protobuf.Internal.LongList prefix_;
   /**
    * <pre>
-   * Hashes of the prompt's prefix blocks, longest last.
+   * Hashes of the prompt's prefix blocks, ordered from the shortest to the longest prefix.
    * </pre>
    *
    * <code>repeated fixed64 prefix = 7;</code>
@@ -370,7 +370,7 @@
   }
   /**
    * <pre>
-   * Hashes of the prompt's prefix blocks, longest last.
+   * Hashes of the prompt's prefix blocks, ordered from the shortest to the longest prefix.
    * </pre>
    *
    * <code>repeated fixed64 prefix = 7;</code>
@@ -382,7 +382,7 @@
   }
   /**
    * <pre>
-   * Hashes of the prompt's prefix blocks, longest last.
+   * Hashes of the prompt's prefix blocks, ordered from the shortest to the longest prefix.
    * </pre>
    *
    * <code>repeated fixed64 prefix = 7;</code>
@@ -403,7 +403,7 @@
   }
   /**
    * <pre>
-   * Hashes of the prompt's prefix blocks, longest last.
+   * Hashes of the prompt's prefix blocks, ordered from the shortest to the longest prefix.
    * </pre>
    *
    * <code>repeated fixed64 prefix = 7;</code>
@@ -417,7 +417,7 @@
   }
   /**
    * <pre>
-   * Hashes of the prompt's prefix blocks, longest last.
+   * Hashes of the prompt's prefix blocks, ordered from the shortest to the longest prefix.
    * </pre>
    *
    * <code>repeated fixed64 prefix = 7;</code>
@@ -429,7 +429,7 @@
   }
   /**
    * <pre>
-   * Hashes of the prompt's prefix blocks, longest last.
+   * Hashes of the prompt's prefix blocks, ordered from the shortest to the longest prefix.
    * </pre>
    *
    * <code>repeated fixed64 prefix = 7;</code>
@@ -443,7 +443,7 @@
   }
   /**
    * <pre>
-   * Hashes of the prompt's prefix blocks, longest last.
+   * Hashes of the prompt's prefix blocks, ordered from the shortest to the longest prefix.
    * </pre>
    *
    * <code>repeated fixed64 prefix = 7;</code>
@@ -456,7 +456,7 @@
   private boolean prefillOnly_;
   /**
    * <pre>
-   * The engine is to take in the prompt, give the first token and hand the stream over with its KV cache.
+   * The engine prefills the prompt, generates the first token and then hands over the stream with its KV cache.
    * </pre>
    *
    * <code>bool prefill_only = 8;</code>
@@ -468,7 +468,7 @@
   }
   /**
    * <pre>
-   * The engine is to take in the prompt, give the first token and hand the stream over with its KV cache.
+   * The engine prefills the prompt, generates the first token and then hands over the stream with its KV cache.
    * </pre>
    *
    * <code>bool prefill_only = 8;</code>
@@ -480,7 +480,7 @@
   }
   /**
    * <pre>
-   * The engine is to take in the prompt, give the first token and hand the stream over with its KV cache.
+   * The engine prefills the prompt, generates the first token and then hands over the stream with its KV cache.
    * </pre>
    *
    * <code>bool prefill_only = 8;</code>
@@ -494,7 +494,7 @@
   private java.lang.String kvFrom_;
   /**
    * <pre>
-   * Sidecar of the engine that holds the KV cache of the prompt and the tokens held; empty where none does.
+   * Address of the sidecar whose engine has the KV cache of the prompt and of the held tokens; empty if there is none.
    * </pre>
    *
    * <code>string kv_from = 9;</code>
@@ -506,7 +506,7 @@
   }
   /**
    * <pre>
-   * Sidecar of the engine that holds the KV cache of the prompt and the tokens held; empty where none does.
+   * Address of the sidecar whose engine has the KV cache of the prompt and of the held tokens; empty if there is none.
    * </pre>
    *
    * <code>string kv_from = 9;</code>
@@ -519,7 +519,7 @@
   }
   /**
    * <pre>
-   * Sidecar of the engine that holds the KV cache of the prompt and the tokens held; empty where none does.
+   * Address of the sidecar whose engine has the KV cache of the prompt and of the held tokens; empty if there is none.
    * </pre>
    *
    * <code>string kv_from = 9;</code>
@@ -534,7 +534,7 @@
   }
   /**
    * <pre>
-   * Sidecar of the engine that holds the KV cache of the prompt and the tokens held; empty where none does.
+   * Address of the sidecar whose engine has the KV cache of the prompt and of the held tokens; empty if there is none.
    * </pre>
    *
    * <code>string kv_from = 9;</code>
@@ -545,7 +545,7 @@
   }
   /**
    * <pre>
-   * Sidecar of the engine that holds the KV cache of the prompt and the tokens held; empty where none does.
+   * Address of the sidecar whose engine has the KV cache of the prompt and of the held tokens; empty if there is none.
    * </pre>
    *
    * <code>string kv_from = 9;</code>
@@ -643,7 +643,7 @@
 
   /**
    * <pre>
-   * Generation by a language model.
+   * A text generation request to a language model.
    * </pre>
    *
    * Protobuf type {@code cuminshelf.Generation}
@@ -864,7 +864,7 @@
 
     /**
      * <pre>
-     * Tokens the caller already holds; the engine continues after them.
+     * Output tokens that the caller has already received; the engine continues after them.
      * </pre>
      *
      * <code>repeated string held = 6;</code>
@@ -878,7 +878,7 @@
     }
     /**
      * <pre>
-     * Tokens the caller already holds; the engine continues after them.
+     * Output tokens that the caller has already received; the engine continues after them.
      * </pre>
      *
      * <code>repeated string held = 6;</code>
@@ -890,7 +890,7 @@
     }
     /**
      * <pre>
-     * Tokens the caller already holds; the engine continues after them.
+     * Output tokens that the caller has already received; the engine continues after them.
      * </pre>
      *
      * <code>repeated string held = 6;</code>
@@ -903,7 +903,7 @@
     }
     /**
      * <pre>
-     * Tokens the caller already holds; the engine continues after them.
+     * Output tokens that the caller has already received; the engine continues after them.
      * </pre>
      *
      * <code>repeated string held = 6;</code>
@@ -917,7 +917,7 @@
     }
     /**
      * <pre>
-     * Tokens the caller already holds; the engine continues after them.
+     * Output tokens that the caller has already received; the engine continues after them.
      * </pre>
      *
      * <code>repeated string held = 6;</code>
@@ -933,7 +933,7 @@
     }
     /**
      * <pre>
-     * Tokens the caller already holds; the engine continues after them.
+     * Output tokens that the caller has already received; the engine continues after them.
      * </pre>
      *
      * <code>repeated string held = 6;</code>
@@ -948,7 +948,7 @@
     }
     /**
      * <pre>
-     * Tokens the caller already holds; the engine continues after them.
+     * Output tokens that the caller has already received; the engine continues after them.
      * </pre>
      *
      * <code>repeated string held = 6;</code>
@@ -963,7 +963,7 @@
     }
     /**
      * <pre>
-     * Tokens the caller already holds; the engine continues after them.
+     * Output tokens that the caller has already received; the engine continues after them.
      * </pre>
      *
      * <code>repeated string held = 6;</code>
@@ -976,7 +976,7 @@
     }
     /**
      * <pre>
-     * Tokens the caller already holds; the engine continues after them.
+     * Output tokens that the caller has already received; the engine continues after them.
      * </pre>
      *
      * <code>repeated string held = 6;</code>
@@ -992,7 +992,7 @@
 
     /**
      * <pre>
-     * Hashes of the prompt's prefix blocks, longest last.
+     * Hashes of the prompt's prefix blocks, ordered from the shortest to the longest prefix.
      * </pre>
      *
      * <code>repeated fixed64 prefix = 7;</code>
@@ -1006,7 +1006,7 @@
     }
     /**
      * <pre>
-     * Hashes of the prompt's prefix blocks, longest last.
+     * Hashes of the prompt's prefix blocks, ordered from the shortest to the longest prefix.
      * </pre>
      *
      * <code>repeated fixed64 prefix = 7;</code>
@@ -1018,7 +1018,7 @@
     }
     /**
      * <pre>
-     * Hashes of the prompt's prefix blocks, longest last.
+     * Hashes of the prompt's prefix blocks, ordered from the shortest to the longest prefix.
      * </pre>
      *
      * <code>repeated fixed64 prefix = 7;</code>
@@ -1031,7 +1031,7 @@
     }
     /**
      * <pre>
-     * Hashes of the prompt's prefix blocks, longest last.
+     * Hashes of the prompt's prefix blocks, ordered from the shortest to the longest prefix.
      * </pre>
      *
      * <code>repeated fixed64 prefix = 7;</code>
@@ -1046,7 +1046,7 @@
     }
     /**
      * <pre>
-     * Hashes of the prompt's prefix blocks, longest last.
+     * Hashes of the prompt's prefix blocks, ordered from the shortest to the longest prefix.
      * </pre>
      *
      * <code>repeated fixed64 prefix = 7;</code>
@@ -1060,7 +1060,7 @@
     }
     /**
      * <pre>
-     * Hashes of the prompt's prefix blocks, longest last.
+     * Hashes of the prompt's prefix blocks, ordered from the shortest to the longest prefix.
      * </pre>
      *
      * <code>repeated fixed64 prefix = 7;</code>
@@ -1075,7 +1075,7 @@
     }
     /**
      * <pre>
-     * Hashes of the prompt's prefix blocks, longest last.
+     * Hashes of the prompt's prefix blocks, ordered from the shortest to the longest prefix.
      * </pre>
      *
      * <code>repeated fixed64 prefix = 7;</code>
@@ -1089,7 +1089,7 @@
 
     /**
      * <pre>
-     * The engine is to take in the prompt, give the first token and hand the stream over with its KV cache.
+     * The engine prefills the prompt, generates the first token and then hands over the stream with its KV cache.
      * </pre>
      *
      * <code>bool prefill_only = 8;</code>
@@ -1101,7 +1101,7 @@
     }
     /**
      * <pre>
-     * The engine is to take in the prompt, give the first token and hand the stream over with its KV cache.
+     * The engine prefills the prompt, generates the first token and then hands over the stream with its KV cache.
      * </pre>
      *
      * <code>bool prefill_only = 8;</code>
@@ -1115,7 +1115,7 @@
     }
     /**
      * <pre>
-     * The engine is to take in the prompt, give the first token and hand the stream over with its KV cache.
+     * The engine prefills the prompt, generates the first token and then hands over the stream with its KV cache.
      * </pre>
      *
      * <code>bool prefill_only = 8;</code>
@@ -1129,7 +1129,7 @@
 
     /**
      * <pre>
-     * Sidecar of the engine that holds the KV cache of the prompt and the tokens held; empty where none does.
+     * Address of the sidecar whose engine has the KV cache of the prompt and of the held tokens; empty if there is none.
      * </pre>
      *
      * <code>string kv_from = 9;</code>
@@ -1141,7 +1141,7 @@
     }
     /**
      * <pre>
-     * Sidecar of the engine that holds the KV cache of the prompt and the tokens held; empty where none does.
+     * Address of the sidecar whose engine has the KV cache of the prompt and of the held tokens; empty if there is none.
      * </pre>
      *
      * <code>string kv_from = 9;</code>
@@ -1154,7 +1154,7 @@
     }
     /**
      * <pre>
-     * Sidecar of the engine that holds the KV cache of the prompt and the tokens held; empty where none does.
+     * Address of the sidecar whose engine has the KV cache of the prompt and of the held tokens; empty if there is none.
      * </pre>
      *
      * <code>string kv_from = 9;</code>
@@ -1169,7 +1169,7 @@
     }
     /**
      * <pre>
-     * Sidecar of the engine that holds the KV cache of the prompt and the tokens held; empty where none does.
+     * Address of the sidecar whose engine has the KV cache of the prompt and of the held tokens; empty if there is none.
      * </pre>
      *
      * <code>string kv_from = 9;</code>
@@ -1182,7 +1182,7 @@
     }
     /**
      * <pre>
-     * Sidecar of the engine that holds the KV cache of the prompt and the tokens held; empty where none does.
+     * Address of the sidecar whose engine has the KV cache of the prompt and of the held tokens; empty if there is none.
      * </pre>
      *
      * <code>string kv_from = 9;</code>
--- a/src/main/java/org/cuminshelf/message/GenerationOrBuilder.java
+++ b/src/main/java/org/cuminshelf/message/GenerationOrBuilder.java
@@ -60,7 +60,7 @@
 
   /**
    * <pre>
-   * Tokens the caller already holds; the engine continues after them.
+   * Output tokens that the caller has already received; the engine continues after them.
    * </pre>
    *
    * <code>repeated string held = 6;</code>
@@ -70,7 +70,7 @@
       getHeldList();
   /**
    * <pre>
-   * Tokens the caller already holds; the engine continues after them.
+   * Output tokens that the caller has already received; the engine continues after them.
    * </pre>
    *
    * <code>repeated string held = 6;</code>
@@ -79,7 +79,7 @@
   int getHeldCount();
   /**
    * <pre>
-   * Tokens the caller already holds; the engine continues after them.
+   * Output tokens that the caller has already received; the engine continues after them.
    * </pre>
    *
    * <code>repeated string held = 6;</code>
@@ -89,7 +89,7 @@
   java.lang.String getHeld(int index);
   /**
    * <pre>
-   * Tokens the caller already holds; the engine continues after them.
+   * Output tokens that the caller has already received; the engine continues after them.
    * </pre>
    *
    * <code>repeated string held = 6;</code>
@@ -101,7 +101,7 @@
 
   /**
    * <pre>
-   * Hashes of the prompt's prefix blocks, longest last.
+   * Hashes of the prompt's prefix blocks, ordered from the shortest to the longest prefix.
    * </pre>
    *
    * <code>repeated fixed64 prefix = 7;</code>
@@ -110,7 +110,7 @@
   java.util.List<java.lang.Long> getPrefixList();
   /**
    * <pre>
-   * Hashes of the prompt's prefix blocks, longest last.
+   * Hashes of the prompt's prefix blocks, ordered from the shortest to the longest prefix.
    * </pre>
    *
    * <code>repeated fixed64 prefix = 7;</code>
@@ -119,7 +119,7 @@
   int getPrefixCount();
   /**
    * <pre>
-   * Hashes of the prompt's prefix blocks, longest last.
+   * Hashes of the prompt's prefix blocks, ordered from the shortest to the longest prefix.
    * </pre>
    *
    * <code>repeated fixed64 prefix = 7;</code>
@@ -130,7 +130,7 @@
 
   /**
    * <pre>
-   * The engine is to take in the prompt, give the first token and hand the stream over with its KV cache.
+   * The engine prefills the prompt, generates the first token and then hands over the stream with its KV cache.
    * </pre>
    *
    * <code>bool prefill_only = 8;</code>
@@ -140,7 +140,7 @@
 
   /**
    * <pre>
-   * Sidecar of the engine that holds the KV cache of the prompt and the tokens held; empty where none does.
+   * Address of the sidecar whose engine has the KV cache of the prompt and of the held tokens; empty if there is none.
    * </pre>
    *
    * <code>string kv_from = 9;</code>
@@ -149,7 +149,7 @@
   java.lang.String getKvFrom();
   /**
    * <pre>
-   * Sidecar of the engine that holds the KV cache of the prompt and the tokens held; empty where none does.
+   * Address of the sidecar whose engine has the KV cache of the prompt and of the held tokens; empty if there is none.
    * </pre>
    *
    * <code>string kv_from = 9;</code>
--- a/src/main/java/org/cuminshelf/message/HardState.java
+++ b/src/main/java/org/cuminshelf/message/HardState.java
@@ -147,7 +147,7 @@
   private long commit_;
   /**
    * <pre>
-   * Highest index known to be committed; kept by groups that tell others what is accepted.
+   * Highest index known to be committed; stored only by groups that publish their committed state to other processes.
    * </pre>
    *
    * <code>uint64 commit = 5;</code>
@@ -159,7 +159,7 @@
   }
   /**
    * <pre>
-   * Highest index known to be committed; kept by groups that tell others what is accepted.
+   * Highest index known to be committed; stored only by groups that publish their committed state to other processes.
    * </pre>
    *
    * <code>uint64 commit = 5;</code>
@@ -171,7 +171,7 @@
   }
   /**
    * <pre>
-   * Highest index known to be committed; kept by groups that tell others what is accepted.
+   * Highest index known to be committed; stored only by groups that publish their committed state to other processes.
    * </pre>
    *
    * <code>uint64 commit = 5;</code>
@@ -413,7 +413,7 @@
 
     /**
      * <pre>
-     * Highest index known to be committed; kept by groups that tell others what is accepted.
+     * Highest index known to be committed; stored only by groups that publish their committed state to other processes.
      * </pre>
      *
      * <code>uint64 commit = 5;</code>
@@ -425,7 +425,7 @@
     }
     /**
      * <pre>
-     * Highest index known to be committed; kept by groups that tell others what is accepted.
+     * Highest index known to be committed; stored only by groups that publish their committed state to other processes.
      * </pre>
      *
      * <code>uint64 commit = 5;</code>
@@ -439,7 +439,7 @@
     }
     /**
      * <pre>
-     * Highest index known to be committed; kept by groups that tell others what is accepted.
+     * Highest index known to be committed; stored only by groups that publish their committed state to other processes.
      * </pre>
      *
      * <code>uint64 commit = 5;</code>
--- a/src/main/java/org/cuminshelf/message/HardStateOrBuilder.java
+++ b/src/main/java/org/cuminshelf/message/HardStateOrBuilder.java
@@ -42,7 +42,7 @@
 
   /**
    * <pre>
-   * Highest index known to be committed; kept by groups that tell others what is accepted.
+   * Highest index known to be committed; stored only by groups that publish their committed state to other processes.
    * </pre>
    *
    * <code>uint64 commit = 5;</code>
--- a/src/main/java/org/cuminshelf/message/Header.java
+++ b/src/main/java/org/cuminshelf/message/Header.java
@@ -7,7 +7,7 @@
 
 /**
  * <pre>
- * One header line of a plain service's request or answer.
+ * A header field of an HTTP request to a plain service or of its response.
  * </pre>
  *
  * Protobuf type {@code cuminshelf.Header}
@@ -203,7 +203,7 @@
 
   /**
    * <pre>
-   * One header line of a plain service's request or answer.
+   * A header field of an HTTP request to a plain service or of its response.
    * </pre>
    *
    * Protobuf type {@code cuminshelf.Header}
--- a/src/main/java/org/cuminshelf/message/HeardLimit.java
+++ b/src/main/java/org/cuminshelf/message/HeardLimit.java
@@ -6,6 +6,10 @@
 package org.cuminshelf.message;
 
 /**
+ * <pre>
+ * Rate limit that an upstream instance announced.
+ * </pre>
+ *
  * Protobuf type {@code cuminshelf.HeardLimit}
  */
 @com.google.protobuf.Generated
@@ -22,7 +26,7 @@
   private java.lang.String upstream_;
   /**
    * <pre>
-   * The start of the upstream.
+   * Identity of the upstream instance.
    * </pre>
    *
    * <code>string upstream = 1;</code>
@@ -34,7 +38,7 @@
   }
   /**
    * <pre>
-   * The start of the upstream.
+   * Identity of the upstream instance.
    * </pre>
    *
    * <code>string upstream = 1;</code>
@@ -47,7 +51,7 @@
   }
   /**
    * <pre>
-   * The start of the upstream.
+   * Identity of the upstream instance.
    * </pre>
    *
    * <code>string upstream = 1;</code>
@@ -62,7 +66,7 @@
   }
   /**
    * <pre>
-   * The start of the upstream.
+   * Identity of the upstream instance.
    * </pre>
    *
    * <code>string upstream = 1;</code>
@@ -73,7 +77,7 @@
   }
   /**
    * <pre>
-   * The start of the upstream.
+   * Identity of the upstream instance.
    * </pre>
    *
    * <code>string upstream = 1;</code>
@@ -90,7 +94,7 @@
   private double perSecond_;
   /**
    * <pre>
-   * Requests a second from all entries together; absent once it states no limit any more.
+   * Limit in requests per second for all entries together; absent if the upstream no longer announces a limit.
    * </pre>
    *
    * <code>optional double per_second = 2;</code>
@@ -102,7 +106,7 @@
   }
   /**
    * <pre>
-   * Requests a second from all entries together; absent once it states no limit any more.
+   * Limit in requests per second for all entries together; absent if the upstream no longer announces a limit.
    * </pre>
    *
    * <code>optional double per_second = 2;</code>
@@ -114,7 +118,7 @@
   }
   /**
    * <pre>
-   * Requests a second from all entries together; absent once it states no limit any more.
+   * Limit in requests per second for all entries together; absent if the upstream no longer announces a limit.
    * </pre>
    *
    * <code>optional double per_second = 2;</code>
@@ -126,7 +130,7 @@
   }
   /**
    * <pre>
-   * Requests a second from all entries together; absent once it states no limit any more.
+   * Limit in requests per second for all entries together; absent if the upstream no longer announces a limit.
    * </pre>
    *
    * <code>optional double per_second = 2;</code>
@@ -140,7 +144,7 @@
   private long ageUs_;
   /**
    * <pre>
-   * Microseconds since that was known to hold.
+   * Time in microseconds since this was last known to be valid.
    * </pre>
    *
    * <code>uint64 age_us = 3;</code>
@@ -152,7 +156,7 @@
   }
   /**
    * <pre>
-   * Microseconds since that was known to hold.
+   * Time in microseconds since this was last known to be valid.
    * </pre>
    *
    * <code>uint64 age_us = 3;</code>
@@ -164,7 +168,7 @@
   }
   /**
    * <pre>
-   * Microseconds since that was known to hold.
+   * Time in microseconds since this was last known to be valid.
    * </pre>
    *
    * <code>uint64 age_us = 3;</code>
@@ -258,6 +262,10 @@
   }
 
   /**
+   * <pre>
+   * Rate limit that an upstream instance announced.
+   * </pre>
+   *
    * Protobuf type {@code cuminshelf.HeardLimit}
    */
   public static final class Builder extends
@@ -273,7 +281,7 @@
 
     /**
      * <pre>
-     * The start of the upstream.
+     * Identity of the upstream instance.
      * </pre>
      *
      * <code>string upstream = 1;</code>
@@ -285,7 +293,7 @@
     }
     /**
      * <pre>
-     * The start of the upstream.
+     * Identity of the upstream instance.
      * </pre>
      *
      * <code>string upstream = 1;</code>
@@ -298,7 +306,7 @@
     }
     /**
      * <pre>
-     * The start of the upstream.
+     * Identity of the upstream instance.
      * </pre>
      *
      * <code>string upstream = 1;</code>
@@ -313,7 +321,7 @@
     }
     /**
      * <pre>
-     * The start of the upstream.
+     * Identity of the upstream instance.
      * </pre>
      *
      * <code>string upstream = 1;</code>
@@ -326,7 +334,7 @@
     }
     /**
      * <pre>
-     * The start of the upstream.
+     * Identity of the upstream instance.
      * </pre>
      *
      * <code>string upstream = 1;</code>
@@ -342,7 +350,7 @@
 
     /**
      * <pre>
-     * Requests a second from all entries together; absent once it states no limit any more.
+     * Limit in requests per second for all entries together; absent if the upstream no longer announces a limit.
      * </pre>
      *
      * <code>optional double per_second = 2;</code>
@@ -354,7 +362,7 @@
     }
     /**
      * <pre>
-     * Requests a second from all entries together; absent once it states no limit any more.
+     * Limit in requests per second for all entries together; absent if the upstream no longer announces a limit.
      * </pre>
      *
      * <code>optional double per_second = 2;</code>
@@ -366,7 +374,7 @@
     }
     /**
      * <pre>
-     * Requests a second from all entries together; absent once it states no limit any more.
+     * Limit in requests per second for all entries together; absent if the upstream no longer announces a limit.
      * </pre>
      *
      * <code>optional double per_second = 2;</code>
@@ -380,7 +388,7 @@
     }
     /**
      * <pre>
-     * Requests a second from all entries together; absent once it states no limit any more.
+     * Limit in requests per second for all entries together; absent if the upstream no longer announces a limit.
      * </pre>
      *
      * <code>optional double per_second = 2;</code>
@@ -394,7 +402,7 @@
 
     /**
      * <pre>
-     * Microseconds since that was known to hold.
+     * Time in microseconds since this was last known to be valid.
      * </pre>
      *
      * <code>uint64 age_us = 3;</code>
@@ -406,7 +414,7 @@
     }
     /**
      * <pre>
-     * Microseconds since that was known to hold.
+     * Time in microseconds since this was last known to be valid.
      * </pre>
      *
      * <code>uint64 age_us = 3;</code>
@@ -420,7 +428,7 @@
     }
     /**
      * <pre>
-     * Microseconds since that was known to hold.
+     * Time in microseconds since this was last known to be valid.
      * </pre>
      *
      * <code>uint64 age_us = 3;</code>
--- a/src/main/java/org/cuminshelf/message/HeardLimitOrBuilder.java
+++ b/src/main/java/org/cuminshelf/message/HeardLimitOrBuilder.java
@@ -12,7 +12,7 @@
 
   /**
    * <pre>
-   * The start of the upstream.
+   * Identity of the upstream instance.
    * </pre>
    *
    * <code>string upstream = 1;</code>
@@ -21,7 +21,7 @@
   java.lang.String getUpstream();
   /**
    * <pre>
-   * The start of the upstream.
+   * Identity of the upstream instance.
    * </pre>
    *
    * <code>string upstream = 1;</code>
@@ -32,7 +32,7 @@
 
   /**
    * <pre>
-   * Requests a second from all entries together; absent once it states no limit any more.
+   * Limit in requests per second for all entries together; absent if the upstream no longer announces a limit.
    * </pre>
    *
    * <code>optional double per_second = 2;</code>
@@ -41,7 +41,7 @@
   boolean hasPerSecond();
   /**
    * <pre>
-   * Requests a second from all entries together; absent once it states no limit any more.
+   * Limit in requests per second for all entries together; absent if the upstream no longer announces a limit.
    * </pre>
    *
    * <code>optional double per_second = 2;</code>
@@ -51,7 +51,7 @@
 
   /**
    * <pre>
-   * Microseconds since that was known to hold.
+   * Time in microseconds since this was last known to be valid.
    * </pre>
    *
    * <code>uint64 age_us = 3;</code>
--- a/src/main/java/org/cuminshelf/message/Involvement.java
+++ b/src/main/java/org/cuminshelf/message/Involvement.java
@@ -7,7 +7,7 @@
 
 /**
  * <pre>
- * How far a request had come at an upstream that crashed. The higher value stands where two are told.
+ * Progress of a request at an upstream that crashed. If two values are reported, the higher one applies.
  * </pre>
  *
  * Protobuf enum {@code cuminshelf.Involvement}
@@ -21,7 +21,7 @@
   INVOLVEMENT_UNSPECIFIED(0),
   /**
    * <pre>
-   * It had run there for a while.
+   * The request had been running for some time.
    * </pre>
    *
    * <code>UNDER_WAY = 1;</code>
@@ -29,7 +29,7 @@
   UNDER_WAY(1),
   /**
    * <pre>
-   * It had shown no sign of running yet, or only just.
+   * The request had produced no output yet, or its first output only shortly before the crash.
    * </pre>
    *
    * <code>JUST_BEGUN = 2;</code>
@@ -37,7 +37,7 @@
   JUST_BEGUN(2),
   /**
    * <pre>
-   * It ended well elsewhere later: it was not the cause.
+   * The request later succeeded on another upstream, so it was not the cause.
    * </pre>
    *
    * <code>CLEARED = 3;</code>
@@ -52,7 +52,7 @@
   public static final int INVOLVEMENT_UNSPECIFIED_VALUE = 0;
   /**
    * <pre>
-   * It had run there for a while.
+   * The request had been running for some time.
    * </pre>
    *
    * <code>UNDER_WAY = 1;</code>
@@ -60,7 +60,7 @@
   public static final int UNDER_WAY_VALUE = 1;
   /**
    * <pre>
-   * It had shown no sign of running yet, or only just.
+   * The request had produced no output yet, or its first output only shortly before the crash.
    * </pre>
    *
    * <code>JUST_BEGUN = 2;</code>
@@ -68,7 +68,7 @@
   public static final int JUST_BEGUN_VALUE = 2;
   /**
    * <pre>
-   * It ended well elsewhere later: it was not the cause.
+   * The request later succeeded on another upstream, so it was not the cause.
    * </pre>
    *
    * <code>CLEARED = 3;</code>
--- a/src/main/java/org/cuminshelf/message/JoinRequest.java
+++ b/src/main/java/org/cuminshelf/message/JoinRequest.java
@@ -7,7 +7,7 @@
 
 /**
  * <pre>
- * A replica that is no member asks to become a learner.
+ * Request of a replica that is not a member to join as a learner.
  * </pre>
  *
  * Protobuf type {@code cuminshelf.JoinRequest}
@@ -74,7 +74,7 @@
   private java.lang.String address_;
   /**
    * <pre>
-   * Address of the replica that asks, where another passes its question on to the leader.
+   * Address of the joining replica, needed if another replica forwards the request to the leader.
    * </pre>
    *
    * <code>string address = 2;</code>
@@ -86,7 +86,7 @@
   }
   /**
    * <pre>
-   * Address of the replica that asks, where another passes its question on to the leader.
+   * Address of the joining replica, needed if another replica forwards the request to the leader.
    * </pre>
    *
    * <code>string address = 2;</code>
@@ -99,7 +99,7 @@
   }
   /**
    * <pre>
-   * Address of the replica that asks, where another passes its question on to the leader.
+   * Address of the joining replica, needed if another replica forwards the request to the leader.
    * </pre>
    *
    * <code>string address = 2;</code>
@@ -114,7 +114,7 @@
   }
   /**
    * <pre>
-   * Address of the replica that asks, where another passes its question on to the leader.
+   * Address of the joining replica, needed if another replica forwards the request to the leader.
    * </pre>
    *
    * <code>string address = 2;</code>
@@ -125,7 +125,7 @@
   }
   /**
    * <pre>
-   * Address of the replica that asks, where another passes its question on to the leader.
+   * Address of the joining replica, needed if another replica forwards the request to the leader.
    * </pre>
    *
    * <code>string address = 2;</code>
@@ -223,7 +223,7 @@
 
   /**
    * <pre>
-   * A replica that is no member asks to become a learner.
+   * Request of a replica that is not a member to join as a learner.
    * </pre>
    *
    * Protobuf type {@code cuminshelf.JoinRequest}
@@ -288,7 +288,7 @@
 
     /**
      * <pre>
-     * Address of the replica that asks, where another passes its question on to the leader.
+     * Address of the joining replica, needed if another replica forwards the request to the leader.
      * </pre>
      *
      * <code>string address = 2;</code>
@@ -300,7 +300,7 @@
     }
     /**
      * <pre>
-     * Address of the replica that asks, where another passes its question on to the leader.
+     * Address of the joining replica, needed if another replica forwards the request to the leader.
      * </pre>
      *
      * <code>string address = 2;</code>
@@ -313,7 +313,7 @@
     }
     /**
      * <pre>
-     * Address of the replica that asks, where another passes its question on to the leader.
+     * Address of the joining replica, needed if another replica forwards the request to the leader.
      * </pre>
      *
      * <code>string address = 2;</code>
@@ -328,7 +328,7 @@
     }
     /**
      * <pre>
-     * Address of the replica that asks, where another passes its question on to the leader.
+     * Address of the joining replica, needed if another replica forwards the request to the leader.
      * </pre>
      *
      * <code>string address = 2;</code>
@@ -341,7 +341,7 @@
     }
     /**
      * <pre>
-     * Address of the replica that asks, where another passes its question on to the leader.
+     * Address of the joining replica, needed if another replica forwards the request to the leader.
      * </pre>
      *
      * <code>string address = 2;</code>
--- a/src/main/java/org/cuminshelf/message/JoinRequestOrBuilder.java
+++ b/src/main/java/org/cuminshelf/message/JoinRequestOrBuilder.java
@@ -23,7 +23,7 @@
 
   /**
    * <pre>
-   * Address of the replica that asks, where another passes its question on to the leader.
+   * Address of the joining replica, needed if another replica forwards the request to the leader.
    * </pre>
    *
    * <code>string address = 2;</code>
@@ -32,7 +32,7 @@
   java.lang.String getAddress();
   /**
    * <pre>
-   * Address of the replica that asks, where another passes its question on to the leader.
+   * Address of the joining replica, needed if another replica forwards the request to the leader.
    * </pre>
    *
    * <code>string address = 2;</code>
--- a/src/main/java/org/cuminshelf/message/LoadReport.java
+++ b/src/main/java/org/cuminshelf/message/LoadReport.java
@@ -438,7 +438,7 @@
   private com.google.protobuf.Internal.LongList cached_;
   /**
    * <pre>
-   * Prefix block hashes cached since the last report; late and with gaps.
+   * Hashes of prefix blocks cached since the last report. They may be reported late, and some not at all.
    * </pre>
    *
    * <code>repeated fixed64 cached = 11;</code>
@@ -451,7 +451,7 @@
   }
   /**
    * <pre>
-   * Prefix block hashes cached since the last report; late and with gaps.
+   * Hashes of prefix blocks cached since the last report. They may be reported late, and some not at all.
    * </pre>
    *
    * <code>repeated fixed64 cached = 11;</code>
@@ -463,7 +463,7 @@
   }
   /**
    * <pre>
-   * Prefix block hashes cached since the last report; late and with gaps.
+   * Hashes of prefix blocks cached since the last report. They may be reported late, and some not at all.
    * </pre>
    *
    * <code>repeated fixed64 cached = 11;</code>
@@ -484,7 +484,7 @@
   }
   /**
    * <pre>
-   * Prefix block hashes cached since the last report; late and with gaps.
+   * Hashes of prefix blocks cached since the last report. They may be reported late, and some not at all.
    * </pre>
    *
    * <code>repeated fixed64 cached = 11;</code>
@@ -498,7 +498,7 @@
   }
   /**
    * <pre>
-   * Prefix block hashes cached since the last report; late and with gaps.
+   * Hashes of prefix blocks cached since the last report. They may be reported late, and some not at all.
    * </pre>
    *
    * <code>repeated fixed64 cached = 11;</code>
@@ -510,7 +510,7 @@
   }
   /**
    * <pre>
-   * Prefix block hashes cached since the last report; late and with gaps.
+   * Hashes of prefix blocks cached since the last report. They may be reported late, and some not at all.
    * </pre>
    *
    * <code>repeated fixed64 cached = 11;</code>
@@ -524,7 +524,7 @@
   }
   /**
    * <pre>
-   * Prefix block hashes cached since the last report; late and with gaps.
+   * Hashes of prefix blocks cached since the last report. They may be reported late, and some not at all.
    * </pre>
    *
    * <code>repeated fixed64 cached = 11;</code>
@@ -537,7 +537,7 @@
   private long counted_;
   /**
    * <pre>
-   * Total cost units dispatched by the receiver that this report already counts.
+   * Highest dispatch number of the receiver's session that this report includes.
    * </pre>
    *
    * <code>uint64 counted = 12;</code>
@@ -549,7 +549,7 @@
   }
   /**
    * <pre>
-   * Total cost units dispatched by the receiver that this report already counts.
+   * Highest dispatch number of the receiver's session that this report includes.
    * </pre>
    *
    * <code>uint64 counted = 12;</code>
@@ -561,7 +561,7 @@
   }
   /**
    * <pre>
-   * Total cost units dispatched by the receiver that this report already counts.
+   * Highest dispatch number of the receiver's session that this report includes.
    * </pre>
    *
    * <code>uint64 counted = 12;</code>
@@ -627,7 +627,7 @@
   private int tokenGapUs_;
   /**
    * <pre>
-   * Mean time between two tokens of a stream there, in microseconds; 0 where none ran lately.
+   * Mean inter-token latency of a stream on the upstream, in microseconds; 0 if no stream is running.
    * </pre>
    *
    * <code>uint32 token_gap_us = 15;</code>
@@ -639,7 +639,7 @@
   }
   /**
    * <pre>
-   * Mean time between two tokens of a stream there, in microseconds; 0 where none ran lately.
+   * Mean inter-token latency of a stream on the upstream, in microseconds; 0 if no stream is running.
    * </pre>
    *
    * <code>uint32 token_gap_us = 15;</code>
@@ -651,7 +651,7 @@
   }
   /**
    * <pre>
-   * Mean time between two tokens of a stream there, in microseconds; 0 where none ran lately.
+   * Mean inter-token latency of a stream on the upstream, in microseconds; 0 if no stream is running.
    * </pre>
    *
    * <code>uint32 token_gap_us = 15;</code>
@@ -665,7 +665,7 @@
   private int prefillPerS_;
   /**
    * <pre>
-   * Prompt tokens taken in a second while any wait; 0 before any were.
+   * Prefill rate while prompts are waiting, in prompt tokens per second; 0 if not measured yet.
    * </pre>
    *
    * <code>uint32 prefill_per_s = 16;</code>
@@ -677,7 +677,7 @@
   }
   /**
    * <pre>
-   * Prompt tokens taken in a second while any wait; 0 before any were.
+   * Prefill rate while prompts are waiting, in prompt tokens per second; 0 if not measured yet.
    * </pre>
    *
    * <code>uint32 prefill_per_s = 16;</code>
@@ -689,7 +689,7 @@
   }
   /**
    * <pre>
-   * Prompt tokens taken in a second while any wait; 0 before any were.
+   * Prefill rate while prompts are waiting, in prompt tokens per second; 0 if not measured yet.
    * </pre>
    *
    * <code>uint32 prefill_per_s = 16;</code>
@@ -1225,7 +1225,7 @@
 
     /**
      * <pre>
-     * Prefix block hashes cached since the last report; late and with gaps.
+     * Hashes of prefix blocks cached since the last report. They may be reported late, and some not at all.
      * </pre>
      *
      * <code>repeated fixed64 cached = 11;</code>
@@ -1239,7 +1239,7 @@
     }
     /**
      * <pre>
-     * Prefix block hashes cached since the last report; late and with gaps.
+     * Hashes of prefix blocks cached since the last report. They may be reported late, and some not at all.
      * </pre>
      *
      * <code>repeated fixed64 cached = 11;</code>
@@ -1251,7 +1251,7 @@
     }
     /**
      * <pre>
-     * Prefix block hashes cached since the last report; late and with gaps.
+     * Hashes of prefix blocks cached since the last report. They may be reported late, and some not at all.
      * </pre>
      *
      * <code>repeated fixed64 cached = 11;</code>
@@ -1264,7 +1264,7 @@
     }
     /**
      * <pre>
-     * Prefix block hashes cached since the last report; late and with gaps.
+     * Hashes of prefix blocks cached since the last report. They may be reported late, and some not at all.
      * </pre>
      *
      * <code>repeated fixed64 cached = 11;</code>
@@ -1279,7 +1279,7 @@
     }
     /**
      * <pre>
-     * Prefix block hashes cached since the last report; late and with gaps.
+     * Hashes of prefix blocks cached since the last report. They may be reported late, and some not at all.
      * </pre>
      *
      * <code>repeated fixed64 cached = 11;</code>
@@ -1293,7 +1293,7 @@
     }
     /**
      * <pre>
-     * Prefix block hashes cached since the last report; late and with gaps.
+     * Hashes of prefix blocks cached since the last report. They may be reported late, and some not at all.
      * </pre>
      *
      * <code>repeated fixed64 cached = 11;</code>
@@ -1308,7 +1308,7 @@
     }
     /**
      * <pre>
-     * Prefix block hashes cached since the last report; late and with gaps.
+     * Hashes of prefix blocks cached since the last report. They may be reported late, and some not at all.
      * </pre>
      *
      * <code>repeated fixed64 cached = 11;</code>
@@ -1322,7 +1322,7 @@
 
     /**
      * <pre>
-     * Total cost units dispatched by the receiver that this report already counts.
+     * Highest dispatch number of the receiver's session that this report includes.
      * </pre>
      *
      * <code>uint64 counted = 12;</code>
@@ -1334,7 +1334,7 @@
     }
     /**
      * <pre>
-     * Total cost units dispatched by the receiver that this report already counts.
+     * Highest dispatch number of the receiver's session that this report includes.
      * </pre>
      *
      * <code>uint64 counted = 12;</code>
@@ -1348,7 +1348,7 @@
     }
     /**
      * <pre>
-     * Total cost units dispatched by the receiver that this report already counts.
+     * Highest dispatch number of the receiver's session that this report includes.
      * </pre>
      *
      * <code>uint64 counted = 12;</code>
@@ -1418,7 +1418,7 @@
 
     /**
      * <pre>
-     * Mean time between two tokens of a stream there, in microseconds; 0 where none ran lately.
+     * Mean inter-token latency of a stream on the upstream, in microseconds; 0 if no stream is running.
      * </pre>
      *
      * <code>uint32 token_gap_us = 15;</code>
@@ -1430,7 +1430,7 @@
     }
     /**
      * <pre>
-     * Mean time between two tokens of a stream there, in microseconds; 0 where none ran lately.
+     * Mean inter-token latency of a stream on the upstream, in microseconds; 0 if no stream is running.
      * </pre>
      *
      * <code>uint32 token_gap_us = 15;</code>
@@ -1444,7 +1444,7 @@
     }
     /**
      * <pre>
-     * Mean time between two tokens of a stream there, in microseconds; 0 where none ran lately.
+     * Mean inter-token latency of a stream on the upstream, in microseconds; 0 if no stream is running.
      * </pre>
      *
      * <code>uint32 token_gap_us = 15;</code>
@@ -1458,7 +1458,7 @@
 
     /**
      * <pre>
-     * Prompt tokens taken in a second while any wait; 0 before any were.
+     * Prefill rate while prompts are waiting, in prompt tokens per second; 0 if not measured yet.
      * </pre>
      *
      * <code>uint32 prefill_per_s = 16;</code>
@@ -1470,7 +1470,7 @@
     }
     /**
      * <pre>
-     * Prompt tokens taken in a second while any wait; 0 before any were.
+     * Prefill rate while prompts are waiting, in prompt tokens per second; 0 if not measured yet.
      * </pre>
      *
      * <code>uint32 prefill_per_s = 16;</code>
@@ -1484,7 +1484,7 @@
     }
     /**
      * <pre>
-     * Prompt tokens taken in a second while any wait; 0 before any were.
+     * Prefill rate while prompts are waiting, in prompt tokens per second; 0 if not measured yet.
      * </pre>
      *
      * <code>uint32 prefill_per_s = 16;</code>
--- a/src/main/java/org/cuminshelf/message/LoadReportOrBuilder.java
+++ b/src/main/java/org/cuminshelf/message/LoadReportOrBuilder.java
@@ -115,7 +115,7 @@
 
   /**
    * <pre>
-   * Prefix block hashes cached since the last report; late and with gaps.
+   * Hashes of prefix blocks cached since the last report. They may be reported late, and some not at all.
    * </pre>
    *
    * <code>repeated fixed64 cached = 11;</code>
@@ -124,7 +124,7 @@
   java.util.List<java.lang.Long> getCachedList();
   /**
    * <pre>
-   * Prefix block hashes cached since the last report; late and with gaps.
+   * Hashes of prefix blocks cached since the last report. They may be reported late, and some not at all.
    * </pre>
    *
    * <code>repeated fixed64 cached = 11;</code>
@@ -133,7 +133,7 @@
   int getCachedCount();
   /**
    * <pre>
-   * Prefix block hashes cached since the last report; late and with gaps.
+   * Hashes of prefix blocks cached since the last report. They may be reported late, and some not at all.
    * </pre>
    *
    * <code>repeated fixed64 cached = 11;</code>
@@ -144,7 +144,7 @@
 
   /**
    * <pre>
-   * Total cost units dispatched by the receiver that this report already counts.
+   * Highest dispatch number of the receiver's session that this report includes.
    * </pre>
    *
    * <code>uint64 counted = 12;</code>
@@ -166,7 +166,7 @@
 
   /**
    * <pre>
-   * Mean time between two tokens of a stream there, in microseconds; 0 where none ran lately.
+   * Mean inter-token latency of a stream on the upstream, in microseconds; 0 if no stream is running.
    * </pre>
    *
    * <code>uint32 token_gap_us = 15;</code>
@@ -176,7 +176,7 @@
 
   /**
    * <pre>
-   * Prompt tokens taken in a second while any wait; 0 before any were.
+   * Prefill rate while prompts are waiting, in prompt tokens per second; 0 if not measured yet.
    * </pre>
    *
    * <code>uint32 prefill_per_s = 16;</code>
--- a/src/main/java/org/cuminshelf/message/LogEntry.java
+++ b/src/main/java/org/cuminshelf/message/LogEntry.java
@@ -134,7 +134,7 @@
   private long clockMs_;
   /**
    * <pre>
-   * Milliseconds of the group's clock; never falls from one entry to the next.
+   * The group's clock in milliseconds; never decreases from one entry to the next.
    * </pre>
    *
    * <code>uint64 clock_ms = 3;</code>
@@ -146,7 +146,7 @@
   }
   /**
    * <pre>
-   * Milliseconds of the group's clock; never falls from one entry to the next.
+   * The group's clock in milliseconds; never decreases from one entry to the next.
    * </pre>
    *
    * <code>uint64 clock_ms = 3;</code>
@@ -158,7 +158,7 @@
   }
   /**
    * <pre>
-   * Milliseconds of the group's clock; never falls from one entry to the next.
+   * The group's clock in milliseconds; never decreases from one entry to the next.
    * </pre>
    *
    * <code>uint64 clock_ms = 3;</code>
@@ -625,7 +625,7 @@
   public static final int USAGE_SETTLED_FIELD_NUMBER = 13;
   /**
    * <pre>
-   * The counts of a window, as they are reported from now on.
+   * Final counts of a window; only these are reported.
    * </pre>
    *
    * <code>.cuminshelf.UsageWindow usage_settled = 13;</code>
@@ -636,7 +636,7 @@
   }
   /**
    * <pre>
-   * The counts of a window, as they are reported from now on.
+   * Final counts of a window; only these are reported.
    * </pre>
    *
    * <code>.cuminshelf.UsageWindow usage_settled = 13;</code>
@@ -650,7 +650,7 @@
   }
   /**
    * <pre>
-   * The counts of a window, as they are reported from now on.
+   * Final counts of a window; only these are reported.
    * </pre>
    *
    * <code>.cuminshelf.UsageWindow usage_settled = 13;</code>
@@ -663,7 +663,7 @@
   }
   /**
    * <pre>
-   * The counts of a window, as they are reported from now on.
+   * Final counts of a window; only these are reported.
    * </pre>
    *
    * <code>.cuminshelf.UsageWindow usage_settled = 13;</code>
@@ -682,7 +682,7 @@
   }
   /**
    * <pre>
-   * The counts of a window, as they are reported from now on.
+   * Final counts of a window; only these are reported.
    * </pre>
    *
    * <code>.cuminshelf.UsageWindow usage_settled = 13;</code>
@@ -697,7 +697,7 @@
   public static final int USAGE_REPORTED_FIELD_NUMBER = 14;
   /**
    * <pre>
-   * Number of a window whose report was acknowledged.
+   * Number of a window whose report the platform has acknowledged.
    * </pre>
    *
    * <code>uint64 usage_reported = 14;</code>
@@ -709,7 +709,7 @@
   }
   /**
    * <pre>
-   * Number of a window whose report was acknowledged.
+   * Number of a window whose report the platform has acknowledged.
    * </pre>
    *
    * <code>uint64 usage_reported = 14;</code>
@@ -724,7 +724,7 @@
   }
   /**
    * <pre>
-   * Number of a window whose report was acknowledged.
+   * Number of a window whose report the platform has acknowledged.
    * </pre>
    *
    * <code>uint64 usage_reported = 14;</code>
@@ -736,7 +736,7 @@
   }
   /**
    * <pre>
-   * Number of a window whose report was acknowledged.
+   * Number of a window whose report the platform has acknowledged.
    * </pre>
    *
    * <code>uint64 usage_reported = 14;</code>
@@ -915,7 +915,7 @@
 
     /**
      * <pre>
-     * Milliseconds of the group's clock; never falls from one entry to the next.
+     * The group's clock in milliseconds; never decreases from one entry to the next.
      * </pre>
      *
      * <code>uint64 clock_ms = 3;</code>
@@ -927,7 +927,7 @@
     }
     /**
      * <pre>
-     * Milliseconds of the group's clock; never falls from one entry to the next.
+     * The group's clock in milliseconds; never decreases from one entry to the next.
      * </pre>
      *
      * <code>uint64 clock_ms = 3;</code>
@@ -941,7 +941,7 @@
     }
     /**
      * <pre>
-     * Milliseconds of the group's clock; never falls from one entry to the next.
+     * The group's clock in milliseconds; never decreases from one entry to the next.
      * </pre>
      *
      * <code>uint64 clock_ms = 3;</code>
@@ -1375,7 +1375,7 @@
 
     /**
      * <pre>
-     * The counts of a window, as they are reported from now on.
+     * Final counts of a window; only these are reported.
      * </pre>
      *
      * <code>.cuminshelf.UsageWindow usage_settled = 13;</code>
@@ -1386,7 +1386,7 @@
     }
     /**
      * <pre>
-     * The counts of a window, as they are reported from now on.
+     * Final counts of a window; only these are reported.
      * </pre>
      *
      * <code>.cuminshelf.UsageWindow usage_settled = 13;</code>
@@ -1397,7 +1397,7 @@
     }
     /**
      * <pre>
-     * The counts of a window, as they are reported from now on.
+     * Final counts of a window; only these are reported.
      * </pre>
      *
      * <code>.cuminshelf.UsageWindow usage_settled = 13;</code>
@@ -1409,7 +1409,7 @@
     }
     /**
      * <pre>
-     * The counts of a window, as they are reported from now on.
+     * Final counts of a window; only these are reported.
      * </pre>
      *
      * <code>.cuminshelf.UsageWindow usage_settled = 13;</code>
@@ -1422,7 +1422,7 @@
     }
     /**
      * <pre>
-     * The counts of a window, as they are reported from now on.
+     * Final counts of a window; only these are reported.
      * </pre>
      *
      * <code>.cuminshelf.UsageWindow usage_settled = 13;</code>
@@ -1434,7 +1434,7 @@
     }
     /**
      * <pre>
-     * The counts of a window, as they are reported from now on.
+     * Final counts of a window; only these are reported.
      * </pre>
      *
      * <code>.cuminshelf.UsageWindow usage_settled = 13;</code>
@@ -1447,7 +1447,7 @@
 
     /**
      * <pre>
-     * Number of a window whose report was acknowledged.
+     * Number of a window whose report the platform has acknowledged.
      * </pre>
      *
      * <code>uint64 usage_reported = 14;</code>
@@ -1459,7 +1459,7 @@
     }
     /**
      * <pre>
-     * Number of a window whose report was acknowledged.
+     * Number of a window whose report the platform has acknowledged.
      * </pre>
      *
      * <code>uint64 usage_reported = 14;</code>
@@ -1471,7 +1471,7 @@
     }
     /**
      * <pre>
-     * Number of a window whose report was acknowledged.
+     * Number of a window whose report the platform has acknowledged.
      * </pre>
      *
      * <code>uint64 usage_reported = 14;</code>
@@ -1485,7 +1485,7 @@
     }
     /**
      * <pre>
-     * Number of a window whose report was acknowledged.
+     * Number of a window whose report the platform has acknowledged.
      * </pre>
      *
      * <code>uint64 usage_reported = 14;</code>
