--- a/src/main/java/org/cuminshelf/message/LogEntryOrBuilder.java
+++ b/src/main/java/org/cuminshelf/message/LogEntryOrBuilder.java
@@ -24,7 +24,7 @@
 
   /**
    * <pre>
-   * Milliseconds of the group's clock; never falls from one entry to the next.
+   * The group's clock in milliseconds; never decreases from one entry to the next.
    * </pre>
    *
    * <code>uint64 clock_ms = 3;</code>
@@ -133,7 +133,7 @@
 
   /**
    * <pre>
-   * The counts of a window, as they are reported from now on.
+   * Final counts of a window; only these are reported.
    * </pre>
    *
    * <code>.cuminshelf.UsageWindow usage_settled = 13;</code>
@@ -142,7 +142,7 @@
   boolean hasUsageSettled();
   /**
    * <pre>
-   * The counts of a window, as they are reported from now on.
+   * Final counts of a window; only these are reported.
    * </pre>
    *
    * <code>.cuminshelf.UsageWindow usage_settled = 13;</code>
@@ -152,7 +152,7 @@
 
   /**
    * <pre>
-   * Number of a window whose report was acknowledged.
+   * Number of a window whose report the platform has acknowledged.
    * </pre>
    *
    * <code>uint64 usage_reported = 14;</code>
@@ -161,7 +161,7 @@
   boolean hasUsageReported();
   /**
    * <pre>
-   * Number of a window whose report was acknowledged.
+   * Number of a window whose report the platform has acknowledged.
    * </pre>
    *
    * <code>uint64 usage_reported = 14;</code>
--- a/src/main/java/org/cuminshelf/message/LogRecord.java
+++ b/src/main/java/org/cuminshelf/message/LogRecord.java
@@ -171,7 +171,7 @@
   public static final int CUT_FROM_FIELD_NUMBER = 3;
   /**
    * <pre>
-   * Removes all entries from this index on.
+   * Truncates the log: removes the entry at this index and all later ones.
    * </pre>
    *
    * <code>uint64 cut_from = 3;</code>
@@ -183,7 +183,7 @@
   }
   /**
    * <pre>
-   * Removes all entries from this index on.
+   * Truncates the log: removes the entry at this index and all later ones.
    * </pre>
    *
    * <code>uint64 cut_from = 3;</code>
@@ -198,7 +198,7 @@
   }
   /**
    * <pre>
-   * Removes all entries from this index on.
+   * Truncates the log: removes the entry at this index and all later ones.
    * </pre>
    *
    * <code>uint64 cut_from = 3;</code>
@@ -210,7 +210,7 @@
   }
   /**
    * <pre>
-   * Removes all entries from this index on.
+   * Truncates the log: removes the entry at this index and all later ones.
    * </pre>
    *
    * <code>uint64 cut_from = 3;</code>
@@ -225,7 +225,7 @@
   public static final int SNAPSHOT_FIELD_NUMBER = 4;
   /**
    * <pre>
-   * Replaces everything up to the snapshot's index.
+   * Replaces all entries up to and including the snapshot's index.
    * </pre>
    *
    * <code>.cuminshelf.Snapshot snapshot = 4;</code>
@@ -236,7 +236,7 @@
   }
   /**
    * <pre>
-   * Replaces everything up to the snapshot's index.
+   * Replaces all entries up to and including the snapshot's index.
    * </pre>
    *
    * <code>.cuminshelf.Snapshot snapshot = 4;</code>
@@ -250,7 +250,7 @@
   }
   /**
    * <pre>
-   * Replaces everything up to the snapshot's index.
+   * Replaces all entries up to and including the snapshot's index.
    * </pre>
    *
    * <code>.cuminshelf.Snapshot snapshot = 4;</code>
@@ -263,7 +263,7 @@
   }
   /**
    * <pre>
-   * Replaces everything up to the snapshot's index.
+   * Replaces all entries up to and including the snapshot's index.
    * </pre>
    *
    * <code>.cuminshelf.Snapshot snapshot = 4;</code>
@@ -282,7 +282,7 @@
   }
   /**
    * <pre>
-   * Replaces everything up to the snapshot's index.
+   * Replaces all entries up to and including the snapshot's index.
    * </pre>
    *
    * <code>.cuminshelf.Snapshot snapshot = 4;</code>
@@ -501,7 +501,7 @@
 
     /**
      * <pre>
-     * Removes all entries from this index on.
+     * Truncates the log: removes the entry at this index and all later ones.
      * </pre>
      *
      * <code>uint64 cut_from = 3;</code>
@@ -513,7 +513,7 @@
     }
     /**
      * <pre>
-     * Removes all entries from this index on.
+     * Truncates the log: removes the entry at this index and all later ones.
      * </pre>
      *
      * <code>uint64 cut_from = 3;</code>
@@ -525,7 +525,7 @@
     }
     /**
      * <pre>
-     * Removes all entries from this index on.
+     * Truncates the log: removes the entry at this index and all later ones.
      * </pre>
      *
      * <code>uint64 cut_from = 3;</code>
@@ -539,7 +539,7 @@
     }
     /**
      * <pre>
-     * Removes all entries from this index on.
+     * Truncates the log: removes the entry at this index and all later ones.
      * </pre>
      *
      * <code>uint64 cut_from = 3;</code>
@@ -553,7 +553,7 @@
 
     /**
      * <pre>
-     * Replaces everything up to the snapshot's index.
+     * Replaces all entries up to and including the snapshot's index.
      * </pre>
      *
      * <code>.cuminshelf.Snapshot snapshot = 4;</code>
@@ -564,7 +564,7 @@
     }
     /**
      * <pre>
-     * Replaces everything up to the snapshot's index.
+     * Replaces all entries up to and including the snapshot's index.
      * </pre>
      *
      * <code>.cuminshelf.Snapshot snapshot = 4;</code>
@@ -575,7 +575,7 @@
     }
     /**
      * <pre>
-     * Replaces everything up to the snapshot's index.
+     * Replaces all entries up to and including the snapshot's index.
      * </pre>
      *
      * <code>.cuminshelf.Snapshot snapshot = 4;</code>
@@ -587,7 +587,7 @@
     }
     /**
      * <pre>
-     * Replaces everything up to the snapshot's index.
+     * Replaces all entries up to and including the snapshot's index.
      * </pre>
      *
      * <code>.cuminshelf.Snapshot snapshot = 4;</code>
@@ -600,7 +600,7 @@
     }
     /**
      * <pre>
-     * Replaces everything up to the snapshot's index.
+     * Replaces all entries up to and including the snapshot's index.
      * </pre>
      *
      * <code>.cuminshelf.Snapshot snapshot = 4;</code>
@@ -612,7 +612,7 @@
     }
     /**
      * <pre>
-     * Replaces everything up to the snapshot's index.
+     * Replaces all entries up to and including the snapshot's index.
      * </pre>
      *
      * <code>.cuminshelf.Snapshot snapshot = 4;</code>
--- a/src/main/java/org/cuminshelf/message/LogRecordOrBuilder.java
+++ b/src/main/java/org/cuminshelf/message/LogRecordOrBuilder.java
@@ -34,7 +34,7 @@
 
   /**
    * <pre>
-   * Removes all entries from this index on.
+   * Truncates the log: removes the entry at this index and all later ones.
    * </pre>
    *
    * <code>uint64 cut_from = 3;</code>
@@ -43,7 +43,7 @@
   boolean hasCutFrom();
   /**
    * <pre>
-   * Removes all entries from this index on.
+   * Truncates the log: removes the entry at this index and all later ones.
    * </pre>
    *
    * <code>uint64 cut_from = 3;</code>
@@ -53,7 +53,7 @@
 
   /**
    * <pre>
-   * Replaces everything up to the snapshot's index.
+   * Replaces all entries up to and including the snapshot's index.
    * </pre>
    *
    * <code>.cuminshelf.Snapshot snapshot = 4;</code>
@@ -62,7 +62,7 @@
   boolean hasSnapshot();
   /**
    * <pre>
-   * Replaces everything up to the snapshot's index.
+   * Replaces all entries up to and including the snapshot's index.
    * </pre>
    *
    * <code>.cuminshelf.Snapshot snapshot = 4;</code>
--- a/src/main/java/org/cuminshelf/message/Member.java
+++ b/src/main/java/org/cuminshelf/message/Member.java
@@ -7,7 +7,7 @@
 
 /**
  * <pre>
- * One upstream of the directory.
+ * An upstream in the directory.
  * </pre>
  *
  * Protobuf type {@code cuminshelf.Member}
@@ -732,7 +732,7 @@
 
   /**
    * <pre>
-   * One upstream of the directory.
+   * An upstream in the directory.
    * </pre>
    *
    * Protobuf type {@code cuminshelf.Member}
--- a/src/main/java/org/cuminshelf/message/OfferedWork.java
+++ b/src/main/java/org/cuminshelf/message/OfferedWork.java
@@ -7,8 +7,9 @@
 
 /**
  * <pre>
- * What callers asked of one model, whether or not it could be served: in tokens, or, where entries learn what engines
- * need, in microseconds of an engine that only reads prompts and of a place of one that generates.
+ * Cumulative work that callers requested of one model, whether or not it was served. The unit is tokens; if entries
+ * learn the latency of engines, it is microseconds of prefill on an engine that only prefills (prefill) and
+ * microseconds of slot occupancy on an engine that generates (decode).
  * </pre>
  *
  * Protobuf type {@code cuminshelf.OfferedWork}
@@ -207,8 +208,9 @@
 
   /**
    * <pre>
-   * What callers asked of one model, whether or not it could be served: in tokens, or, where entries learn what engines
-   * need, in microseconds of an engine that only reads prompts and of a place of one that generates.
+   * Cumulative work that callers requested of one model, whether or not it was served. The unit is tokens; if entries
+   * learn the latency of engines, it is microseconds of prefill on an engine that only prefills (prefill) and
+   * microseconds of slot occupancy on an engine that generates (decode).
    * </pre>
    *
    * Protobuf type {@code cuminshelf.OfferedWork}
--- a/src/main/java/org/cuminshelf/message/Order.java
+++ b/src/main/java/org/cuminshelf/message/Order.java
@@ -123,7 +123,7 @@
   private long number_;
   /**
    * <pre>
-   * Index of the order in its group's log: the fencing number.
+   * Fencing number: index of the order in its group's log.
    * </pre>
    *
    * <code>uint64 number = 4;</code>
@@ -135,7 +135,7 @@
   }
   /**
    * <pre>
-   * Index of the order in its group's log: the fencing number.
+   * Fencing number: index of the order in its group's log.
    * </pre>
    *
    * <code>uint64 number = 4;</code>
@@ -147,7 +147,7 @@
   }
   /**
    * <pre>
-   * Index of the order in its group's log: the fencing number.
+   * Fencing number: index of the order in its group's log.
    * </pre>
    *
    * <code>uint64 number = 4;</code>
@@ -457,7 +457,7 @@
 
     /**
      * <pre>
-     * Index of the order in its group's log: the fencing number.
+     * Fencing number: index of the order in its group's log.
      * </pre>
      *
      * <code>uint64 number = 4;</code>
@@ -469,7 +469,7 @@
     }
     /**
      * <pre>
-     * Index of the order in its group's log: the fencing number.
+     * Fencing number: index of the order in its group's log.
      * </pre>
      *
      * <code>uint64 number = 4;</code>
@@ -483,7 +483,7 @@
     }
     /**
      * <pre>
-     * Index of the order in its group's log: the fencing number.
+     * Fencing number: index of the order in its group's log.
      * </pre>
      *
      * <code>uint64 number = 4;</code>
--- a/src/main/java/org/cuminshelf/message/OrderOrBuilder.java
+++ b/src/main/java/org/cuminshelf/message/OrderOrBuilder.java
@@ -36,7 +36,7 @@
 
   /**
    * <pre>
-   * Index of the order in its group's log: the fencing number.
+   * Fencing number: index of the order in its group's log.
    * </pre>
    *
    * <code>uint64 number = 4;</code>
--- a/src/main/java/org/cuminshelf/message/OrderSent.java
+++ b/src/main/java/org/cuminshelf/message/OrderSent.java
@@ -70,7 +70,7 @@
   private int startWithinMs_;
   /**
    * <pre>
-   * Time left in which the order may start.
+   * Remaining time in milliseconds in which execution of the order may start.
    * </pre>
    *
    * <code>uint32 start_within_ms = 2;</code>
@@ -82,7 +82,7 @@
   }
   /**
    * <pre>
-   * Time left in which the order may start.
+   * Remaining time in milliseconds in which execution of the order may start.
    * </pre>
    *
    * <code>uint32 start_within_ms = 2;</code>
@@ -94,7 +94,7 @@
   }
   /**
    * <pre>
-   * Time left in which the order may start.
+   * Remaining time in milliseconds in which execution of the order may start.
    * </pre>
    *
    * <code>uint32 start_within_ms = 2;</code>
@@ -298,7 +298,7 @@
 
     /**
      * <pre>
-     * Time left in which the order may start.
+     * Remaining time in milliseconds in which execution of the order may start.
      * </pre>
      *
      * <code>uint32 start_within_ms = 2;</code>
@@ -310,7 +310,7 @@
     }
     /**
      * <pre>
-     * Time left in which the order may start.
+     * Remaining time in milliseconds in which execution of the order may start.
      * </pre>
      *
      * <code>uint32 start_within_ms = 2;</code>
@@ -324,7 +324,7 @@
     }
     /**
      * <pre>
-     * Time left in which the order may start.
+     * Remaining time in milliseconds in which execution of the order may start.
      * </pre>
      *
      * <code>uint32 start_within_ms = 2;</code>
--- a/src/main/java/org/cuminshelf/message/OrderSentOrBuilder.java
+++ b/src/main/java/org/cuminshelf/message/OrderSentOrBuilder.java
@@ -23,7 +23,7 @@
 
   /**
    * <pre>
-   * Time left in which the order may start.
+   * Remaining time in milliseconds in which execution of the order may start.
    * </pre>
    *
    * <code>uint32 start_within_ms = 2;</code>
--- a/src/main/java/org/cuminshelf/message/Persist.java
+++ b/src/main/java/org/cuminshelf/message/Persist.java
@@ -7,7 +7,7 @@
 
 /**
  * <pre>
- * What a replica makes durable, in order, before anything that depends on it leaves the process.
+ * Records that a replica writes to durable storage, in order, before any message that depends on them is sent.
  * </pre>
  *
  * Protobuf type {@code cuminshelf.Persist}
@@ -278,7 +278,7 @@
 
   /**
    * <pre>
-   * What a replica makes durable, in order, before anything that depends on it leaves the process.
+   * Records that a replica writes to durable storage, in order, before any message that depends on them is sent.
    * </pre>
    *
    * Protobuf type {@code cuminshelf.Persist}
--- a/src/main/java/org/cuminshelf/message/QuarantinedRequest.java
+++ b/src/main/java/org/cuminshelf/message/QuarantinedRequest.java
@@ -7,7 +7,7 @@
 
 /**
  * <pre>
- * A request that is refused because upstreams crash when they run it, or that was.
+ * A request that is, or was, refused because upstreams crash when they execute it.
  * </pre>
  *
  * Protobuf type {@code cuminshelf.QuarantinedRequest}
@@ -80,7 +80,7 @@
   private int generation_;
   /**
    * <pre>
-   * Counts how often it was quarantined; rises when it is again after a release.
+   * Number of times the request was quarantined; incremented when it is quarantined again after a release.
    * </pre>
    *
    * <code>uint32 generation = 3;</code>
@@ -92,7 +92,7 @@
   }
   /**
    * <pre>
-   * Counts how often it was quarantined; rises when it is again after a release.
+   * Number of times the request was quarantined; incremented when it is quarantined again after a release.
    * </pre>
    *
    * <code>uint32 generation = 3;</code>
@@ -104,7 +104,7 @@
   }
   /**
    * <pre>
-   * Counts how often it was quarantined; rises when it is again after a release.
+   * Number of times the request was quarantined; incremented when it is quarantined again after a release.
    * </pre>
    *
    * <code>uint32 generation = 3;</code>
@@ -144,7 +144,7 @@
   private com.google.protobuf.Internal.ProtobufList<java.lang.String> upstreams_;
   /**
    * <pre>
-   * Starts of upstreams that crashed under it.
+   * Identities of the upstream instances that crashed while executing the request.
    * </pre>
    *
    * <code>repeated string upstreams = 5;</code>
@@ -156,7 +156,7 @@
   }
   /**
    * <pre>
-   * Starts of upstreams that crashed under it.
+   * Identities of the upstream instances that crashed while executing the request.
    * </pre>
    *
    * <code>repeated string upstreams = 5;</code>
@@ -168,7 +168,7 @@
   }
   /**
    * <pre>
-   * Starts of upstreams that crashed under it.
+   * Identities of the upstream instances that crashed while executing the request.
    * </pre>
    *
    * <code>repeated string upstreams = 5;</code>
@@ -181,7 +181,7 @@
   }
   /**
    * <pre>
-   * Starts of upstreams that crashed under it.
+   * Identities of the upstream instances that crashed while executing the request.
    * </pre>
    *
    * <code>repeated string upstreams = 5;</code>
@@ -203,7 +203,7 @@
   }
   /**
    * <pre>
-   * Starts of upstreams that crashed under it.
+   * Identities of the upstream instances that crashed while executing the request.
    * </pre>
    *
    * <code>repeated string upstreams = 5;</code>
@@ -219,7 +219,7 @@
   }
   /**
    * <pre>
-   * Starts of upstreams that crashed under it.
+   * Identities of the upstream instances that crashed while executing the request.
    * </pre>
    *
    * <code>repeated string upstreams = 5;</code>
@@ -234,7 +234,7 @@
   }
   /**
    * <pre>
-   * Starts of upstreams that crashed under it.
+   * Identities of the upstream instances that crashed while executing the request.
    * </pre>
    *
    * <code>repeated string upstreams = 5;</code>
@@ -248,7 +248,7 @@
   }
   /**
    * <pre>
-   * Starts of upstreams that crashed under it.
+   * Identities of the upstream instances that crashed while executing the request.
    * </pre>
    *
    * <code>repeated string upstreams = 5;</code>
@@ -258,7 +258,7 @@
   }
   /**
    * <pre>
-   * Starts of upstreams that crashed under it.
+   * Identities of the upstream instances that crashed while executing the request.
    * </pre>
    *
    * <code>repeated string upstreams = 5;</code>
@@ -275,7 +275,7 @@
   private java.lang.String foundBy_;
   /**
    * <pre>
-   * The entry that found it, and Unix milliseconds of when control wrote it down.
+   * The entry that detected it, and the time at which control recorded it, in Unix milliseconds.
    * </pre>
    *
    * <code>string found_by = 6;</code>
@@ -287,7 +287,7 @@
   }
   /**
    * <pre>
-   * The entry that found it, and Unix milliseconds of when control wrote it down.
+   * The entry that detected it, and the time at which control recorded it, in Unix milliseconds.
    * </pre>
    *
    * <code>string found_by = 6;</code>
@@ -300,7 +300,7 @@
   }
   /**
    * <pre>
-   * The entry that found it, and Unix milliseconds of when control wrote it down.
+   * The entry that detected it, and the time at which control recorded it, in Unix milliseconds.
    * </pre>
    *
    * <code>string found_by = 6;</code>
@@ -315,7 +315,7 @@
   }
   /**
    * <pre>
-   * The entry that found it, and Unix milliseconds of when control wrote it down.
+   * The entry that detected it, and the time at which control recorded it, in Unix milliseconds.
    * </pre>
    *
    * <code>string found_by = 6;</code>
@@ -326,7 +326,7 @@
   }
   /**
    * <pre>
-   * The entry that found it, and Unix milliseconds of when control wrote it down.
+   * The entry that detected it, and the time at which control recorded it, in Unix milliseconds.
    * </pre>
    *
    * <code>string found_by = 6;</code>
@@ -572,7 +572,7 @@
 
   /**
    * <pre>
-   * A request that is refused because upstreams crash when they run it, or that was.
+   * A request that is, or was, refused because upstreams crash when they execute it.
    * </pre>
    *
    * Protobuf type {@code cuminshelf.QuarantinedRequest}
@@ -646,7 +646,7 @@
 
     /**
      * <pre>
-     * Counts how often it was quarantined; rises when it is again after a release.
+     * Number of times the request was quarantined; incremented when it is quarantined again after a release.
      * </pre>
      *
      * <code>uint32 generation = 3;</code>
@@ -658,7 +658,7 @@
     }
     /**
      * <pre>
-     * Counts how often it was quarantined; rises when it is again after a release.
+     * Number of times the request was quarantined; incremented when it is quarantined again after a release.
      * </pre>
      *
      * <code>uint32 generation = 3;</code>
@@ -672,7 +672,7 @@
     }
     /**
      * <pre>
-     * Counts how often it was quarantined; rises when it is again after a release.
+     * Number of times the request was quarantined; incremented when it is quarantined again after a release.
      * </pre>
      *
      * <code>uint32 generation = 3;</code>
@@ -714,7 +714,7 @@
 
     /**
      * <pre>
-     * Starts of upstreams that crashed under it.
+     * Identities of the upstream instances that crashed while executing the request.
      * </pre>
      *
      * <code>repeated string upstreams = 5;</code>
@@ -728,7 +728,7 @@
     }
     /**
      * <pre>
-     * Starts of upstreams that crashed under it.
+     * Identities of the upstream instances that crashed while executing the request.
      * </pre>
      *
      * <code>repeated string upstreams = 5;</code>
@@ -740,7 +740,7 @@
     }
     /**
      * <pre>
-     * Starts of upstreams that crashed under it.
+     * Identities of the upstream instances that crashed while executing the request.
      * </pre>
      *
      * <code>repeated string upstreams = 5;</code>
@@ -753,7 +753,7 @@
     }
     /**
      * <pre>
-     * Starts of upstreams that crashed under it.
+     * Identities of the upstream instances that crashed while executing the request.
      * </pre>
      *
      * <code>repeated string upstreams = 5;</code>
@@ -767,7 +767,7 @@
     }
     /**
      * <pre>
-     * Starts of upstreams that crashed under it.
+     * Identities of the upstream instances that crashed while executing the request.
      * </pre>
      *
      * <code>repeated string upstreams = 5;</code>
@@ -783,7 +783,7 @@
     }
     /**
      * <pre>
-     * Starts of upstreams that crashed under it.
+     * Identities of the upstream instances that crashed while executing the request.
      * </pre>
      *
      * <code>repeated string upstreams = 5;</code>
@@ -798,7 +798,7 @@
     }
     /**
      * <pre>
-     * Starts of upstreams that crashed under it.
+     * Identities of the upstream instances that crashed while executing the request.
      * </pre>
      *
      * <code>repeated string upstreams = 5;</code>
@@ -813,7 +813,7 @@
     }
     /**
      * <pre>
-     * Starts of upstreams that crashed under it.
+     * Identities of the upstream instances that crashed while executing the request.
      * </pre>
      *
      * <code>repeated string upstreams = 5;</code>
@@ -826,7 +826,7 @@
     }
     /**
      * <pre>
-     * Starts of upstreams that crashed under it.
+     * Identities of the upstream instances that crashed while executing the request.
      * </pre>
      *
      * <code>repeated string upstreams = 5;</code>
@@ -842,7 +842,7 @@
 
     /**
      * <pre>
-     * The entry that found it, and Unix milliseconds of when control wrote it down.
+     * The entry that detected it, and the time at which control recorded it, in Unix milliseconds.
      * </pre>
      *
      * <code>string found_by = 6;</code>
@@ -854,7 +854,7 @@
     }
     /**
      * <pre>
-     * The entry that found it, and Unix milliseconds of when control wrote it down.
+     * The entry that detected it, and the time at which control recorded it, in Unix milliseconds.
      * </pre>
      *
      * <code>string found_by = 6;</code>
@@ -867,7 +867,7 @@
     }
     /**
      * <pre>
-     * The entry that found it, and Unix milliseconds of when control wrote it down.
+     * The entry that detected it, and the time at which control recorded it, in Unix milliseconds.
      * </pre>
      *
      * <code>string found_by = 6;</code>
@@ -882,7 +882,7 @@
     }
     /**
      * <pre>
-     * The entry that found it, and Unix milliseconds of when control wrote it down.
+     * The entry that detected it, and the time at which control recorded it, in Unix milliseconds.
      * </pre>
      *
      * <code>string found_by = 6;</code>
@@ -895,7 +895,7 @@
     }
     /**
      * <pre>
-     * The entry that found it, and Unix milliseconds of when control wrote it down.
+     * The entry that detected it, and the time at which control recorded it, in Unix milliseconds.
      * </pre>
      *
      * <code>string found_by = 6;</code>
--- a/src/main/java/org/cuminshelf/message/QuarantinedRequestOrBuilder.java
+++ b/src/main/java/org/cuminshelf/message/QuarantinedRequestOrBuilder.java
@@ -24,7 +24,7 @@
 
   /**
    * <pre>
-   * Counts how often it was quarantined; rises when it is again after a release.
+   * Number of times the request was quarantined; incremented when it is quarantined again after a release.
    * </pre>
    *
    * <code>uint32 generation = 3;</code>
@@ -40,7 +40,7 @@
 
   /**
    * <pre>
-   * Starts of upstreams that crashed under it.
+   * Identities of the upstream instances that crashed while executing the request.
    * </pre>
    *
    * <code>repeated string upstreams = 5;</code>
@@ -50,7 +50,7 @@
       getUpstreamsList();
   /**
    * <pre>
-   * Starts of upstreams that crashed under it.
+   * Identities of the upstream instances that crashed while executing the request.
    * </pre>
    *
    * <code>repeated string upstreams = 5;</code>
@@ -59,7 +59,7 @@
   int getUpstreamsCount();
   /**
    * <pre>
-   * Starts of upstreams that crashed under it.
+   * Identities of the upstream instances that crashed while executing the request.
    * </pre>
    *
    * <code>repeated string upstreams = 5;</code>
@@ -69,7 +69,7 @@
   java.lang.String getUpstreams(int index);
   /**
    * <pre>
-   * Starts of upstreams that crashed under it.
+   * Identities of the upstream instances that crashed while executing the request.
    * </pre>
    *
    * <code>repeated string upstreams = 5;</code>
@@ -81,7 +81,7 @@
 
   /**
    * <pre>
-   * The entry that found it, and Unix milliseconds of when control wrote it down.
+   * The entry that detected it, and the time at which control recorded it, in Unix milliseconds.
    * </pre>
    *
    * <code>string found_by = 6;</code>
@@ -90,7 +90,7 @@
   java.lang.String getFoundBy();
   /**
    * <pre>
-   * The entry that found it, and Unix milliseconds of when control wrote it down.
+   * The entry that detected it, and the time at which control recorded it, in Unix milliseconds.
    * </pre>
    *
    * <code>string found_by = 6;</code>
--- a/src/main/java/org/cuminshelf/message/Ran.java
+++ b/src/main/java/org/cuminshelf/message/Ran.java
@@ -7,7 +7,7 @@
 
 /**
  * <pre>
- * Whether a request may have run.
+ * Whether a request was executed.
  * </pre>
  *
  * Protobuf enum {@code cuminshelf.Ran}
@@ -21,7 +21,7 @@
   RAN_UNSPECIFIED(0),
   /**
    * <pre>
-   * The request did not run and never will under this attempt.
+   * The request was not executed and never will be as part of this attempt.
    * </pre>
    *
    * <code>NOT_RUN = 1;</code>
@@ -44,7 +44,7 @@
   public static final int RAN_UNSPECIFIED_VALUE = 0;
   /**
    * <pre>
-   * The request did not run and never will under this attempt.
+   * The request was not executed and never will be as part of this attempt.
    * </pre>
    *
    * <code>NOT_RUN = 1;</code>
--- a/src/main/java/org/cuminshelf/message/ReadUpstream.java
+++ b/src/main/java/org/cuminshelf/message/ReadUpstream.java
@@ -20,7 +20,7 @@
   private long token_;
   /**
    * <pre>
-   * Echoed in the state, so that an old reading is told from a new one.
+   * Returned in UpstreamState, so that an outdated reading can be distinguished from a new one.
    * </pre>
    *
    * <code>uint64 token = 1;</code>
@@ -32,7 +32,7 @@
   }
   /**
    * <pre>
-   * Echoed in the state, so that an old reading is told from a new one.
+   * Returned in UpstreamState, so that an outdated reading can be distinguished from a new one.
    * </pre>
    *
    * <code>uint64 token = 1;</code>
@@ -44,7 +44,7 @@
   }
   /**
    * <pre>
-   * Echoed in the state, so that an old reading is told from a new one.
+   * Returned in UpstreamState, so that an outdated reading can be distinguished from a new one.
    * </pre>
    *
    * <code>uint64 token = 1;</code>
@@ -153,7 +153,7 @@
 
     /**
      * <pre>
-     * Echoed in the state, so that an old reading is told from a new one.
+     * Returned in UpstreamState, so that an outdated reading can be distinguished from a new one.
      * </pre>
      *
      * <code>uint64 token = 1;</code>
@@ -165,7 +165,7 @@
     }
     /**
      * <pre>
-     * Echoed in the state, so that an old reading is told from a new one.
+     * Returned in UpstreamState, so that an outdated reading can be distinguished from a new one.
      * </pre>
      *
      * <code>uint64 token = 1;</code>
@@ -179,7 +179,7 @@
     }
     /**
      * <pre>
-     * Echoed in the state, so that an old reading is told from a new one.
+     * Returned in UpstreamState, so that an outdated reading can be distinguished from a new one.
      * </pre>
      *
      * <code>uint64 token = 1;</code>
--- a/src/main/java/org/cuminshelf/message/ReadUpstreamOrBuilder.java
+++ b/src/main/java/org/cuminshelf/message/ReadUpstreamOrBuilder.java
@@ -12,7 +12,7 @@
 
   /**
    * <pre>
-   * Echoed in the state, so that an old reading is told from a new one.
+   * Returned in UpstreamState, so that an outdated reading can be distinguished from a new one.
    * </pre>
    *
    * <code>uint64 token = 1;</code>
--- a/src/main/java/org/cuminshelf/message/Received.java
+++ b/src/main/java/org/cuminshelf/message/Received.java
@@ -7,7 +7,7 @@
 
 /**
  * <pre>
- * The entry holds the whole answer: the sidecar may forget it.
+ * The entry has received the complete response, so the sidecar may discard it.
  * </pre>
  *
  * Protobuf type {@code cuminshelf.Received}
@@ -157,7 +157,7 @@
 
   /**
    * <pre>
-   * The entry holds the whole answer: the sidecar may forget it.
+   * The entry has received the complete response, so the sidecar may discard it.
    * </pre>
    *
    * Protobuf type {@code cuminshelf.Received}
--- a/src/main/java/org/cuminshelf/message/Refused.java
+++ b/src/main/java/org/cuminshelf/message/Refused.java
@@ -7,7 +7,7 @@
 
 /**
  * <pre>
- * The dispatch was refused; it did not run and never will.
+ * The dispatch was refused; it was not executed and never will be.
  * </pre>
  *
  * Protobuf type {@code cuminshelf.Refused}
@@ -275,7 +275,7 @@
 
   /**
    * <pre>
-   * The dispatch was refused; it did not run and never will.
+   * The dispatch was refused; it was not executed and never will be.
    * </pre>
    *
    * Protobuf type {@code cuminshelf.Refused}
--- a/src/main/java/org/cuminshelf/message/RegionMachineState.java
+++ b/src/main/java/org/cuminshelf/message/RegionMachineState.java
@@ -7,7 +7,7 @@
 
 /**
  * <pre>
- * State of a region group's machine in a snapshot.
+ * State of a region group's state machine in a snapshot.
  * </pre>
  *
  * Protobuf type {@code cuminshelf.RegionMachineState}
@@ -425,7 +425,7 @@
 
   /**
    * <pre>
-   * State of a region group's machine in a snapshot.
+   * State of a region group's state machine in a snapshot.
    * </pre>
    *
    * Protobuf type {@code cuminshelf.RegionMachineState}
--- a/src/main/java/org/cuminshelf/message/ReplicaHeader.java
+++ b/src/main/java/org/cuminshelf/message/ReplicaHeader.java
@@ -147,7 +147,7 @@
   private long target_;
   /**
    * <pre>
-   * Identity that the message is meant for; 0 for an answer.
+   * Identity of the intended receiver; 0 for an answer.
    * </pre>
    *
    * <code>fixed64 target = 5;</code>
@@ -159,7 +159,7 @@
   }
   /**
    * <pre>
-   * Identity that the message is meant for; 0 for an answer.
+   * Identity of the intended receiver; 0 for an answer.
    * </pre>
    *
    * <code>fixed64 target = 5;</code>
@@ -171,7 +171,7 @@
   }
   /**
    * <pre>
-   * Identity that the message is meant for; 0 for an answer.
+   * Identity of the intended receiver; 0 for an answer.
    * </pre>
    *
    * <code>fixed64 target = 5;</code>
@@ -413,7 +413,7 @@
 
     /**
      * <pre>
-     * Identity that the message is meant for; 0 for an answer.
+     * Identity of the intended receiver; 0 for an answer.
      * </pre>
      *
      * <code>fixed64 target = 5;</code>
@@ -425,7 +425,7 @@
     }
     /**
      * <pre>
-     * Identity that the message is meant for; 0 for an answer.
+     * Identity of the intended receiver; 0 for an answer.
      * </pre>
      *
      * <code>fixed64 target = 5;</code>
@@ -439,7 +439,7 @@
     }
     /**
      * <pre>
-     * Identity that the message is meant for; 0 for an answer.
+     * Identity of the intended receiver; 0 for an answer.
      * </pre>
      *
      * <code>fixed64 target = 5;</code>
--- a/src/main/java/org/cuminshelf/message/ReplicaHeaderOrBuilder.java
+++ b/src/main/java/org/cuminshelf/message/ReplicaHeaderOrBuilder.java
@@ -42,7 +42,7 @@
 
   /**
    * <pre>
-   * Identity that the message is meant for; 0 for an answer.
+   * Identity of the intended receiver; 0 for an answer.
    * </pre>
    *
    * <code>fixed64 target = 5;</code>
--- a/src/main/java/org/cuminshelf/message/RestingUpstream.java
+++ b/src/main/java/org/cuminshelf/message/RestingUpstream.java
@@ -6,6 +6,10 @@
 package org.cuminshelf.message;
 
 /**
+ * <pre>
+ * Remaining backoff that an upstream instance requested.
+ * </pre>
+ *
  * Protobuf type {@code cuminshelf.RestingUpstream}
  */
 @com.google.protobuf.Generated
@@ -21,7 +25,7 @@
   private java.lang.String upstream_;
   /**
    * <pre>
-   * The start of the upstream.
+   * Identity of the upstream instance.
    * </pre>
    *
    * <code>string upstream = 1;</code>
@@ -33,7 +37,7 @@
   }
   /**
    * <pre>
-   * The start of the upstream.
+   * Identity of the upstream instance.
    * </pre>
    *
    * <code>string upstream = 1;</code>
@@ -46,7 +50,7 @@
   }
   /**
    * <pre>
-   * The start of the upstream.
+   * Identity of the upstream instance.
    * </pre>
    *
    * <code>string upstream = 1;</code>
@@ -61,7 +65,7 @@
   }
   /**
    * <pre>
-   * The start of the upstream.
+   * Identity of the upstream instance.
    * </pre>
    *
    * <code>string upstream = 1;</code>
@@ -72,7 +76,7 @@
   }
   /**
    * <pre>
-   * The start of the upstream.
+   * Identity of the upstream instance.
    * </pre>
    *
    * <code>string upstream = 1;</code>
@@ -89,7 +93,7 @@
   private long leftUs_;
   /**
    * <pre>
-   * Microseconds of the rest that are left.
+   * Remaining backoff in microseconds.
    * </pre>
    *
    * <code>uint64 left_us = 2;</code>
@@ -101,7 +105,7 @@
   }
   /**
    * <pre>
-   * Microseconds of the rest that are left.
+   * Remaining backoff in microseconds.
    * </pre>
    *
    * <code>uint64 left_us = 2;</code>
@@ -113,7 +117,7 @@
   }
   /**
    * <pre>
-   * Microseconds of the rest that are left.
+   * Remaining backoff in microseconds.
    * </pre>
    *
    * <code>uint64 left_us = 2;</code>
@@ -207,6 +211,10 @@
   }
 
   /**
+   * <pre>
+   * Remaining backoff that an upstream instance requested.
+   * </pre>
+   *
    * Protobuf type {@code cuminshelf.RestingUpstream}
    */
   public static final class Builder extends
@@ -222,7 +230,7 @@
 
     /**
      * <pre>
-     * The start of the upstream.
+     * Identity of the upstream instance.
      * </pre>
      *
      * <code>string upstream = 1;</code>
@@ -234,7 +242,7 @@
     }
     /**
      * <pre>
-     * The start of the upstream.
+     * Identity of the upstream instance.
      * </pre>
      *
      * <code>string upstream = 1;</code>
@@ -247,7 +255,7 @@
     }
     /**
      * <pre>
-     * The start of the upstream.
+     * Identity of the upstream instance.
      * </pre>
      *
      * <code>string upstream = 1;</code>
@@ -262,7 +270,7 @@
     }
     /**
      * <pre>
-     * The start of the upstream.
+     * Identity of the upstream instance.
      * </pre>
      *
      * <code>string upstream = 1;</code>
@@ -275,7 +283,7 @@
     }
     /**
      * <pre>
-     * The start of the upstream.
+     * Identity of the upstream instance.
      * </pre>
      *
      * <code>string upstream = 1;</code>
@@ -291,7 +299,7 @@
 
     /**
      * <pre>
-     * Microseconds of the rest that are left.
+     * Remaining backoff in microseconds.
      * </pre>
      *
      * <code>uint64 left_us = 2;</code>
@@ -303,7 +311,7 @@
     }
     /**
      * <pre>
-     * Microseconds of the rest that are left.
+     * Remaining backoff in microseconds.
      * </pre>
      *
      * <code>uint64 left_us = 2;</code>
@@ -317,7 +325,7 @@
     }
     /**
      * <pre>
-     * Microseconds of the rest that are left.
+     * Remaining backoff in microseconds.
      * </pre>
      *
      * <code>uint64 left_us = 2;</code>
--- a/src/main/java/org/cuminshelf/message/RestingUpstreamOrBuilder.java
+++ b/src/main/java/org/cuminshelf/message/RestingUpstreamOrBuilder.java
@@ -12,7 +12,7 @@
 
   /**
    * <pre>
-   * The start of the upstream.
+   * Identity of the upstream instance.
    * </pre>
    *
    * <code>string upstream = 1;</code>
@@ -21,7 +21,7 @@
   java.lang.String getUpstream();
   /**
    * <pre>
-   * The start of the upstream.
+   * Identity of the upstream instance.
    * </pre>
    *
    * <code>string upstream = 1;</code>
@@ -32,7 +32,7 @@
 
   /**
    * <pre>
-   * Microseconds of the rest that are left.
+   * Remaining backoff in microseconds.
    * </pre>
    *
    * <code>uint64 left_us = 2;</code>
--- a/src/main/java/org/cuminshelf/message/Revoke.java
+++ b/src/main/java/org/cuminshelf/message/Revoke.java
@@ -7,7 +7,7 @@
 
 /**
  * <pre>
- * Asks what became of an attempt; an attempt that never arrived is forbidden from then on.
+ * Queries the state of an attempt. If its dispatch has not arrived, the sidecar refuses it from then on.
  * </pre>
  *
  * Protobuf type {@code cuminshelf.Revoke}
@@ -76,7 +76,7 @@
   private long held_;
   /**
    * <pre>
-   * Tokens or bytes already held.
+   * Number of tokens or bytes of the response that the entry has already received.
    * </pre>
    *
    * <code>uint64 held = 3;</code>
@@ -88,7 +88,7 @@
   }
   /**
    * <pre>
-   * Tokens or bytes already held.
+   * Number of tokens or bytes of the response that the entry has already received.
    * </pre>
    *
    * <code>uint64 held = 3;</code>
@@ -100,7 +100,7 @@
   }
   /**
    * <pre>
-   * Tokens or bytes already held.
+   * Number of tokens or bytes of the response that the entry has already received.
    * </pre>
    *
    * <code>uint64 held = 3;</code>
@@ -114,7 +114,7 @@
   private long question_;
   /**
    * <pre>
-   * Call of the asking entry, echoed.
+   * Call number of the querying entry, returned in the answer.
    * </pre>
    *
    * <code>uint64 question = 4;</code>
@@ -126,7 +126,7 @@
   }
   /**
    * <pre>
-   * Call of the asking entry, echoed.
+   * Call number of the querying entry, returned in the answer.
    * </pre>
    *
    * <code>uint64 question = 4;</code>
@@ -138,7 +138,7 @@
   }
   /**
    * <pre>
-   * Call of the asking entry, echoed.
+   * Call number of the querying entry, returned in the answer.
    * </pre>
    *
    * <code>uint64 question = 4;</code>
@@ -233,7 +233,7 @@
 
   /**
    * <pre>
-   * Asks what became of an attempt; an attempt that never arrived is forbidden from then on.
+   * Queries the state of an attempt. If its dispatch has not arrived, the sidecar refuses it from then on.
    * </pre>
    *
    * Protobuf type {@code cuminshelf.Revoke}
@@ -307,7 +307,7 @@
 
     /**
      * <pre>
-     * Tokens or bytes already held.
+     * Number of tokens or bytes of the response that the entry has already received.
      * </pre>
      *
      * <code>uint64 held = 3;</code>
@@ -319,7 +319,7 @@
     }
     /**
      * <pre>
-     * Tokens or bytes already held.
+     * Number of tokens or bytes of the response that the entry has already received.
      * </pre>
      *
      * <code>uint64 held = 3;</code>
@@ -333,7 +333,7 @@
     }
     /**
      * <pre>
-     * Tokens or bytes already held.
+     * Number of tokens or bytes of the response that the entry has already received.
      * </pre>
      *
      * <code>uint64 held = 3;</code>
@@ -347,7 +347,7 @@
 
     /**
      * <pre>
-     * Call of the asking entry, echoed.
+     * Call number of the querying entry, returned in the answer.
      * </pre>
      *
      * <code>uint64 question = 4;</code>
@@ -359,7 +359,7 @@
     }
     /**
      * <pre>
-     * Call of the asking entry, echoed.
+     * Call number of the querying entry, returned in the answer.
      * </pre>
      *
      * <code>uint64 question = 4;</code>
@@ -373,7 +373,7 @@
     }
     /**
      * <pre>
-     * Call of the asking entry, echoed.
+     * Call number of the querying entry, returned in the answer.
      * </pre>
      *
      * <code>uint64 question = 4;</code>
--- a/src/main/java/org/cuminshelf/message/RevokeAnswer.java
+++ b/src/main/java/org/cuminshelf/message/RevokeAnswer.java
@@ -143,7 +143,8 @@
   private org.cuminshelf.message.ExchangeHead head_;
   /**
    * <pre>
-   * The rest of the answer, where the attempt has ended and it was asked by another entry.
+   * The response held by the sidecar, set if the attempt has ended and the query came from an entry other than the one
+   * that dispatched it.
    * </pre>
    *
    * <code>.cuminshelf.ExchangeHead head = 5;</code>
@@ -154,7 +155,8 @@
   }
   /**
    * <pre>
-   * The rest of the answer, where the attempt has ended and it was asked by another entry.
+   * The response held by the sidecar, set if the attempt has ended and the query came from an entry other than the one
+   * that dispatched it.
    * </pre>
    *
    * <code>.cuminshelf.ExchangeHead head = 5;</code>
@@ -165,7 +167,8 @@
   }
   /**
    * <pre>
-   * The rest of the answer, where the attempt has ended and it was asked by another entry.
+   * The response held by the sidecar, set if the attempt has ended and the query came from an entry other than the one
+   * that dispatched it.
    * </pre>
    *
    * <code>.cuminshelf.ExchangeHead head = 5;</code>
@@ -178,7 +181,8 @@
   }
   /**
    * <pre>
-   * The rest of the answer, where the attempt has ended and it was asked by another entry.
+   * The response held by the sidecar, set if the attempt has ended and the query came from an entry other than the one
+   * that dispatched it.
    * </pre>
    *
    * <code>.cuminshelf.ExchangeHead head = 5;</code>
@@ -197,7 +201,8 @@
   }
   /**
    * <pre>
-   * The rest of the answer, where the attempt has ended and it was asked by another entry.
+   * The response held by the sidecar, set if the attempt has ended and the query came from an entry other than the one
+   * that dispatched it.
    * </pre>
    *
    * <code>.cuminshelf.ExchangeHead head = 5;</code>
@@ -512,7 +517,8 @@
 
     /**
      * <pre>
-     * The rest of the answer, where the attempt has ended and it was asked by another entry.
+     * The response held by the sidecar, set if the attempt has ended and the query came from an entry other than the one
+     * that dispatched it.
      * </pre>
      *
      * <code>.cuminshelf.ExchangeHead head = 5;</code>
@@ -523,7 +529,8 @@
     }
     /**
      * <pre>
-     * The rest of the answer, where the attempt has ended and it was asked by another entry.
+     * The response held by the sidecar, set if the attempt has ended and the query came from an entry other than the one
+     * that dispatched it.
      * </pre>
      *
      * <code>.cuminshelf.ExchangeHead head = 5;</code>
@@ -534,7 +541,8 @@
     }
     /**
      * <pre>
-     * The rest of the answer, where the attempt has ended and it was asked by another entry.
+     * The response held by the sidecar, set if the attempt has ended and the query came from an entry other than the one
+     * that dispatched it.
      * </pre>
      *
      * <code>.cuminshelf.ExchangeHead head = 5;</code>
@@ -546,7 +554,8 @@
       }
     /**
      * <pre>
-     * The rest of the answer, where the attempt has ended and it was asked by another entry.
+     * The response held by the sidecar, set if the attempt has ended and the query came from an entry other than the one
+     * that dispatched it.
      * </pre>
      *
      * <code>.cuminshelf.ExchangeHead head = 5;</code>
@@ -559,7 +568,8 @@
     }
     /**
      * <pre>
-     * The rest of the answer, where the attempt has ended and it was asked by another entry.
+     * The response held by the sidecar, set if the attempt has ended and the query came from an entry other than the one
+     * that dispatched it.
      * </pre>
      *
      * <code>.cuminshelf.ExchangeHead head = 5;</code>
@@ -571,7 +581,8 @@
     }
     /**
      * <pre>
-     * The rest of the answer, where the attempt has ended and it was asked by another entry.
+     * The response held by the sidecar, set if the attempt has ended and the query came from an entry other than the one
+     * that dispatched it.
      * </pre>
      *
      * <code>.cuminshelf.ExchangeHead head = 5;</code>
--- a/src/main/java/org/cuminshelf/message/RevokeAnswerOrBuilder.java
+++ b/src/main/java/org/cuminshelf/message/RevokeAnswerOrBuilder.java
@@ -41,7 +41,8 @@
 
   /**
    * <pre>
-   * The rest of the answer, where the attempt has ended and it was asked by another entry.
+   * The response held by the sidecar, set if the attempt has ended and the query came from an entry other than the one
+   * that dispatched it.
    * </pre>
    *
    * <code>.cuminshelf.ExchangeHead head = 5;</code>
@@ -50,7 +51,8 @@
   boolean hasHead();
   /**
    * <pre>
-   * The rest of the answer, where the attempt has ended and it was asked by another entry.
+   * The response held by the sidecar, set if the attempt has ended and the query came from an entry other than the one
+   * that dispatched it.
    * </pre>
    *
    * <code>.cuminshelf.ExchangeHead head = 5;</code>
--- a/src/main/java/org/cuminshelf/message/RevokeOrBuilder.java
+++ b/src/main/java/org/cuminshelf/message/RevokeOrBuilder.java
@@ -24,7 +24,7 @@
 
   /**
    * <pre>
-   * Tokens or bytes already held.
+   * Number of tokens or bytes of the response that the entry has already received.
    * </pre>
    *
    * <code>uint64 held = 3;</code>
@@ -34,7 +34,7 @@
 
   /**
    * <pre>
-   * Call of the asking entry, echoed.
+   * Call number of the querying entry, returned in the answer.
    * </pre>
    *
    * <code>uint64 question = 4;</code>
--- a/src/main/java/org/cuminshelf/message/SentPrompt.java
+++ b/src/main/java/org/cuminshelf/message/SentPrompt.java
@@ -6,6 +6,10 @@
 package org.cuminshelf.message;
 
 /**
+ * <pre>
+ * A prompt that an entry sent to an engine.
+ * </pre>
+ *
  * Protobuf type {@code cuminshelf.SentPrompt}
  */
 @com.google.protobuf.Generated
@@ -71,7 +75,7 @@
   private com.google.protobuf.Internal.ProtobufList<java.lang.String> parts_;
   /**
    * <pre>
-   * Its parts in order.
+   * Identities of the prompt's segments, in order, and the number of tokens in each.
    * </pre>
    *
    * <code>repeated string parts = 2;</code>
@@ -83,7 +87,7 @@
   }
   /**
    * <pre>
-   * Its parts in order.
+   * Identities of the prompt's segments, in order, and the number of tokens in each.
    * </pre>
    *
    * <code>repeated string parts = 2;</code>
@@ -95,7 +99,7 @@
   }
   /**
    * <pre>
-   * Its parts in order.
+   * Identities of the prompt's segments, in order, and the number of tokens in each.
    * </pre>
    *
    * <code>repeated string parts = 2;</code>
@@ -108,7 +112,7 @@
   }
   /**
    * <pre>
-   * Its parts in order.
+   * Identities of the prompt's segments, in order, and the number of tokens in each.
    * </pre>
    *
    * <code>repeated string parts = 2;</code>
@@ -130,7 +134,7 @@
   }
   /**
    * <pre>
-   * Its parts in order.
+   * Identities of the prompt's segments, in order, and the number of tokens in each.
    * </pre>
    *
    * <code>repeated string parts = 2;</code>
@@ -146,7 +150,7 @@
   }
   /**
    * <pre>
-   * Its parts in order.
+   * Identities of the prompt's segments, in order, and the number of tokens in each.
    * </pre>
    *
    * <code>repeated string parts = 2;</code>
@@ -161,7 +165,7 @@
   }
   /**
    * <pre>
-   * Its parts in order.
+   * Identities of the prompt's segments, in order, and the number of tokens in each.
    * </pre>
    *
    * <code>repeated string parts = 2;</code>
@@ -175,7 +179,7 @@
   }
   /**
    * <pre>
-   * Its parts in order.
+   * Identities of the prompt's segments, in order, and the number of tokens in each.
    * </pre>
    *
    * <code>repeated string parts = 2;</code>
@@ -185,7 +189,7 @@
   }
   /**
    * <pre>
-   * Its parts in order.
+   * Identities of the prompt's segments, in order, and the number of tokens in each.
    * </pre>
    *
    * <code>repeated string parts = 2;</code>
@@ -273,7 +277,7 @@
   private int readyUs_;
   /**
    * <pre>
-   * Microseconds after which the engine is expected to have read them.
+   * Predicted time in microseconds until the engine has prefilled them.
    * </pre>
    *
    * <code>uint32 ready_us = 4;</code>
@@ -285,7 +289,7 @@
   }
   /**
    * <pre>
-   * Microseconds after which the engine is expected to have read them.
+   * Predicted time in microseconds until the engine has prefilled them.
    * </pre>
    *
    * <code>uint32 ready_us = 4;</code>
@@ -297,7 +301,7 @@
   }
   /**
    * <pre>
-   * Microseconds after which the engine is expected to have read them.
+   * Predicted time in microseconds until the engine has prefilled them.
    * </pre>
    *
    * <code>uint32 ready_us = 4;</code>
@@ -391,6 +395,10 @@
   }
 
   /**
+   * <pre>
+   * A prompt that an entry sent to an engine.
+   * </pre>
+   *
    * Protobuf type {@code cuminshelf.SentPrompt}
    */
   public static final class Builder extends
@@ -455,7 +463,7 @@
 
     /**
      * <pre>
-     * Its parts in order.
+     * Identities of the prompt's segments, in order, and the number of tokens in each.
      * </pre>
      *
      * <code>repeated string parts = 2;</code>
@@ -469,7 +477,7 @@
     }
     /**
      * <pre>
-     * Its parts in order.
+     * Identities of the prompt's segments, in order, and the number of tokens in each.
      * </pre>
      *
      * <code>repeated string parts = 2;</code>
@@ -481,7 +489,7 @@
     }
     /**
      * <pre>
-     * Its parts in order.
+     * Identities of the prompt's segments, in order, and the number of tokens in each.
      * </pre>
      *
      * <code>repeated string parts = 2;</code>
@@ -494,7 +502,7 @@
     }
     /**
      * <pre>
-     * Its parts in order.
+     * Identities of the prompt's segments, in order, and the number of tokens in each.
      * </pre>
      *
      * <code>repeated string parts = 2;</code>
@@ -508,7 +516,7 @@
     }
     /**
      * <pre>
-     * Its parts in order.
+     * Identities of the prompt's segments, in order, and the number of tokens in each.
      * </pre>
      *
      * <code>repeated string parts = 2;</code>
@@ -524,7 +532,7 @@
     }
     /**
      * <pre>
-     * Its parts in order.
+     * Identities of the prompt's segments, in order, and the number of tokens in each.
      * </pre>
      *
      * <code>repeated string parts = 2;</code>
@@ -539,7 +547,7 @@
     }
     /**
      * <pre>
-     * Its parts in order.
+     * Identities of the prompt's segments, in order, and the number of tokens in each.
      * </pre>
      *
      * <code>repeated string parts = 2;</code>
@@ -554,7 +562,7 @@
     }
     /**
      * <pre>
-     * Its parts in order.
+     * Identities of the prompt's segments, in order, and the number of tokens in each.
      * </pre>
      *
      * <code>repeated string parts = 2;</code>
@@ -567,7 +575,7 @@
     }
     /**
      * <pre>
-     * Its parts in order.
+     * Identities of the prompt's segments, in order, and the number of tokens in each.
      * </pre>
      *
      * <code>repeated string parts = 2;</code>
@@ -652,7 +660,7 @@
 
     /**
      * <pre>
-     * Microseconds after which the engine is expected to have read them.
+     * Predicted time in microseconds until the engine has prefilled them.
      * </pre>
      *
      * <code>uint32 ready_us = 4;</code>
@@ -664,7 +672,7 @@
     }
     /**
      * <pre>
-     * Microseconds after which the engine is expected to have read them.
+     * Predicted time in microseconds until the engine has prefilled them.
      * </pre>
      *
      * <code>uint32 ready_us = 4;</code>
@@ -678,7 +686,7 @@
     }
     /**
      * <pre>
-     * Microseconds after which the engine is expected to have read them.
+     * Predicted time in microseconds until the engine has prefilled them.
      * </pre>
      *
      * <code>uint32 ready_us = 4;</code>
--- a/src/main/java/org/cuminshelf/message/SentPromptOrBuilder.java
+++ b/src/main/java/org/cuminshelf/message/SentPromptOrBuilder.java
@@ -24,7 +24,7 @@
 
   /**
    * <pre>
-   * Its parts in order.
+   * Identities of the prompt's segments, in order, and the number of tokens in each.
    * </pre>
    *
    * <code>repeated string parts = 2;</code>
@@ -34,7 +34,7 @@
       getPartsList();
   /**
    * <pre>
-   * Its parts in order.
+   * Identities of the prompt's segments, in order, and the number of tokens in each.
    * </pre>
    *
    * <code>repeated string parts = 2;</code>
@@ -43,7 +43,7 @@
   int getPartsCount();
   /**
    * <pre>
-   * Its parts in order.
+   * Identities of the prompt's segments, in order, and the number of tokens in each.
    * </pre>
    *
    * <code>repeated string parts = 2;</code>
@@ -53,7 +53,7 @@
   java.lang.String getParts(int index);
   /**
    * <pre>
-   * Its parts in order.
+   * Identities of the prompt's segments, in order, and the number of tokens in each.
    * </pre>
    *
    * <code>repeated string parts = 2;</code>
@@ -82,7 +82,7 @@
 
   /**
    * <pre>
-   * Microseconds after which the engine is expected to have read them.
+   * Predicted time in microseconds until the engine has prefilled them.
    * </pre>
    *
    * <code>uint32 ready_us = 4;</code>
--- a/src/main/java/org/cuminshelf/message/ServiceDemand.java
+++ b/src/main/java/org/cuminshelf/message/ServiceDemand.java
@@ -6,6 +6,10 @@
 package org.cuminshelf.message;
 
 /**
+ * <pre>
+ * Call rate of a service at one entry.
+ * </pre>
+ *
  * Protobuf type {@code cuminshelf.ServiceDemand}
  */
 @com.google.protobuf.Generated
@@ -175,6 +179,10 @@
   }
 
   /**
+   * <pre>
+   * Call rate of a service at one entry.
+   * </pre>
+   *
    * Protobuf type {@code cuminshelf.ServiceDemand}
    */
   public static final class Builder extends
--- a/src/main/java/org/cuminshelf/message/SessionOpened.java
+++ b/src/main/java/org/cuminshelf/message/SessionOpened.java
@@ -7,7 +7,7 @@
 
 /**
  * <pre>
- * A session lives as long as this incarnation of the sidecar, or until it is idle too long.
+ * A session ends with this incarnation of the sidecar, or earlier when its idle timeout expires.
  * </pre>
  *
  * Protobuf type {@code cuminshelf.SessionOpened}
@@ -99,7 +99,7 @@
   private long entryIncarnation_;
   /**
    * <pre>
-   * Incarnation of the entry that the session is for.
+   * Incarnation of the entry for which the session was opened.
    * </pre>
    *
    * <code>uint64 entry_incarnation = 3;</code>
@@ -111,7 +111,7 @@
   }
   /**
    * <pre>
-   * Incarnation of the entry that the session is for.
+   * Incarnation of the entry for which the session was opened.
    * </pre>
    *
    * <code>uint64 entry_incarnation = 3;</code>
@@ -123,7 +123,7 @@
   }
   /**
    * <pre>
-   * Incarnation of the entry that the session is for.
+   * Incarnation of the entry for which the session was opened.
    * </pre>
    *
    * <code>uint64 entry_incarnation = 3;</code>
@@ -218,7 +218,7 @@
 
   /**
    * <pre>
-   * A session lives as long as this incarnation of the sidecar, or until it is idle too long.
+   * A session ends with this incarnation of the sidecar, or earlier when its idle timeout expires.
    * </pre>
    *
    * Protobuf type {@code cuminshelf.SessionOpened}
@@ -311,7 +311,7 @@
 
     /**
      * <pre>
-     * Incarnation of the entry that the session is for.
+     * Incarnation of the entry for which the session was opened.
      * </pre>
      *
      * <code>uint64 entry_incarnation = 3;</code>
@@ -323,7 +323,7 @@
     }
     /**
      * <pre>
-     * Incarnation of the entry that the session is for.
+     * Incarnation of the entry for which the session was opened.
      * </pre>
      *
      * <code>uint64 entry_incarnation = 3;</code>
@@ -337,7 +337,7 @@
     }
     /**
      * <pre>
-     * Incarnation of the entry that the session is for.
+     * Incarnation of the entry for which the session was opened.
      * </pre>
      *
      * <code>uint64 entry_incarnation = 3;</code>
--- a/src/main/java/org/cuminshelf/message/SessionOpenedOrBuilder.java
+++ b/src/main/java/org/cuminshelf/message/SessionOpenedOrBuilder.java
@@ -29,7 +29,7 @@
 
   /**
    * <pre>
-   * Incarnation of the entry that the session is for.
+   * Incarnation of the entry for which the session was opened.
    * </pre>
    *
    * <code>uint64 entry_incarnation = 3;</code>
--- a/src/main/java/org/cuminshelf/message/Snapshot.java
+++ b/src/main/java/org/cuminshelf/message/Snapshot.java
@@ -149,7 +149,7 @@
   private long clockMs_;
   /**
    * <pre>
-   * The group's clock at the index.
+   * The group's clock at the index, in milliseconds.
    * </pre>
    *
    * <code>uint64 clock_ms = 5;</code>
@@ -161,7 +161,7 @@
   }
   /**
    * <pre>
-   * The group's clock at the index.
+   * The group's clock at the index, in milliseconds.
    * </pre>
    *
    * <code>uint64 clock_ms = 5;</code>
@@ -173,7 +173,7 @@
   }
   /**
    * <pre>
-   * The group's clock at the index.
+   * The group's clock at the index, in milliseconds.
    * </pre>
    *
    * <code>uint64 clock_ms = 5;</code>
@@ -413,7 +413,7 @@
 
     /**
      * <pre>
-     * The group's clock at the index.
+     * The group's clock at the index, in milliseconds.
      * </pre>
      *
      * <code>uint64 clock_ms = 5;</code>
@@ -425,7 +425,7 @@
     }
     /**
      * <pre>
-     * The group's clock at the index.
+     * The group's clock at the index, in milliseconds.
      * </pre>
      *
      * <code>uint64 clock_ms = 5;</code>
@@ -439,7 +439,7 @@
     }
     /**
      * <pre>
-     * The group's clock at the index.
+     * The group's clock at the index, in milliseconds.
      * </pre>
      *
      * <code>uint64 clock_ms = 5;</code>
--- a/src/main/java/org/cuminshelf/message/SnapshotOrBuilder.java
+++ b/src/main/java/org/cuminshelf/message/SnapshotOrBuilder.java
@@ -41,7 +41,7 @@
 
   /**
    * <pre>
-   * The group's clock at the index.
+   * The group's clock at the index, in milliseconds.
    * </pre>
    *
    * <code>uint64 clock_ms = 5;</code>
--- a/src/main/java/org/cuminshelf/message/Stop.java
+++ b/src/main/java/org/cuminshelf/message/Stop.java
@@ -7,7 +7,7 @@
 
 /**
  * <pre>
- * Asks a core to leave, finish and report.
+ * Requests a core to accept no new work, complete its running work and then send Stopped.
  * </pre>
  *
  * Protobuf type {@code cuminshelf.Stop}
@@ -105,7 +105,7 @@
 
   /**
    * <pre>
-   * Asks a core to leave, finish and report.
+   * Requests a core to accept no new work, complete its running work and then send Stopped.
    * </pre>
    *
    * Protobuf type {@code cuminshelf.Stop}
--- a/src/main/java/org/cuminshelf/message/Subscribe.java
+++ b/src/main/java/org/cuminshelf/message/Subscribe.java
@@ -7,7 +7,7 @@
 
 /**
  * <pre>
- * Asks a control process for all that is newer than what the sender holds; repeated as a heartbeat.
+ * Requests from a control process all changes since the versions that the sender has; repeated as a heartbeat.
  * </pre>
  *
  * Protobuf type {@code cuminshelf.Subscribe}
@@ -108,7 +108,7 @@
   private boolean confirm_;
   /**
    * <pre>
-   * Asks for an answer confirmed by a quorum.
+   * Requests an answer that a quorum has confirmed.
    * </pre>
    *
    * <code>bool confirm = 4;</code>
@@ -120,7 +120,7 @@
   }
   /**
    * <pre>
-   * Asks for an answer confirmed by a quorum.
+   * Requests an answer that a quorum has confirmed.
    * </pre>
    *
    * <code>bool confirm = 4;</code>
@@ -132,7 +132,7 @@
   }
   /**
    * <pre>
-   * Asks for an answer confirmed by a quorum.
+   * Requests an answer that a quorum has confirmed.
    * </pre>
    *
    * <code>bool confirm = 4;</code>
@@ -268,7 +268,7 @@
   private com.google.protobuf.Internal.ProtobufList<org.cuminshelf.message.OfferedWork> offered_;
   /**
    * <pre>
-   * Work offered to this entry since its start, by model.
+   * Cumulative work offered to this entry since its start, by model.
    * </pre>
    *
    * <code>repeated .cuminshelf.OfferedWork offered = 8;</code>
@@ -279,7 +279,7 @@
   }
   /**
    * <pre>
-   * Work offered to this entry since its start, by model.
+   * Cumulative work offered to this entry since its start, by model.
    * </pre>
    *
    * <code>repeated .cuminshelf.OfferedWork offered = 8;</code>
@@ -290,7 +290,7 @@
   }
   /**
    * <pre>
-   * Work offered to this entry since its start, by model.
+   * Cumulative work offered to this entry since its start, by model.
    * </pre>
    *
    * <code>repeated .cuminshelf.OfferedWork offered = 8;</code>
@@ -301,7 +301,7 @@
   }
   /**
    * <pre>
-   * Work offered to this entry since its start, by model.
+   * Cumulative work offered to this entry since its start, by model.
    * </pre>
    *
    * <code>repeated .cuminshelf.OfferedWork offered = 8;</code>
@@ -312,7 +312,7 @@
   }
   /**
    * <pre>
-   * Work offered to this entry since its start, by model.
+   * Cumulative work offered to this entry since its start, by model.
    * </pre>
    *
    * <code>repeated .cuminshelf.OfferedWork offered = 8;</code>
@@ -331,7 +331,7 @@
 
   /**
    * <pre>
-   * Work offered to this entry since its start, by model.
+   * Cumulative work offered to this entry since its start, by model.
    * </pre>
    *
    * <code>repeated .cuminshelf.OfferedWork offered = 8;</code>
@@ -345,7 +345,7 @@
   }
   /**
    * <pre>
-   * Work offered to this entry since its start, by model.
+   * Cumulative work offered to this entry since its start, by model.
    * </pre>
    *
    * <code>repeated .cuminshelf.OfferedWork offered = 8;</code>
@@ -358,7 +358,7 @@
   }
   /**
    * <pre>
-   * Work offered to this entry since its start, by model.
+   * Cumulative work offered to this entry since its start, by model.
    * </pre>
    *
    * <code>repeated .cuminshelf.OfferedWork offered = 8;</code>
@@ -372,7 +372,7 @@
   }
   /**
    * <pre>
-   * Work offered to this entry since its start, by model.
+   * Cumulative work offered to this entry since its start, by model.
    * </pre>
    *
    * <code>repeated .cuminshelf.OfferedWork offered = 8;</code>
@@ -385,7 +385,7 @@
   }
   /**
    * <pre>
-   * Work offered to this entry since its start, by model.
+   * Cumulative work offered to this entry since its start, by model.
    * </pre>
    *
    * <code>repeated .cuminshelf.OfferedWork offered = 8;</code>
@@ -395,7 +395,7 @@
   }
   /**
    * <pre>
-   * Work offered to this entry since its start, by model.
+   * Cumulative work offered to this entry since its start, by model.
    * </pre>
    *
    * <code>repeated .cuminshelf.OfferedWork offered = 8;</code>
@@ -409,7 +409,7 @@
   private boolean fetchesConfig_;
   /**
    * <pre>
-   * Asks for the body of a newer configuration itself, and is to be told its version only.
+   * The subscriber fetches the bodies of newer configurations with ConfigFetch; updates contain only the version.
    * </pre>
    *
    * <code>bool fetches_config = 9;</code>
@@ -421,7 +421,7 @@
   }
   /**
    * <pre>
-   * Asks for the body of a newer configuration itself, and is to be told its version only.
+   * The subscriber fetches the bodies of newer configurations with ConfigFetch; updates contain only the version.
    * </pre>
    *
    * <code>bool fetches_config = 9;</code>
@@ -433,7 +433,7 @@
   }
   /**
    * <pre>
-   * Asks for the body of a newer configuration itself, and is to be told its version only.
+   * The subscriber fetches the bodies of newer configurations with ConfigFetch; updates contain only the version.
    * </pre>
    *
    * <code>bool fetches_config = 9;</code>
@@ -447,7 +447,7 @@
   private long entriesHash_;
   /**
    * <pre>
-   * Hash of the list of entries that it holds; that list is told only where it differs.
+   * Hash of the subscriber's list of entries; updates contain the list only if its hash differs.
    * </pre>
    *
    * <code>uint64 entries_hash = 10;</code>
@@ -459,7 +459,7 @@
   }
   /**
    * <pre>
-   * Hash of the list of entries that it holds; that list is told only where it differs.
+   * Hash of the subscriber's list of entries; updates contain the list only if its hash differs.
    * </pre>
    *
    * <code>uint64 entries_hash = 10;</code>
@@ -471,7 +471,7 @@
   }
   /**
    * <pre>
-   * Hash of the list of entries that it holds; that list is told only where it differs.
+   * Hash of the subscriber's list of entries; updates contain the list only if its hash differs.
    * </pre>
    *
    * <code>uint64 entries_hash = 10;</code>
@@ -485,7 +485,7 @@
   private long poisonVersion_;
   /**
    * <pre>
-   * Version of what the subscriber knows of poison requests, and the version since which changes are told here.
+   * Version of the subscriber's poison request data, and the version after which its changes are included here.
    * </pre>
    *
    * <code>uint64 poison_version = 11;</code>
@@ -497,7 +497,7 @@
   }
   /**
    * <pre>
-   * Version of what the subscriber knows of poison requests, and the version since which changes are told here.
+   * Version of the subscriber's poison request data, and the version after which its changes are included here.
    * </pre>
    *
    * <code>uint64 poison_version = 11;</code>
@@ -509,7 +509,7 @@
   }
   /**
    * <pre>
-   * Version of what the subscriber knows of poison requests, and the version since which changes are told here.
+   * Version of the subscriber's poison request data, and the version after which its changes are included here.
    * </pre>
    *
    * <code>uint64 poison_version = 11;</code>
@@ -743,7 +743,7 @@
   private long askedAtNs_;
   /**
    * <pre>
-   * Reading of the sender's monotonic clock, which the answer returns.
+   * Reading of the sender's monotonic clock in nanoseconds, returned in the update.
    * </pre>
    *
    * <code>sint64 asked_at_ns = 15;</code>
@@ -755,7 +755,7 @@
   }
   /**
    * <pre>
-   * Reading of the sender's monotonic clock, which the answer returns.
+   * Reading of the sender's monotonic clock in nanoseconds, returned in the update.
    * </pre>
    *
    * <code>sint64 asked_at_ns = 15;</code>
@@ -767,7 +767,7 @@
   }
   /**
    * <pre>
-   * Reading of the sender's monotonic clock, which the answer returns.
+   * Reading of the sender's monotonic clock in nanoseconds, returned in the update.
    * </pre>
    *
    * <code>sint64 asked_at_ns = 15;</code>
@@ -781,7 +781,7 @@
   private long usageVersion_;
   /**
    * <pre>
-   * Version of what the sender counted of usage, and the version since which changes are told here.
+   * Version of the sender's usage counts, and the version after which their changes are included here.
    * </pre>
    *
    * <code>uint64 usage_version = 16;</code>
@@ -793,7 +793,7 @@
   }
   /**
    * <pre>
-   * Version of what the sender counted of usage, and the version since which changes are told here.
+   * Version of the sender's usage counts, and the version after which their changes are included here.
    * </pre>
    *
    * <code>uint64 usage_version = 16;</code>
@@ -805,7 +805,7 @@
   }
   /**
    * <pre>
-   * Version of what the sender counted of usage, and the version since which changes are told here.
+   * Version of the sender's usage counts, and the version after which their changes are included here.
    * </pre>
    *
    * <code>uint64 usage_version = 16;</code>
@@ -942,7 +942,7 @@
   private long usageUntil_;
   /**
    * <pre>
-   * Number of the first window of which the sender may still count; 0 where it knows no time yet.
+   * Number of the first window in which the sender may still count calls; 0 while it does not know the time.
    * </pre>
    *
    * <code>uint64 usage_until = 19;</code>
@@ -954,7 +954,7 @@
   }
   /**
    * <pre>
-   * Number of the first window of which the sender may still count; 0 where it knows no time yet.
+   * Number of the first window in which the sender may still count calls; 0 while it does not know the time.
    * </pre>
    *
    * <code>uint64 usage_until = 19;</code>
@@ -966,7 +966,7 @@
   }
   /**
    * <pre>
-   * Number of the first window of which the sender may still count; 0 where it knows no time yet.
+   * Number of the first window in which the sender may still count calls; 0 while it does not know the time.
    * </pre>
    *
    * <code>uint64 usage_until = 19;</code>
@@ -1061,7 +1061,7 @@
 
   /**
    * <pre>
-   * Asks a control process for all that is newer than what the sender holds; repeated as a heartbeat.
+   * Requests from a control process all changes since the versions that the sender has; repeated as a heartbeat.
    * </pre>
    *
    * Protobuf type {@code cuminshelf.Subscribe}
@@ -1163,7 +1163,7 @@
 
     /**
      * <pre>
-     * Asks for an answer confirmed by a quorum.
+     * Requests an answer that a quorum has confirmed.
      * </pre>
      *
      * <code>bool confirm = 4;</code>
@@ -1175,7 +1175,7 @@
     }
     /**
      * <pre>
-     * Asks for an answer confirmed by a quorum.
+     * Requests an answer that a quorum has confirmed.
      * </pre>
      *
      * <code>bool confirm = 4;</code>
@@ -1189,7 +1189,7 @@
     }
     /**
      * <pre>
-     * Asks for an answer confirmed by a quorum.
+     * Requests an answer that a quorum has confirmed.
      * </pre>
      *
      * <code>bool confirm = 4;</code>
@@ -1329,7 +1329,7 @@
 
     /**
      * <pre>
-     * Work offered to this entry since its start, by model.
+     * Cumulative work offered to this entry since its start, by model.
      * </pre>
      *
      * <code>repeated .cuminshelf.OfferedWork offered = 8;</code>
@@ -1341,7 +1341,7 @@
     }
     /**
      * <pre>
-     * Work offered to this entry since its start, by model.
+     * Cumulative work offered to this entry since its start, by model.
      * </pre>
      *
      * <code>repeated .cuminshelf.OfferedWork offered = 8;</code>
@@ -1351,7 +1351,7 @@
       return instance.getOfferedCount();
     }/**
      * <pre>
-     * Work offered to this entry since its start, by model.
+     * Cumulative work offered to this entry since its start, by model.
      * </pre>
      *
      * <code>repeated .cuminshelf.OfferedWork offered = 8;</code>
@@ -1362,7 +1362,7 @@
     }
     /**
      * <pre>
-     * Work offered to this entry since its start, by model.
+     * Cumulative work offered to this entry since its start, by model.
      * </pre>
      *
      * <code>repeated .cuminshelf.OfferedWork offered = 8;</code>
@@ -1375,7 +1375,7 @@
     }
     /**
      * <pre>
-     * Work offered to this entry since its start, by model.
+     * Cumulative work offered to this entry since its start, by model.
      * </pre>
      *
      * <code>repeated .cuminshelf.OfferedWork offered = 8;</code>
@@ -1389,7 +1389,7 @@
     }
     /**
      * <pre>
-     * Work offered to this entry since its start, by model.
+     * Cumulative work offered to this entry since its start, by model.
      * </pre>
      *
      * <code>repeated .cuminshelf.OfferedWork offered = 8;</code>
@@ -1401,7 +1401,7 @@
     }
     /**
      * <pre>
-     * Work offered to this entry since its start, by model.
+     * Cumulative work offered to this entry since its start, by model.
      * </pre>
      *
      * <code>repeated .cuminshelf.OfferedWork offered = 8;</code>
@@ -1414,7 +1414,7 @@
     }
     /**
      * <pre>
-     * Work offered to this entry since its start, by model.
+     * Cumulative work offered to this entry since its start, by model.
      * </pre>
      *
      * <code>repeated .cuminshelf.OfferedWork offered = 8;</code>
@@ -1427,7 +1427,7 @@
     }
     /**
      * <pre>
-     * Work offered to this entry since its start, by model.
+     * Cumulative work offered to this entry since its start, by model.
      * </pre>
      *
      * <code>repeated .cuminshelf.OfferedWork offered = 8;</code>
@@ -1441,7 +1441,7 @@
     }
     /**
      * <pre>
-     * Work offered to this entry since its start, by model.
+     * Cumulative work offered to this entry since its start, by model.
      * </pre>
      *
      * <code>repeated .cuminshelf.OfferedWork offered = 8;</code>
@@ -1454,7 +1454,7 @@
     }
     /**
      * <pre>
-     * Work offered to this entry since its start, by model.
+     * Cumulative work offered to this entry since its start, by model.
      * </pre>
      *
      * <code>repeated .cuminshelf.OfferedWork offered = 8;</code>
@@ -1466,7 +1466,7 @@
     }
     /**
      * <pre>
-     * Work offered to this entry since its start, by model.
+     * Cumulative work offered to this entry since its start, by model.
      * </pre>
      *
      * <code>repeated .cuminshelf.OfferedWork offered = 8;</code>
@@ -1479,7 +1479,7 @@
 
     /**
      * <pre>
-     * Asks for the body of a newer configuration itself, and is to be told its version only.
+     * The subscriber fetches the bodies of newer configurations with ConfigFetch; updates contain only the version.
      * </pre>
      *
      * <code>bool fetches_config = 9;</code>
@@ -1491,7 +1491,7 @@
     }
     /**
      * <pre>
-     * Asks for the body of a newer configuration itself, and is to be told its version only.
+     * The subscriber fetches the bodies of newer configurations with ConfigFetch; updates contain only the version.
      * </pre>
      *
      * <code>bool fetches_config = 9;</code>
@@ -1505,7 +1505,7 @@
     }
     /**
      * <pre>
-     * Asks for the body of a newer configuration itself, and is to be told its version only.
+     * The subscriber fetches the bodies of newer configurations with ConfigFetch; updates contain only the version.
      * </pre>
      *
      * <code>bool fetches_config = 9;</code>
@@ -1519,7 +1519,7 @@
 
     /**
      * <pre>
-     * Hash of the list of entries that it holds; that list is told only where it differs.
+     * Hash of the subscriber's list of entries; updates contain the list only if its hash differs.
      * </pre>
      *
      * <code>uint64 entries_hash = 10;</code>
@@ -1531,7 +1531,7 @@
     }
     /**
      * <pre>
-     * Hash of the list of entries that it holds; that list is told only where it differs.
+     * Hash of the subscriber's list of entries; updates contain the list only if its hash differs.
      * </pre>
      *
      * <code>uint64 entries_hash = 10;</code>
@@ -1545,7 +1545,7 @@
     }
     /**
      * <pre>
-     * Hash of the list of entries that it holds; that list is told only where it differs.
+     * Hash of the subscriber's list of entries; updates contain the list only if its hash differs.
      * </pre>
      *
      * <code>uint64 entries_hash = 10;</code>
@@ -1559,7 +1559,7 @@
 
     /**
      * <pre>
-     * Version of what the subscriber knows of poison requests, and the version since which changes are told here.
+     * Version of the subscriber's poison request data, and the version after which its changes are included here.
      * </pre>
      *
      * <code>uint64 poison_version = 11;</code>
@@ -1571,7 +1571,7 @@
     }
     /**
      * <pre>
-     * Version of what the subscriber knows of poison requests, and the version since which changes are told here.
+     * Version of the subscriber's poison request data, and the version after which its changes are included here.
      * </pre>
      *
      * <code>uint64 poison_version = 11;</code>
@@ -1585,7 +1585,7 @@
     }
     /**
      * <pre>
-     * Version of what the subscriber knows of poison requests, and the version since which changes are told here.
+     * Version of the subscriber's poison request data, and the version after which its changes are included here.
      * </pre>
      *
      * <code>uint64 poison_version = 11;</code>
@@ -1831,7 +1831,7 @@
 
     /**
      * <pre>
-     * Reading of the sender's monotonic clock, which the answer returns.
+     * Reading of the sender's monotonic clock in nanoseconds, returned in the update.
      * </pre>
      *
      * <code>sint64 asked_at_ns = 15;</code>
@@ -1843,7 +1843,7 @@
     }
     /**
      * <pre>
-     * Reading of the sender's monotonic clock, which the answer returns.
+     * Reading of the sender's monotonic clock in nanoseconds, returned in the update.
      * </pre>
      *
      * <code>sint64 asked_at_ns = 15;</code>
@@ -1857,7 +1857,7 @@
     }
     /**
      * <pre>
-     * Reading of the sender's monotonic clock, which the answer returns.
+     * Reading of the sender's monotonic clock in nanoseconds, returned in the update.
      * </pre>
      *
      * <code>sint64 asked_at_ns = 15;</code>
@@ -1871,7 +1871,7 @@
 
     /**
      * <pre>
-     * Version of what the sender counted of usage, and the version since which changes are told here.
+     * Version of the sender's usage counts, and the version after which their changes are included here.
      * </pre>
      *
      * <code>uint64 usage_version = 16;</code>
@@ -1883,7 +1883,7 @@
     }
     /**
      * <pre>
-     * Version of what the sender counted of usage, and the version since which changes are told here.
+     * Version of the sender's usage counts, and the version after which their changes are included here.
      * </pre>
      *
      * <code>uint64 usage_version = 16;</code>
@@ -1897,7 +1897,7 @@
     }
     /**
      * <pre>
-     * Version of what the sender counted of usage, and the version since which changes are told here.
+     * Version of the sender's usage counts, and the version after which their changes are included here.
      * </pre>
      *
      * <code>uint64 usage_version = 16;</code>
@@ -2041,7 +2041,7 @@
 
     /**
      * <pre>
-     * Number of the first window of which the sender may still count; 0 where it knows no time yet.
+     * Number of the first window in which the sender may still count calls; 0 while it does not know the time.
      * </pre>
      *
      * <code>uint64 usage_until = 19;</code>
@@ -2053,7 +2053,7 @@
     }
     /**
      * <pre>
-     * Number of the first window of which the sender may still count; 0 where it knows no time yet.
+     * Number of the first window in which the sender may still count calls; 0 while it does not know the time.
      * </pre>
      *
      * <code>uint64 usage_until = 19;</code>
@@ -2067,7 +2067,7 @@
     }
     /**
      * <pre>
-     * Number of the first window of which the sender may still count; 0 where it knows no time yet.
+     * Number of the first window in which the sender may still count calls; 0 while it does not know the time.
      * </pre>
      *
      * <code>uint64 usage_until = 19;</code>
--- a/src/main/java/org/cuminshelf/message/SubscribeOrBuilder.java
+++ b/src/main/java/org/cuminshelf/message/SubscribeOrBuilder.java
@@ -30,7 +30,7 @@
 
   /**
    * <pre>
-   * Asks for an answer confirmed by a quorum.
+   * Requests an answer that a quorum has confirmed.
    * </pre>
    *
    * <code>bool confirm = 4;</code>
@@ -70,7 +70,7 @@
 
   /**
    * <pre>
-   * Work offered to this entry since its start, by model.
+   * Cumulative work offered to this entry since its start, by model.
    * </pre>
    *
    * <code>repeated .cuminshelf.OfferedWork offered = 8;</code>
@@ -79,7 +79,7 @@
       getOfferedList();
   /**
    * <pre>
-   * Work offered to this entry since its start, by model.
+   * Cumulative work offered to this entry since its start, by model.
    * </pre>
    *
    * <code>repeated .cuminshelf.OfferedWork offered = 8;</code>
@@ -87,7 +87,7 @@
   org.cuminshelf.message.OfferedWork getOffered(int index);
   /**
    * <pre>
-   * Work offered to this entry since its start, by model.
+   * Cumulative work offered to this entry since its start, by model.
    * </pre>
    *
    * <code>repeated .cuminshelf.OfferedWork offered = 8;</code>
@@ -96,7 +96,7 @@
 
   /**
    * <pre>
-   * Asks for the body of a newer configuration itself, and is to be told its version only.
+   * The subscriber fetches the bodies of newer configurations with ConfigFetch; updates contain only the version.
    * </pre>
    *
    * <code>bool fetches_config = 9;</code>
@@ -106,7 +106,7 @@
 
   /**
    * <pre>
-   * Hash of the list of entries that it holds; that list is told only where it differs.
+   * Hash of the subscriber's list of entries; updates contain the list only if its hash differs.
    * </pre>
    *
    * <code>uint64 entries_hash = 10;</code>
@@ -116,7 +116,7 @@
 
   /**
    * <pre>
-   * Version of what the subscriber knows of poison requests, and the version since which changes are told here.
+   * Version of the subscriber's poison request data, and the version after which its changes are included here.
    * </pre>
    *
    * <code>uint64 poison_version = 11;</code>
@@ -160,7 +160,7 @@
 
   /**
    * <pre>
-   * Reading of the sender's monotonic clock, which the answer returns.
+   * Reading of the sender's monotonic clock in nanoseconds, returned in the update.
    * </pre>
    *
    * <code>sint64 asked_at_ns = 15;</code>
@@ -170,7 +170,7 @@
 
   /**
    * <pre>
-   * Version of what the sender counted of usage, and the version since which changes are told here.
+   * Version of the sender's usage counts, and the version after which their changes are included here.
    * </pre>
    *
    * <code>uint64 usage_version = 16;</code>
@@ -200,7 +200,7 @@
 
   /**
    * <pre>
-   * Number of the first window of which the sender may still count; 0 where it knows no time yet.
+   * Number of the first window in which the sender may still count calls; 0 while it does not know the time.
    * </pre>
    *
    * <code>uint64 usage_until = 19;</code>
--- a/src/main/java/org/cuminshelf/message/TakenPrompt.java
+++ b/src/main/java/org/cuminshelf/message/TakenPrompt.java
@@ -6,6 +6,10 @@
 package org.cuminshelf.message;
 
 /**
+ * <pre>
+ * Measurement of a prompt whose prefill has completed.
+ * </pre>
+ *
  * Protobuf type {@code cuminshelf.TakenPrompt}
  */
 @com.google.protobuf.Generated
@@ -20,6 +24,10 @@
   public static final int UPSTREAM_FIELD_NUMBER = 1;
   private java.lang.String upstream_;
   /**
+   * <pre>
+   * Identity of the upstream instance.
+   * </pre>
+   *
    * <code>string upstream = 1;</code>
    * @return The upstream.
    */
@@ -28,6 +36,10 @@
     return upstream_;
   }
   /**
+   * <pre>
+   * Identity of the upstream instance.
+   * </pre>
+   *
    * <code>string upstream = 1;</code>
    * @return The bytes for upstream.
    */
@@ -37,6 +49,10 @@
     return com.google.protobuf.ByteString.copyFromUtf8(upstream_);
   }
   /**
+   * <pre>
+   * Identity of the upstream instance.
+   * </pre>
+   *
    * <code>string upstream = 1;</code>
    * @param value The upstream to set.
    */
@@ -48,6 +64,10 @@
     upstream_ = value;
   }
   /**
+   * <pre>
+   * Identity of the upstream instance.
+   * </pre>
+   *
    * <code>string upstream = 1;</code>
    */
   private void clearUpstream() {
@@ -55,6 +75,10 @@
     upstream_ = getDefaultInstance().getUpstream();
   }
   /**
+   * <pre>
+   * Identity of the upstream instance.
+   * </pre>
+   *
    * <code>string upstream = 1;</code>
    * @param value The bytes for upstream to set.
    */
@@ -68,6 +92,10 @@
   public static final int BESIDE_STREAMS_FIELD_NUMBER = 2;
   private boolean besideStreams_;
   /**
+   * <pre>
+   * Whether the engine also generates output (decode).
+   * </pre>
+   *
    * <code>bool beside_streams = 2;</code>
    * @return The besideStreams.
    */
@@ -76,6 +104,10 @@
     return besideStreams_;
   }
   /**
+   * <pre>
+   * Whether the engine also generates output (decode).
+   * </pre>
+   *
    * <code>bool beside_streams = 2;</code>
    * @param value The besideStreams to set.
    */
@@ -84,6 +116,10 @@
     besideStreams_ = value;
   }
   /**
+   * <pre>
+   * Whether the engine also generates output (decode).
+   * </pre>
+   *
    * <code>bool beside_streams = 2;</code>
    */
   private void clearBesideStreams() {
@@ -94,6 +130,10 @@
   public static final int STREAMS_FIELD_NUMBER = 3;
   private int streams_;
   /**
+   * <pre>
+   * Number of streams running on the engine when the prompt was sent.
+   * </pre>
+   *
    * <code>uint32 streams = 3;</code>
    * @return The streams.
    */
@@ -102,6 +142,10 @@
     return streams_;
   }
   /**
+   * <pre>
+   * Number of streams running on the engine when the prompt was sent.
+   * </pre>
+   *
    * <code>uint32 streams = 3;</code>
    * @param value The streams to set.
    */
@@ -110,6 +154,10 @@
     streams_ = value;
   }
   /**
+   * <pre>
+   * Number of streams running on the engine when the prompt was sent.
+   * </pre>
+   *
    * <code>uint32 streams = 3;</code>
    */
   private void clearStreams() {
@@ -120,6 +168,10 @@
   public static final int HELD_FIELD_NUMBER = 4;
   private int held_;
   /**
+   * <pre>
+   * Number of tokens at the start of the prompt that were expected to be in the engine's cache.
+   * </pre>
+   *
    * <code>uint32 held = 4;</code>
    * @return The held.
    */
@@ -128,6 +180,10 @@
     return held_;
   }
   /**
+   * <pre>
+   * Number of tokens at the start of the prompt that were expected to be in the engine's cache.
+   * </pre>
+   *
    * <code>uint32 held = 4;</code>
    * @param value The held to set.
    */
@@ -136,6 +192,10 @@
     held_ = value;
   }
   /**
+   * <pre>
+   * Number of tokens at the start of the prompt that were expected to be in the engine's cache.
+   * </pre>
+   *
    * <code>uint32 held = 4;</code>
    */
   private void clearHeld() {
@@ -146,6 +206,10 @@
   public static final int UNCACHED_FIELD_NUMBER = 5;
   private int uncached_;
   /**
+   * <pre>
+   * Number of the other tokens of the prompt.
+   * </pre>
+   *
    * <code>uint32 uncached = 5;</code>
    * @return The uncached.
    */
@@ -154,6 +218,10 @@
     return uncached_;
   }
   /**
+   * <pre>
+   * Number of the other tokens of the prompt.
+   * </pre>
+   *
    * <code>uint32 uncached = 5;</code>
    * @param value The uncached to set.
    */
@@ -162,6 +230,10 @@
     uncached_ = value;
   }
   /**
+   * <pre>
+   * Number of the other tokens of the prompt.
+   * </pre>
+   *
    * <code>uint32 uncached = 5;</code>
    */
   private void clearUncached() {
@@ -172,6 +244,10 @@
   public static final int WAIT_US_FIELD_NUMBER = 6;
   private int waitUs_;
   /**
+   * <pre>
+   * Predicted time in microseconds for which earlier prompts occupied the engine.
+   * </pre>
+   *
    * <code>uint32 wait_us = 6;</code>
    * @return The waitUs.
    */
@@ -180,6 +256,10 @@
     return waitUs_;
   }
   /**
+   * <pre>
+   * Predicted time in microseconds for which earlier prompts occupied the engine.
+   * </pre>
+   *
    * <code>uint32 wait_us = 6;</code>
    * @param value The waitUs to set.
    */
@@ -188,6 +268,10 @@
     waitUs_ = value;
   }
   /**
+   * <pre>
+   * Predicted time in microseconds for which earlier prompts occupied the engine.
+   * </pre>
+   *
    * <code>uint32 wait_us = 6;</code>
    */
   private void clearWaitUs() {
@@ -198,6 +282,10 @@
   public static final int TOOK_US_FIELD_NUMBER = 7;
   private int tookUs_;
   /**
+   * <pre>
+   * Time in microseconds from sending the prompt to the first output of the engine.
+   * </pre>
+   *
    * <code>uint32 took_us = 7;</code>
    * @return The tookUs.
    */
@@ -206,6 +294,10 @@
     return tookUs_;
   }
   /**
+   * <pre>
+   * Time in microseconds from sending the prompt to the first output of the engine.
+   * </pre>
+   *
    * <code>uint32 took_us = 7;</code>
    * @param value The tookUs to set.
    */
@@ -214,6 +306,10 @@
     tookUs_ = value;
   }
   /**
+   * <pre>
+   * Time in microseconds from sending the prompt to the first output of the engine.
+   * </pre>
+   *
    * <code>uint32 took_us = 7;</code>
    */
   private void clearTookUs() {
@@ -305,6 +401,10 @@
   }
 
   /**
+   * <pre>
+   * Measurement of a prompt whose prefill has completed.
+   * </pre>
+   *
    * Protobuf type {@code cuminshelf.TakenPrompt}
    */
   public static final class Builder extends
@@ -319,6 +419,10 @@
 
 
     /**
+     * <pre>
+     * Identity of the upstream instance.
+     * </pre>
+     *
      * <code>string upstream = 1;</code>
      * @return The upstream.
      */
@@ -327,6 +431,10 @@
       return instance.getUpstream();
     }
     /**
+     * <pre>
+     * Identity of the upstream instance.
+     * </pre>
+     *
      * <code>string upstream = 1;</code>
      * @return The bytes for upstream.
      */
@@ -336,6 +444,10 @@
       return instance.getUpstreamBytes();
     }
     /**
+     * <pre>
+     * Identity of the upstream instance.
+     * </pre>
+     *
      * <code>string upstream = 1;</code>
      * @param value The upstream to set.
      * @return This builder for chaining.
@@ -347,6 +459,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Identity of the upstream instance.
+     * </pre>
+     *
      * <code>string upstream = 1;</code>
      * @return This builder for chaining.
      */
@@ -356,6 +472,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Identity of the upstream instance.
+     * </pre>
+     *
      * <code>string upstream = 1;</code>
      * @param value The bytes for upstream to set.
      * @return This builder for chaining.
@@ -368,6 +488,10 @@
     }
 
     /**
+     * <pre>
+     * Whether the engine also generates output (decode).
+     * </pre>
+     *
      * <code>bool beside_streams = 2;</code>
      * @return The besideStreams.
      */
@@ -376,6 +500,10 @@
       return instance.getBesideStreams();
     }
     /**
+     * <pre>
+     * Whether the engine also generates output (decode).
+     * </pre>
+     *
      * <code>bool beside_streams = 2;</code>
      * @param value The besideStreams to set.
      * @return This builder for chaining.
@@ -386,6 +514,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Whether the engine also generates output (decode).
+     * </pre>
+     *
      * <code>bool beside_streams = 2;</code>
      * @return This builder for chaining.
      */
@@ -396,6 +528,10 @@
     }
 
     /**
+     * <pre>
+     * Number of streams running on the engine when the prompt was sent.
+     * </pre>
+     *
      * <code>uint32 streams = 3;</code>
      * @return The streams.
      */
@@ -404,6 +540,10 @@
       return instance.getStreams();
     }
     /**
+     * <pre>
+     * Number of streams running on the engine when the prompt was sent.
+     * </pre>
+     *
      * <code>uint32 streams = 3;</code>
      * @param value The streams to set.
      * @return This builder for chaining.
@@ -414,6 +554,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Number of streams running on the engine when the prompt was sent.
+     * </pre>
+     *
      * <code>uint32 streams = 3;</code>
      * @return This builder for chaining.
      */
@@ -424,6 +568,10 @@
     }
 
     /**
+     * <pre>
+     * Number of tokens at the start of the prompt that were expected to be in the engine's cache.
+     * </pre>
+     *
      * <code>uint32 held = 4;</code>
      * @return The held.
      */
@@ -432,6 +580,10 @@
       return instance.getHeld();
     }
     /**
+     * <pre>
+     * Number of tokens at the start of the prompt that were expected to be in the engine's cache.
+     * </pre>
+     *
      * <code>uint32 held = 4;</code>
      * @param value The held to set.
      * @return This builder for chaining.
@@ -442,6 +594,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Number of tokens at the start of the prompt that were expected to be in the engine's cache.
+     * </pre>
+     *
      * <code>uint32 held = 4;</code>
      * @return This builder for chaining.
      */
@@ -452,6 +608,10 @@
     }
 
     /**
+     * <pre>
+     * Number of the other tokens of the prompt.
+     * </pre>
+     *
      * <code>uint32 uncached = 5;</code>
      * @return The uncached.
      */
@@ -460,6 +620,10 @@
       return instance.getUncached();
     }
     /**
+     * <pre>
+     * Number of the other tokens of the prompt.
+     * </pre>
+     *
      * <code>uint32 uncached = 5;</code>
      * @param value The uncached to set.
      * @return This builder for chaining.
@@ -470,6 +634,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Number of the other tokens of the prompt.
+     * </pre>
+     *
      * <code>uint32 uncached = 5;</code>
      * @return This builder for chaining.
      */
@@ -480,6 +648,10 @@
     }
 
     /**
+     * <pre>
+     * Predicted time in microseconds for which earlier prompts occupied the engine.
+     * </pre>
+     *
      * <code>uint32 wait_us = 6;</code>
      * @return The waitUs.
      */
@@ -488,6 +660,10 @@
       return instance.getWaitUs();
     }
     /**
+     * <pre>
+     * Predicted time in microseconds for which earlier prompts occupied the engine.
+     * </pre>
+     *
      * <code>uint32 wait_us = 6;</code>
      * @param value The waitUs to set.
      * @return This builder for chaining.
@@ -498,6 +674,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Predicted time in microseconds for which earlier prompts occupied the engine.
+     * </pre>
+     *
      * <code>uint32 wait_us = 6;</code>
      * @return This builder for chaining.
      */
@@ -508,6 +688,10 @@
     }
 
     /**
+     * <pre>
+     * Time in microseconds from sending the prompt to the first output of the engine.
+     * </pre>
+     *
      * <code>uint32 took_us = 7;</code>
      * @return The tookUs.
      */
@@ -516,6 +700,10 @@
       return instance.getTookUs();
     }
     /**
+     * <pre>
+     * Time in microseconds from sending the prompt to the first output of the engine.
+     * </pre>
+     *
      * <code>uint32 took_us = 7;</code>
      * @param value The tookUs to set.
      * @return This builder for chaining.
@@ -526,6 +714,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Time in microseconds from sending the prompt to the first output of the engine.
+     * </pre>
+     *
      * <code>uint32 took_us = 7;</code>
      * @return This builder for chaining.
      */
--- a/src/main/java/org/cuminshelf/message/TakenPromptOrBuilder.java
+++ b/src/main/java/org/cuminshelf/message/TakenPromptOrBuilder.java
@@ -11,11 +11,19 @@
     com.google.protobuf.MessageLiteOrBuilder {
 
   /**
+   * <pre>
+   * Identity of the upstream instance.
+   * </pre>
+   *
    * <code>string upstream = 1;</code>
    * @return The upstream.
    */
   java.lang.String getUpstream();
   /**
+   * <pre>
+   * Identity of the upstream instance.
+   * </pre>
+   *
    * <code>string upstream = 1;</code>
    * @return The bytes for upstream.
    */
@@ -23,36 +31,60 @@
       getUpstreamBytes();
 
   /**
+   * <pre>
+   * Whether the engine also generates output (decode).
+   * </pre>
+   *
    * <code>bool beside_streams = 2;</code>
    * @return The besideStreams.
    */
   boolean getBesideStreams();
 
   /**
+   * <pre>
+   * Number of streams running on the engine when the prompt was sent.
+   * </pre>
+   *
    * <code>uint32 streams = 3;</code>
    * @return The streams.
    */
   int getStreams();
 
   /**
+   * <pre>
+   * Number of tokens at the start of the prompt that were expected to be in the engine's cache.
+   * </pre>
+   *
    * <code>uint32 held = 4;</code>
    * @return The held.
    */
   int getHeld();
 
   /**
+   * <pre>
+   * Number of the other tokens of the prompt.
+   * </pre>
+   *
    * <code>uint32 uncached = 5;</code>
    * @return The uncached.
    */
   int getUncached();
 
   /**
+   * <pre>
+   * Predicted time in microseconds for which earlier prompts occupied the engine.
+   * </pre>
+   *
    * <code>uint32 wait_us = 6;</code>
    * @return The waitUs.
    */
   int getWaitUs();
 
   /**
+   * <pre>
+   * Time in microseconds from sending the prompt to the first output of the engine.
+   * </pre>
+   *
    * <code>uint32 took_us = 7;</code>
    * @return The tookUs.
    */
--- a/src/main/java/org/cuminshelf/message/TraceRecord.java
+++ b/src/main/java/org/cuminshelf/message/TraceRecord.java
@@ -7,7 +7,7 @@
 
 /**
  * <pre>
- * One line of a recorded trace: what a core was given and when.
+ * A record of a trace: an input of a core and its time.
  * </pre>
  *
  * Protobuf type {@code cuminshelf.TraceRecord}
@@ -51,7 +51,7 @@
   private org.cuminshelf.message.Envelope input_;
   /**
    * <pre>
-   * Absent for a tick that a timer caused.
+   * Absent for a tick caused by a timer.
    * </pre>
    *
    * <code>.cuminshelf.Envelope input = 2;</code>
@@ -62,7 +62,7 @@
   }
   /**
    * <pre>
-   * Absent for a tick that a timer caused.
+   * Absent for a tick caused by a timer.
    * </pre>
    *
    * <code>.cuminshelf.Envelope input = 2;</code>
@@ -73,7 +73,7 @@
   }
   /**
    * <pre>
-   * Absent for a tick that a timer caused.
+   * Absent for a tick caused by a timer.
    * </pre>
    *
    * <code>.cuminshelf.Envelope input = 2;</code>
@@ -86,7 +86,7 @@
   }
   /**
    * <pre>
-   * Absent for a tick that a timer caused.
+   * Absent for a tick caused by a timer.
    * </pre>
    *
    * <code>.cuminshelf.Envelope input = 2;</code>
@@ -105,7 +105,7 @@
   }
   /**
    * <pre>
-   * Absent for a tick that a timer caused.
+   * Absent for a tick caused by a timer.
    * </pre>
    *
    * <code>.cuminshelf.Envelope input = 2;</code>
@@ -119,7 +119,7 @@
   private long outputHash_;
   /**
    * <pre>
-   * Messages that the core answered with, for comparison in a replay.
+   * Hash of the messages that the core sent in response, compared during a replay.
    * </pre>
    *
    * <code>fixed64 output_hash = 3;</code>
@@ -131,7 +131,7 @@
   }
   /**
    * <pre>
-   * Messages that the core answered with, for comparison in a replay.
+   * Hash of the messages that the core sent in response, compared during a replay.
    * </pre>
    *
    * <code>fixed64 output_hash = 3;</code>
@@ -143,7 +143,7 @@
   }
   /**
    * <pre>
-   * Messages that the core answered with, for comparison in a replay.
+   * Hash of the messages that the core sent in response, compared during a replay.
    * </pre>
    *
    * <code>fixed64 output_hash = 3;</code>
@@ -238,7 +238,7 @@
 
   /**
    * <pre>
-   * One line of a recorded trace: what a core was given and when.
+   * A record of a trace: an input of a core and its time.
    * </pre>
    *
    * Protobuf type {@code cuminshelf.TraceRecord}
@@ -284,7 +284,7 @@
 
     /**
      * <pre>
-     * Absent for a tick that a timer caused.
+     * Absent for a tick caused by a timer.
      * </pre>
      *
      * <code>.cuminshelf.Envelope input = 2;</code>
@@ -295,7 +295,7 @@
     }
     /**
      * <pre>
-     * Absent for a tick that a timer caused.
+     * Absent for a tick caused by a timer.
      * </pre>
      *
      * <code>.cuminshelf.Envelope input = 2;</code>
@@ -306,7 +306,7 @@
     }
     /**
      * <pre>
-     * Absent for a tick that a timer caused.
+     * Absent for a tick caused by a timer.
      * </pre>
      *
      * <code>.cuminshelf.Envelope input = 2;</code>
@@ -318,7 +318,7 @@
       }
     /**
      * <pre>
-     * Absent for a tick that a timer caused.
+     * Absent for a tick caused by a timer.
      * </pre>
      *
      * <code>.cuminshelf.Envelope input = 2;</code>
@@ -331,7 +331,7 @@
     }
     /**
      * <pre>
-     * Absent for a tick that a timer caused.
+     * Absent for a tick caused by a timer.
      * </pre>
      *
      * <code>.cuminshelf.Envelope input = 2;</code>
@@ -343,7 +343,7 @@
     }
     /**
      * <pre>
-     * Absent for a tick that a timer caused.
+     * Absent for a tick caused by a timer.
      * </pre>
      *
      * <code>.cuminshelf.Envelope input = 2;</code>
@@ -355,7 +355,7 @@
 
     /**
      * <pre>
-     * Messages that the core answered with, for comparison in a replay.
+     * Hash of the messages that the core sent in response, compared during a replay.
      * </pre>
      *
      * <code>fixed64 output_hash = 3;</code>
@@ -367,7 +367,7 @@
     }
     /**
      * <pre>
-     * Messages that the core answered with, for comparison in a replay.
+     * Hash of the messages that the core sent in response, compared during a replay.
      * </pre>
      *
      * <code>fixed64 output_hash = 3;</code>
@@ -381,7 +381,7 @@
     }
     /**
      * <pre>
-     * Messages that the core answered with, for comparison in a replay.
+     * Hash of the messages that the core sent in response, compared during a replay.
      * </pre>
      *
      * <code>fixed64 output_hash = 3;</code>
--- a/src/main/java/org/cuminshelf/message/TraceRecordOrBuilder.java
+++ b/src/main/java/org/cuminshelf/message/TraceRecordOrBuilder.java
@@ -18,7 +18,7 @@
 
   /**
    * <pre>
-   * Absent for a tick that a timer caused.
+   * Absent for a tick caused by a timer.
    * </pre>
    *
    * <code>.cuminshelf.Envelope input = 2;</code>
@@ -27,7 +27,7 @@
   boolean hasInput();
   /**
    * <pre>
-   * Absent for a tick that a timer caused.
+   * Absent for a tick caused by a timer.
    * </pre>
    *
    * <code>.cuminshelf.Envelope input = 2;</code>
@@ -37,7 +37,7 @@
 
   /**
    * <pre>
-   * Messages that the core answered with, for comparison in a replay.
+   * Hash of the messages that the core sent in response, compared during a replay.
    * </pre>
    *
    * <code>fixed64 output_hash = 3;</code>
--- a/src/main/java/org/cuminshelf/message/Update.java
+++ b/src/main/java/org/cuminshelf/message/Update.java
@@ -55,7 +55,7 @@
   private com.google.protobuf.ByteString config_;
   /**
    * <pre>
-   * Empty where the subscriber holds this version.
+   * Empty if the subscriber has this version or fetches configurations with ConfigFetch.
    * </pre>
    *
    * <code>bytes config = 2;</code>
@@ -67,7 +67,7 @@
   }
   /**
    * <pre>
-   * Empty where the subscriber holds this version.
+   * Empty if the subscriber has this version or fetches configurations with ConfigFetch.
    * </pre>
    *
    * <code>bytes config = 2;</code>
@@ -80,7 +80,7 @@
   }
   /**
    * <pre>
-   * Empty where the subscriber holds this version.
+   * Empty if the subscriber has this version or fetches configurations with ConfigFetch.
    * </pre>
    *
    * <code>bytes config = 2;</code>
@@ -269,7 +269,7 @@
   private boolean confirmed_;
   /**
    * <pre>
-   * A quorum confirmed that no newer configuration was accepted before the question.
+   * A quorum confirmed that no newer configuration was accepted before the request.
    * </pre>
    *
    * <code>bool confirmed = 7;</code>
@@ -281,7 +281,7 @@
   }
   /**
    * <pre>
-   * A quorum confirmed that no newer configuration was accepted before the question.
+   * A quorum confirmed that no newer configuration was accepted before the request.
    * </pre>
    *
    * <code>bool confirmed = 7;</code>
@@ -293,7 +293,7 @@
   }
   /**
    * <pre>
-   * A quorum confirmed that no newer configuration was accepted before the question.
+   * A quorum confirmed that no newer configuration was accepted before the request.
    * </pre>
    *
    * <code>bool confirmed = 7;</code>
@@ -355,7 +355,7 @@
   private com.google.protobuf.Internal.ProtobufList<org.cuminshelf.message.GroupLeader> leaders_;
   /**
    * <pre>
-   * Addresses believed to lead each group.
+   * Address of the presumed leader of each group.
    * </pre>
    *
    * <code>repeated .cuminshelf.GroupLeader leaders = 9;</code>
@@ -366,7 +366,7 @@
   }
   /**
    * <pre>
-   * Addresses believed to lead each group.
+   * Address of the presumed leader of each group.
    * </pre>
    *
    * <code>repeated .cuminshelf.GroupLeader leaders = 9;</code>
@@ -377,7 +377,7 @@
   }
   /**
    * <pre>
-   * Addresses believed to lead each group.
+   * Address of the presumed leader of each group.
    * </pre>
    *
    * <code>repeated .cuminshelf.GroupLeader leaders = 9;</code>
@@ -388,7 +388,7 @@
   }
   /**
    * <pre>
-   * Addresses believed to lead each group.
+   * Address of the presumed leader of each group.
    * </pre>
    *
    * <code>repeated .cuminshelf.GroupLeader leaders = 9;</code>
@@ -399,7 +399,7 @@
   }
   /**
    * <pre>
-   * Addresses believed to lead each group.
+   * Address of the presumed leader of each group.
    * </pre>
    *
    * <code>repeated .cuminshelf.GroupLeader leaders = 9;</code>
@@ -418,7 +418,7 @@
 
   /**
    * <pre>
-   * Addresses believed to lead each group.
+   * Address of the presumed leader of each group.
    * </pre>
    *
    * <code>repeated .cuminshelf.GroupLeader leaders = 9;</code>
@@ -432,7 +432,7 @@
   }
   /**
    * <pre>
-   * Addresses believed to lead each group.
+   * Address of the presumed leader of each group.
    * </pre>
    *
    * <code>repeated .cuminshelf.GroupLeader leaders = 9;</code>
@@ -445,7 +445,7 @@
   }
   /**
    * <pre>
-   * Addresses believed to lead each group.
+   * Address of the presumed leader of each group.
    * </pre>
    *
    * <code>repeated .cuminshelf.GroupLeader leaders = 9;</code>
@@ -459,7 +459,7 @@
   }
   /**
    * <pre>
-   * Addresses believed to lead each group.
+   * Address of the presumed leader of each group.
    * </pre>
    *
    * <code>repeated .cuminshelf.GroupLeader leaders = 9;</code>
@@ -472,7 +472,7 @@
   }
   /**
    * <pre>
-   * Addresses believed to lead each group.
+   * Address of the presumed leader of each group.
    * </pre>
    *
    * <code>repeated .cuminshelf.GroupLeader leaders = 9;</code>
@@ -482,7 +482,7 @@
   }
   /**
    * <pre>
-   * Addresses believed to lead each group.
+   * Address of the presumed leader of each group.
    * </pre>
    *
    * <code>repeated .cuminshelf.GroupLeader leaders = 9;</code>
@@ -496,7 +496,7 @@
   private int entries_;
   /**
    * <pre>
-   * Entries that hear from this control process; limits are shared among them.
+   * Number of entries that subscribe to this control process; rate limits are divided among them.
    * </pre>
    *
    * <code>uint32 entries = 10;</code>
@@ -508,7 +508,7 @@
   }
   /**
    * <pre>
-   * Entries that hear from this control process; limits are shared among them.
+   * Number of entries that subscribe to this control process; rate limits are divided among them.
    * </pre>
    *
    * <code>uint32 entries = 10;</code>
@@ -520,7 +520,7 @@
   }
   /**
    * <pre>
-   * Entries that hear from this control process; limits are shared among them.
+   * Number of entries that subscribe to this control process; rate limits are divided among them.
    * </pre>
    *
    * <code>uint32 entries = 10;</code>
@@ -534,7 +534,7 @@
   private boolean voter_;
   /**
    * <pre>
-   * The sender is a voter with its disk: it knows at least what it ever told.
+   * The sender is a voter and its commit index is durable, so its state includes everything that it has ever published.
    * </pre>
    *
    * <code>bool voter = 11;</code>
@@ -546,7 +546,7 @@
   }
   /**
    * <pre>
-   * The sender is a voter with its disk: it knows at least what it ever told.
+   * The sender is a voter and its commit index is durable, so its state includes everything that it has ever published.
    * </pre>
    *
    * <code>bool voter = 11;</code>
@@ -558,7 +558,7 @@
   }
   /**
    * <pre>
-   * The sender is a voter with its disk: it knows at least what it ever told.
+   * The sender is a voter and its commit index is durable, so its state includes everything that it has ever published.
    * </pre>
    *
    * <code>bool voter = 11;</code>
@@ -572,7 +572,7 @@
   private com.google.protobuf.Internal.ProtobufList<java.lang.String> control_;
   /**
    * <pre>
-   * Addresses of the control processes, by the sender's log.
+   * Addresses of the control processes according to the sender's replicated log.
    * </pre>
    *
    * <code>repeated string control = 12;</code>
@@ -584,7 +584,7 @@
   }
   /**
    * <pre>
-   * Addresses of the control processes, by the sender's log.
+   * Addresses of the control processes according to the sender's replicated log.
    * </pre>
    *
    * <code>repeated string control = 12;</code>
@@ -596,7 +596,7 @@
   }
   /**
    * <pre>
-   * Addresses of the control processes, by the sender's log.
+   * Addresses of the control processes according to the sender's replicated log.
    * </pre>
    *
    * <code>repeated string control = 12;</code>
@@ -609,7 +609,7 @@
   }
   /**
    * <pre>
-   * Addresses of the control processes, by the sender's log.
+   * Addresses of the control processes according to the sender's replicated log.
    * </pre>
    *
    * <code>repeated string control = 12;</code>
@@ -631,7 +631,7 @@
   }
   /**
    * <pre>
-   * Addresses of the control processes, by the sender's log.
+   * Addresses of the control processes according to the sender's replicated log.
    * </pre>
    *
    * <code>repeated string control = 12;</code>
@@ -647,7 +647,7 @@
   }
   /**
    * <pre>
-   * Addresses of the control processes, by the sender's log.
+   * Addresses of the control processes according to the sender's replicated log.
    * </pre>
    *
    * <code>repeated string control = 12;</code>
@@ -662,7 +662,7 @@
   }
   /**
    * <pre>
-   * Addresses of the control processes, by the sender's log.
+   * Addresses of the control processes according to the sender's replicated log.
    * </pre>
    *
    * <code>repeated string control = 12;</code>
@@ -676,7 +676,7 @@
   }
   /**
    * <pre>
-   * Addresses of the control processes, by the sender's log.
+   * Addresses of the control processes according to the sender's replicated log.
    * </pre>
    *
    * <code>repeated string control = 12;</code>
@@ -686,7 +686,7 @@
   }
   /**
    * <pre>
-   * Addresses of the control processes, by the sender's log.
+   * Addresses of the control processes according to the sender's replicated log.
    * </pre>
    *
    * <code>repeated string control = 12;</code>
@@ -703,7 +703,7 @@
   private com.google.protobuf.Internal.ProtobufList<java.lang.String> entryAddresses_;
   /**
    * <pre>
-   * Addresses of the entries that hear from this control process.
+   * Addresses of the entries that subscribe to this control process; empty if the subscriber has this list.
    * </pre>
    *
    * <code>repeated string entry_addresses = 13;</code>
@@ -715,7 +715,7 @@
   }
   /**
    * <pre>
-   * Addresses of the entries that hear from this control process.
+   * Addresses of the entries that subscribe to this control process; empty if the subscriber has this list.
    * </pre>
    *
    * <code>repeated string entry_addresses = 13;</code>
@@ -727,7 +727,7 @@
   }
   /**
    * <pre>
-   * Addresses of the entries that hear from this control process.
+   * Addresses of the entries that subscribe to this control process; empty if the subscriber has this list.
    * </pre>
    *
    * <code>repeated string entry_addresses = 13;</code>
@@ -740,7 +740,7 @@
   }
   /**
    * <pre>
-   * Addresses of the entries that hear from this control process.
+   * Addresses of the entries that subscribe to this control process; empty if the subscriber has this list.
    * </pre>
    *
    * <code>repeated string entry_addresses = 13;</code>
@@ -762,7 +762,7 @@
   }
   /**
    * <pre>
-   * Addresses of the entries that hear from this control process.
+   * Addresses of the entries that subscribe to this control process; empty if the subscriber has this list.
    * </pre>
    *
    * <code>repeated string entry_addresses = 13;</code>
@@ -778,7 +778,7 @@
   }
   /**
    * <pre>
-   * Addresses of the entries that hear from this control process.
+   * Addresses of the entries that subscribe to this control process; empty if the subscriber has this list.
    * </pre>
    *
    * <code>repeated string entry_addresses = 13;</code>
@@ -793,7 +793,7 @@
   }
   /**
    * <pre>
-   * Addresses of the entries that hear from this control process.
+   * Addresses of the entries that subscribe to this control process; empty if the subscriber has this list.
    * </pre>
    *
    * <code>repeated string entry_addresses = 13;</code>
@@ -807,7 +807,7 @@
   }
   /**
    * <pre>
-   * Addresses of the entries that hear from this control process.
+   * Addresses of the entries that subscribe to this control process; empty if the subscriber has this list.
    * </pre>
    *
    * <code>repeated string entry_addresses = 13;</code>
@@ -817,7 +817,7 @@
   }
   /**
    * <pre>
-   * Addresses of the entries that hear from this control process.
+   * Addresses of the entries that subscribe to this control process; empty if the subscriber has this list.
    * </pre>
    *
    * <code>repeated string entry_addresses = 13;</code>
@@ -834,7 +834,7 @@
   private com.google.protobuf.Internal.ProtobufList<org.cuminshelf.message.UpstreamBeat> upstreams_;
   /**
    * <pre>
-   * Upstreams that announce themselves straight to control: all that changed since the version held.
+   * Upstreams without a sidecar that changed since the subscriber's directory version.
    * </pre>
    *
    * <code>repeated .cuminshelf.UpstreamBeat upstreams = 14;</code>
@@ -845,7 +845,7 @@
   }
   /**
    * <pre>
-   * Upstreams that announce themselves straight to control: all that changed since the version held.
+   * Upstreams without a sidecar that changed since the subscriber's directory version.
    * </pre>
    *
    * <code>repeated .cuminshelf.UpstreamBeat upstreams = 14;</code>
@@ -856,7 +856,7 @@
   }
   /**
    * <pre>
-   * Upstreams that announce themselves straight to control: all that changed since the version held.
+   * Upstreams without a sidecar that changed since the subscriber's directory version.
    * </pre>
    *
    * <code>repeated .cuminshelf.UpstreamBeat upstreams = 14;</code>
@@ -867,7 +867,7 @@
   }
   /**
    * <pre>
-   * Upstreams that announce themselves straight to control: all that changed since the version held.
+   * Upstreams without a sidecar that changed since the subscriber's directory version.
    * </pre>
    *
    * <code>repeated .cuminshelf.UpstreamBeat upstreams = 14;</code>
@@ -878,7 +878,7 @@
   }
   /**
    * <pre>
-   * Upstreams that announce themselves straight to control: all that changed since the version held.
+   * Upstreams without a sidecar that changed since the subscriber's directory version.
    * </pre>
    *
    * <code>repeated .cuminshelf.UpstreamBeat upstreams = 14;</code>
@@ -897,7 +897,7 @@
 
   /**
    * <pre>
-   * Upstreams that announce themselves straight to control: all that changed since the version held.
+   * Upstreams without a sidecar that changed since the subscriber's directory version.
    * </pre>
    *
    * <code>repeated .cuminshelf.UpstreamBeat upstreams = 14;</code>
@@ -911,7 +911,7 @@
   }
   /**
    * <pre>
-   * Upstreams that announce themselves straight to control: all that changed since the version held.
+   * Upstreams without a sidecar that changed since the subscriber's directory version.
    * </pre>
    *
    * <code>repeated .cuminshelf.UpstreamBeat upstreams = 14;</code>
@@ -924,7 +924,7 @@
   }
   /**
    * <pre>
-   * Upstreams that announce themselves straight to control: all that changed since the version held.
+   * Upstreams without a sidecar that changed since the subscriber's directory version.
    * </pre>
    *
    * <code>repeated .cuminshelf.UpstreamBeat upstreams = 14;</code>
@@ -938,7 +938,7 @@
   }
   /**
    * <pre>
-   * Upstreams that announce themselves straight to control: all that changed since the version held.
+   * Upstreams without a sidecar that changed since the subscriber's directory version.
    * </pre>
    *
    * <code>repeated .cuminshelf.UpstreamBeat upstreams = 14;</code>
@@ -951,7 +951,7 @@
   }
   /**
    * <pre>
-   * Upstreams that announce themselves straight to control: all that changed since the version held.
+   * Upstreams without a sidecar that changed since the subscriber's directory version.
    * </pre>
    *
    * <code>repeated .cuminshelf.UpstreamBeat upstreams = 14;</code>
@@ -961,7 +961,7 @@
   }
   /**
    * <pre>
-   * Upstreams that announce themselves straight to control: all that changed since the version held.
+   * Upstreams without a sidecar that changed since the subscriber's directory version.
    * </pre>
    *
    * <code>repeated .cuminshelf.UpstreamBeat upstreams = 14;</code>
@@ -975,7 +975,7 @@
   private long directorySince_;
   /**
    * <pre>
-   * Version that the subscriber held when it asked last; an incomplete directory tells only what changed since.
+   * Directory version in the subscriber's last request; a partial directory contains only the changes since then.
    * </pre>
    *
    * <code>uint64 directory_since = 15;</code>
@@ -987,7 +987,7 @@
   }
   /**
    * <pre>
-   * Version that the subscriber held when it asked last; an incomplete directory tells only what changed since.
+   * Directory version in the subscriber's last request; a partial directory contains only the changes since then.
    * </pre>
    *
    * <code>uint64 directory_since = 15;</code>
@@ -999,7 +999,7 @@
   }
   /**
    * <pre>
-   * Version that the subscriber held when it asked last; an incomplete directory tells only what changed since.
+   * Directory version in the subscriber's last request; a partial directory contains only the changes since then.
    * </pre>
    *
    * <code>uint64 directory_since = 15;</code>
@@ -1013,7 +1013,7 @@
   private long entriesHash_;
   /**
    * <pre>
-   * Hash of the list of entries, whether or not the list is told.
+   * Hash of the list of entries, set whether or not the list is included.
    * </pre>
    *
    * <code>uint64 entries_hash = 16;</code>
@@ -1025,7 +1025,7 @@
   }
   /**
    * <pre>
-   * Hash of the list of entries, whether or not the list is told.
+   * Hash of the list of entries, set whether or not the list is included.
    * </pre>
    *
    * <code>uint64 entries_hash = 16;</code>
@@ -1037,7 +1037,7 @@
   }
   /**
    * <pre>
-   * Hash of the list of entries, whether or not the list is told.
+   * Hash of the list of entries, set whether or not the list is included.
    * </pre>
    *
    * <code>uint64 entries_hash = 16;</code>
@@ -1051,7 +1051,7 @@
   private long poisonHeard_;
   /**
    * <pre>
-   * Version up to which the sender has heard what the subscriber knows of poison requests.
+   * Version of the subscriber's poison request data up to which the sender has received all changes.
    * </pre>
    *
    * <code>uint64 poison_heard = 17;</code>
@@ -1063,7 +1063,7 @@
   }
   /**
    * <pre>
-   * Version up to which the sender has heard what the subscriber knows of poison requests.
+   * Version of the subscriber's poison request data up to which the sender has received all changes.
    * </pre>
    *
    * <code>uint64 poison_heard = 17;</code>
@@ -1075,7 +1075,7 @@
   }
   /**
    * <pre>
-   * Version up to which the sender has heard what the subscriber knows of poison requests.
+   * Version of the subscriber's poison request data up to which the sender has received all changes.
    * </pre>
    *
    * <code>uint64 poison_heard = 17;</code>
@@ -1089,7 +1089,7 @@
   private com.google.protobuf.Internal.ProtobufList<org.cuminshelf.message.UpstreamCrash> crashes_;
   /**
    * <pre>
-   * What changed of poison requests since the version of the directory held.
+   * Changes of the poison request data since the subscriber's directory version.
    * </pre>
    *
    * <code>repeated .cuminshelf.UpstreamCrash crashes = 18;</code>
@@ -1100,7 +1100,7 @@
   }
   /**
    * <pre>
-   * What changed of poison requests since the version of the directory held.
+   * Changes of the poison request data since the subscriber's directory version.
    * </pre>
    *
    * <code>repeated .cuminshelf.UpstreamCrash crashes = 18;</code>
@@ -1111,7 +1111,7 @@
   }
   /**
    * <pre>
-   * What changed of poison requests since the version of the directory held.
+   * Changes of the poison request data since the subscriber's directory version.
    * </pre>
    *
    * <code>repeated .cuminshelf.UpstreamCrash crashes = 18;</code>
@@ -1122,7 +1122,7 @@
   }
   /**
    * <pre>
-   * What changed of poison requests since the version of the directory held.
+   * Changes of the poison request data since the subscriber's directory version.
    * </pre>
    *
    * <code>repeated .cuminshelf.UpstreamCrash crashes = 18;</code>
@@ -1133,7 +1133,7 @@
   }
   /**
    * <pre>
-   * What changed of poison requests since the version of the directory held.
+   * Changes of the poison request data since the subscriber's directory version.
    * </pre>
    *
    * <code>repeated .cuminshelf.UpstreamCrash crashes = 18;</code>
@@ -1152,7 +1152,7 @@
 
   /**
    * <pre>
-   * What changed of poison requests since the version of the directory held.
+   * Changes of the poison request data since the subscriber's directory version.
    * </pre>
    *
    * <code>repeated .cuminshelf.UpstreamCrash crashes = 18;</code>
@@ -1166,7 +1166,7 @@
   }
   /**
    * <pre>
-   * What changed of poison requests since the version of the directory held.
+   * Changes of the poison request data since the subscriber's directory version.
    * </pre>
    *
    * <code>repeated .cuminshelf.UpstreamCrash crashes = 18;</code>
@@ -1179,7 +1179,7 @@
   }
   /**
    * <pre>
-   * What changed of poison requests since the version of the directory held.
+   * Changes of the poison request data since the subscriber's directory version.
    * </pre>
    *
    * <code>repeated .cuminshelf.UpstreamCrash crashes = 18;</code>
@@ -1193,7 +1193,7 @@
   }
   /**
    * <pre>
-   * What changed of poison requests since the version of the directory held.
+   * Changes of the poison request data since the subscriber's directory version.
    * </pre>
    *
    * <code>repeated .cuminshelf.UpstreamCrash crashes = 18;</code>
@@ -1206,7 +1206,7 @@
   }
   /**
    * <pre>
-   * What changed of poison requests since the version of the directory held.
+   * Changes of the poison request data since the subscriber's directory version.
    * </pre>
    *
    * <code>repeated .cuminshelf.UpstreamCrash crashes = 18;</code>
@@ -1216,7 +1216,7 @@
   }
   /**
    * <pre>
-   * What changed of poison requests since the version of the directory held.
+   * Changes of the poison request data since the subscriber's directory version.
    * </pre>
    *
    * <code>repeated .cuminshelf.UpstreamCrash crashes = 18;</code>
@@ -1327,7 +1327,8 @@
   private long askedAtNs_;
   /**
    * <pre>
-   * Clock reading of the question, and Unix microseconds at which the question was taken in; 0 where unknown.
+   * Monotonic clock reading from the request in nanoseconds, and the time at which the request was received in Unix
+   * microseconds; 0 if unknown.
    * </pre>
    *
    * <code>sint64 asked_at_ns = 20;</code>
@@ -1339,7 +1340,8 @@
   }
   /**
    * <pre>
-   * Clock reading of the question, and Unix microseconds at which the question was taken in; 0 where unknown.
+   * Monotonic clock reading from the request in nanoseconds, and the time at which the request was received in Unix
+   * microseconds; 0 if unknown.
    * </pre>
    *
    * <code>sint64 asked_at_ns = 20;</code>
@@ -1351,7 +1353,8 @@
   }
   /**
    * <pre>
-   * Clock reading of the question, and Unix microseconds at which the question was taken in; 0 where unknown.
+   * Monotonic clock reading from the request in nanoseconds, and the time at which the request was received in Unix
+   * microseconds; 0 if unknown.
    * </pre>
    *
    * <code>sint64 asked_at_ns = 20;</code>
@@ -1391,7 +1394,7 @@
   private long usageHeard_;
   /**
    * <pre>
-   * Version up to which the sender has heard what the subscriber counted of usage.
+   * Version of the subscriber's usage counts up to which the sender has received all changes.
    * </pre>
    *
    * <code>uint64 usage_heard = 22;</code>
@@ -1403,7 +1406,7 @@
   }
   /**
    * <pre>
-   * Version up to which the sender has heard what the subscriber counted of usage.
+   * Version of the subscriber's usage counts up to which the sender has received all changes.
    * </pre>
    *
    * <code>uint64 usage_heard = 22;</code>
@@ -1415,7 +1418,7 @@
   }
   /**
    * <pre>
-   * Version up to which the sender has heard what the subscriber counted of usage.
+   * Version of the subscriber's usage counts up to which the sender has received all changes.
    * </pre>
    *
    * <code>uint64 usage_heard = 22;</code>
@@ -1429,7 +1432,7 @@
   private long usageSettled_;
   /**
    * <pre>
-   * Number of the last window whose counts stand for good.
+   * Number of the last window whose counts are final.
    * </pre>
    *
    * <code>uint64 usage_settled = 23;</code>
@@ -1441,7 +1444,7 @@
   }
   /**
    * <pre>
-   * Number of the last window whose counts stand for good.
+   * Number of the last window whose counts are final.
    * </pre>
    *
    * <code>uint64 usage_settled = 23;</code>
@@ -1453,7 +1456,7 @@
   }
   /**
    * <pre>
-   * Number of the last window whose counts stand for good.
+   * Number of the last window whose counts are final.
    * </pre>
    *
    * <code>uint64 usage_settled = 23;</code>
@@ -1590,7 +1593,7 @@
 
     /**
      * <pre>
-     * Empty where the subscriber holds this version.
+     * Empty if the subscriber has this version or fetches configurations with ConfigFetch.
      * </pre>
      *
      * <code>bytes config = 2;</code>
@@ -1602,7 +1605,7 @@
     }
     /**
      * <pre>
-     * Empty where the subscriber holds this version.
+     * Empty if the subscriber has this version or fetches configurations with ConfigFetch.
      * </pre>
      *
      * <code>bytes config = 2;</code>
@@ -1616,7 +1619,7 @@
     }
     /**
      * <pre>
-     * Empty where the subscriber holds this version.
+     * Empty if the subscriber has this version or fetches configurations with ConfigFetch.
      * </pre>
      *
      * <code>bytes config = 2;</code>
@@ -1816,7 +1819,7 @@
 
     /**
      * <pre>
-     * A quorum confirmed that no newer configuration was accepted before the question.
+     * A quorum confirmed that no newer configuration was accepted before the request.
      * </pre>
      *
      * <code>bool confirmed = 7;</code>
@@ -1828,7 +1831,7 @@
     }
     /**
      * <pre>
-     * A quorum confirmed that no newer configuration was accepted before the question.
+     * A quorum confirmed that no newer configuration was accepted before the request.
      * </pre>
      *
      * <code>bool confirmed = 7;</code>
@@ -1842,7 +1845,7 @@
     }
     /**
      * <pre>
-     * A quorum confirmed that no newer configuration was accepted before the question.
+     * A quorum confirmed that no newer configuration was accepted before the request.
      * </pre>
      *
      * <code>bool confirmed = 7;</code>
@@ -1905,7 +1908,7 @@
 
     /**
      * <pre>
-     * Addresses believed to lead each group.
+     * Address of the presumed leader of each group.
      * </pre>
      *
      * <code>repeated .cuminshelf.GroupLeader leaders = 9;</code>
@@ -1917,7 +1920,7 @@
     }
     /**
      * <pre>
-     * Addresses believed to lead each group.
+     * Address of the presumed leader of each group.
      * </pre>
      *
      * <code>repeated .cuminshelf.GroupLeader leaders = 9;</code>
@@ -1927,7 +1930,7 @@
       return instance.getLeadersCount();
     }/**
      * <pre>
-     * Addresses believed to lead each group.
+     * Address of the presumed leader of each group.
      * </pre>
      *
      * <code>repeated .cuminshelf.GroupLeader leaders = 9;</code>
@@ -1938,7 +1941,7 @@
     }
     /**
      * <pre>
-     * Addresses believed to lead each group.
+     * Address of the presumed leader of each group.
      * </pre>
      *
      * <code>repeated .cuminshelf.GroupLeader leaders = 9;</code>
@@ -1951,7 +1954,7 @@
     }
     /**
      * <pre>
-     * Addresses believed to lead each group.
+     * Address of the presumed leader of each group.
      * </pre>
      *
      * <code>repeated .cuminshelf.GroupLeader leaders = 9;</code>
@@ -1965,7 +1968,7 @@
     }
     /**
      * <pre>
-     * Addresses believed to lead each group.
+     * Address of the presumed leader of each group.
      * </pre>
      *
      * <code>repeated .cuminshelf.GroupLeader leaders = 9;</code>
@@ -1977,7 +1980,7 @@
     }
     /**
      * <pre>
-     * Addresses believed to lead each group.
+     * Address of the presumed leader of each group.
      * </pre>
      *
      * <code>repeated .cuminshelf.GroupLeader leaders = 9;</code>
@@ -1990,7 +1993,7 @@
     }
     /**
      * <pre>
-     * Addresses believed to lead each group.
+     * Address of the presumed leader of each group.
      * </pre>
      *
      * <code>repeated .cuminshelf.GroupLeader leaders = 9;</code>
@@ -2003,7 +2006,7 @@
     }
     /**
      * <pre>
-     * Addresses believed to lead each group.
+     * Address of the presumed leader of each group.
      * </pre>
      *
      * <code>repeated .cuminshelf.GroupLeader leaders = 9;</code>
@@ -2017,7 +2020,7 @@
     }
     /**
      * <pre>
-     * Addresses believed to lead each group.
+     * Address of the presumed leader of each group.
      * </pre>
      *
      * <code>repeated .cuminshelf.GroupLeader leaders = 9;</code>
@@ -2030,7 +2033,7 @@
     }
     /**
      * <pre>
-     * Addresses believed to lead each group.
+     * Address of the presumed leader of each group.
      * </pre>
      *
      * <code>repeated .cuminshelf.GroupLeader leaders = 9;</code>
@@ -2042,7 +2045,7 @@
     }
     /**
      * <pre>
-     * Addresses believed to lead each group.
+     * Address of the presumed leader of each group.
      * </pre>
      *
      * <code>repeated .cuminshelf.GroupLeader leaders = 9;</code>
@@ -2055,7 +2058,7 @@
 
     /**
      * <pre>
-     * Entries that hear from this control process; limits are shared among them.
+     * Number of entries that subscribe to this control process; rate limits are divided among them.
      * </pre>
      *
      * <code>uint32 entries = 10;</code>
@@ -2067,7 +2070,7 @@
     }
     /**
      * <pre>
-     * Entries that hear from this control process; limits are shared among them.
+     * Number of entries that subscribe to this control process; rate limits are divided among them.
      * </pre>
      *
      * <code>uint32 entries = 10;</code>
@@ -2081,7 +2084,7 @@
     }
     /**
      * <pre>
-     * Entries that hear from this control process; limits are shared among them.
+     * Number of entries that subscribe to this control process; rate limits are divided among them.
      * </pre>
      *
      * <code>uint32 entries = 10;</code>
@@ -2095,7 +2098,7 @@
 
     /**
      * <pre>
-     * The sender is a voter with its disk: it knows at least what it ever told.
+     * The sender is a voter and its commit index is durable, so its state includes everything that it has ever published.
      * </pre>
      *
      * <code>bool voter = 11;</code>
@@ -2107,7 +2110,7 @@
     }
     /**
      * <pre>
-     * The sender is a voter with its disk: it knows at least what it ever told.
+     * The sender is a voter and its commit index is durable, so its state includes everything that it has ever published.
      * </pre>
      *
      * <code>bool voter = 11;</code>
@@ -2121,7 +2124,7 @@
     }
     /**
      * <pre>
-     * The sender is a voter with its disk: it knows at least what it ever told.
+     * The sender is a voter and its commit index is durable, so its state includes everything that it has ever published.
      * </pre>
      *
      * <code>bool voter = 11;</code>
@@ -2135,7 +2138,7 @@
 
     /**
      * <pre>
-     * Addresses of the control processes, by the sender's log.
+     * Addresses of the control processes according to the sender's replicated log.
      * </pre>
      *
      * <code>repeated string control = 12;</code>
@@ -2149,7 +2152,7 @@
     }
     /**
      * <pre>
-     * Addresses of the control processes, by the sender's log.
+     * Addresses of the control processes according to the sender's replicated log.
      * </pre>
      *
      * <code>repeated string control = 12;</code>
@@ -2161,7 +2164,7 @@
     }
     /**
      * <pre>
-     * Addresses of the control processes, by the sender's log.
+     * Addresses of the control processes according to the sender's replicated log.
      * </pre>
      *
      * <code>repeated string control = 12;</code>
@@ -2174,7 +2177,7 @@
     }
     /**
      * <pre>
-     * Addresses of the control processes, by the sender's log.
+     * Addresses of the control processes according to the sender's replicated log.
      * </pre>
      *
      * <code>repeated string control = 12;</code>
@@ -2188,7 +2191,7 @@
     }
     /**
      * <pre>
-     * Addresses of the control processes, by the sender's log.
+     * Addresses of the control processes according to the sender's replicated log.
      * </pre>
      *
      * <code>repeated string control = 12;</code>
@@ -2204,7 +2207,7 @@
     }
     /**
      * <pre>
-     * Addresses of the control processes, by the sender's log.
+     * Addresses of the control processes according to the sender's replicated log.
      * </pre>
      *
      * <code>repeated string control = 12;</code>
@@ -2219,7 +2222,7 @@
     }
     /**
      * <pre>
-     * Addresses of the control processes, by the sender's log.
+     * Addresses of the control processes according to the sender's replicated log.
      * </pre>
      *
      * <code>repeated string control = 12;</code>
@@ -2234,7 +2237,7 @@
     }
     /**
      * <pre>
-     * Addresses of the control processes, by the sender's log.
+     * Addresses of the control processes according to the sender's replicated log.
      * </pre>
      *
      * <code>repeated string control = 12;</code>
@@ -2247,7 +2250,7 @@
     }
     /**
      * <pre>
-     * Addresses of the control processes, by the sender's log.
+     * Addresses of the control processes according to the sender's replicated log.
      * </pre>
      *
      * <code>repeated string control = 12;</code>
@@ -2263,7 +2266,7 @@
 
     /**
      * <pre>
-     * Addresses of the entries that hear from this control process.
+     * Addresses of the entries that subscribe to this control process; empty if the subscriber has this list.
      * </pre>
      *
      * <code>repeated string entry_addresses = 13;</code>
@@ -2277,7 +2280,7 @@
     }
     /**
      * <pre>
-     * Addresses of the entries that hear from this control process.
+     * Addresses of the entries that subscribe to this control process; empty if the subscriber has this list.
      * </pre>
      *
      * <code>repeated string entry_addresses = 13;</code>
@@ -2289,7 +2292,7 @@
     }
     /**
      * <pre>
-     * Addresses of the entries that hear from this control process.
+     * Addresses of the entries that subscribe to this control process; empty if the subscriber has this list.
      * </pre>
      *
      * <code>repeated string entry_addresses = 13;</code>
@@ -2302,7 +2305,7 @@
     }
     /**
      * <pre>
-     * Addresses of the entries that hear from this control process.
+     * Addresses of the entries that subscribe to this control process; empty if the subscriber has this list.
      * </pre>
      *
      * <code>repeated string entry_addresses = 13;</code>
@@ -2316,7 +2319,7 @@
     }
     /**
      * <pre>
-     * Addresses of the entries that hear from this control process.
+     * Addresses of the entries that subscribe to this control process; empty if the subscriber has this list.
      * </pre>
      *
      * <code>repeated string entry_addresses = 13;</code>
@@ -2332,7 +2335,7 @@
     }
     /**
      * <pre>
-     * Addresses of the entries that hear from this control process.
+     * Addresses of the entries that subscribe to this control process; empty if the subscriber has this list.
      * </pre>
      *
      * <code>repeated string entry_addresses = 13;</code>
@@ -2347,7 +2350,7 @@
     }
     /**
      * <pre>
-     * Addresses of the entries that hear from this control process.
+     * Addresses of the entries that subscribe to this control process; empty if the subscriber has this list.
      * </pre>
      *
      * <code>repeated string entry_addresses = 13;</code>
@@ -2362,7 +2365,7 @@
     }
     /**
      * <pre>
-     * Addresses of the entries that hear from this control process.
+     * Addresses of the entries that subscribe to this control process; empty if the subscriber has this list.
      * </pre>
      *
      * <code>repeated string entry_addresses = 13;</code>
@@ -2375,7 +2378,7 @@
     }
     /**
      * <pre>
-     * Addresses of the entries that hear from this control process.
+     * Addresses of the entries that subscribe to this control process; empty if the subscriber has this list.
      * </pre>
      *
      * <code>repeated string entry_addresses = 13;</code>
@@ -2391,7 +2394,7 @@
 
     /**
      * <pre>
-     * Upstreams that announce themselves straight to control: all that changed since the version held.
+     * Upstreams without a sidecar that changed since the subscriber's directory version.
      * </pre>
      *
      * <code>repeated .cuminshelf.UpstreamBeat upstreams = 14;</code>
@@ -2403,7 +2406,7 @@
     }
     /**
      * <pre>
-     * Upstreams that announce themselves straight to control: all that changed since the version held.
+     * Upstreams without a sidecar that changed since the subscriber's directory version.
      * </pre>
      *
      * <code>repeated .cuminshelf.UpstreamBeat upstreams = 14;</code>
@@ -2413,7 +2416,7 @@
       return instance.getUpstreamsCount();
     }/**
      * <pre>
-     * Upstreams that announce themselves straight to control: all that changed since the version held.
+     * Upstreams without a sidecar that changed since the subscriber's directory version.
      * </pre>
      *
      * <code>repeated .cuminshelf.UpstreamBeat upstreams = 14;</code>
@@ -2424,7 +2427,7 @@
     }
     /**
      * <pre>
-     * Upstreams that announce themselves straight to control: all that changed since the version held.
+     * Upstreams without a sidecar that changed since the subscriber's directory version.
      * </pre>
      *
      * <code>repeated .cuminshelf.UpstreamBeat upstreams = 14;</code>
@@ -2437,7 +2440,7 @@
     }
     /**
      * <pre>
-     * Upstreams that announce themselves straight to control: all that changed since the version held.
+     * Upstreams without a sidecar that changed since the subscriber's directory version.
      * </pre>
      *
      * <code>repeated .cuminshelf.UpstreamBeat upstreams = 14;</code>
@@ -2451,7 +2454,7 @@
     }
     /**
      * <pre>
-     * Upstreams that announce themselves straight to control: all that changed since the version held.
+     * Upstreams without a sidecar that changed since the subscriber's directory version.
      * </pre>
      *
      * <code>repeated .cuminshelf.UpstreamBeat upstreams = 14;</code>
@@ -2463,7 +2466,7 @@
     }
     /**
      * <pre>
-     * Upstreams that announce themselves straight to control: all that changed since the version held.
+     * Upstreams without a sidecar that changed since the subscriber's directory version.
      * </pre>
      *
      * <code>repeated .cuminshelf.UpstreamBeat upstreams = 14;</code>
@@ -2476,7 +2479,7 @@
     }
     /**
      * <pre>
-     * Upstreams that announce themselves straight to control: all that changed since the version held.
+     * Upstreams without a sidecar that changed since the subscriber's directory version.
      * </pre>
      *
      * <code>repeated .cuminshelf.UpstreamBeat upstreams = 14;</code>
@@ -2489,7 +2492,7 @@
     }
     /**
      * <pre>
-     * Upstreams that announce themselves straight to control: all that changed since the version held.
+     * Upstreams without a sidecar that changed since the subscriber's directory version.
      * </pre>
      *
      * <code>repeated .cuminshelf.UpstreamBeat upstreams = 14;</code>
@@ -2503,7 +2506,7 @@
     }
     /**
      * <pre>
-     * Upstreams that announce themselves straight to control: all that changed since the version held.
+     * Upstreams without a sidecar that changed since the subscriber's directory version.
      * </pre>
      *
      * <code>repeated .cuminshelf.UpstreamBeat upstreams = 14;</code>
@@ -2516,7 +2519,7 @@
     }
     /**
      * <pre>
-     * Upstreams that announce themselves straight to control: all that changed since the version held.
+     * Upstreams without a sidecar that changed since the subscriber's directory version.
      * </pre>
      *
      * <code>repeated .cuminshelf.UpstreamBeat upstreams = 14;</code>
@@ -2528,7 +2531,7 @@
     }
     /**
      * <pre>
-     * Upstreams that announce themselves straight to control: all that changed since the version held.
+     * Upstreams without a sidecar that changed since the subscriber's directory version.
      * </pre>
      *
      * <code>repeated .cuminshelf.UpstreamBeat upstreams = 14;</code>
@@ -2541,7 +2544,7 @@
 
     /**
      * <pre>
-     * Version that the subscriber held when it asked last; an incomplete directory tells only what changed since.
+     * Directory version in the subscriber's last request; a partial directory contains only the changes since then.
      * </pre>
      *
      * <code>uint64 directory_since = 15;</code>
@@ -2553,7 +2556,7 @@
     }
     /**
      * <pre>
-     * Version that the subscriber held when it asked last; an incomplete directory tells only what changed since.
+     * Directory version in the subscriber's last request; a partial directory contains only the changes since then.
      * </pre>
      *
      * <code>uint64 directory_since = 15;</code>
@@ -2567,7 +2570,7 @@
     }
     /**
      * <pre>
-     * Version that the subscriber held when it asked last; an incomplete directory tells only what changed since.
+     * Directory version in the subscriber's last request; a partial directory contains only the changes since then.
      * </pre>
      *
      * <code>uint64 directory_since = 15;</code>
@@ -2581,7 +2584,7 @@
 
     /**
      * <pre>
-     * Hash of the list of entries, whether or not the list is told.
+     * Hash of the list of entries, set whether or not the list is included.
      * </pre>
      *
      * <code>uint64 entries_hash = 16;</code>
@@ -2593,7 +2596,7 @@
     }
     /**
      * <pre>
-     * Hash of the list of entries, whether or not the list is told.
+     * Hash of the list of entries, set whether or not the list is included.
      * </pre>
      *
      * <code>uint64 entries_hash = 16;</code>
@@ -2607,7 +2610,7 @@
     }
     /**
      * <pre>
-     * Hash of the list of entries, whether or not the list is told.
+     * Hash of the list of entries, set whether or not the list is included.
      * </pre>
      *
      * <code>uint64 entries_hash = 16;</code>
@@ -2621,7 +2624,7 @@
 
     /**
      * <pre>
-     * Version up to which the sender has heard what the subscriber knows of poison requests.
+     * Version of the subscriber's poison request data up to which the sender has received all changes.
      * </pre>
      *
      * <code>uint64 poison_heard = 17;</code>
@@ -2633,7 +2636,7 @@
     }
     /**
      * <pre>
-     * Version up to which the sender has heard what the subscriber knows of poison requests.
+     * Version of the subscriber's poison request data up to which the sender has received all changes.
      * </pre>
      *
      * <code>uint64 poison_heard = 17;</code>
@@ -2647,7 +2650,7 @@
     }
     /**
      * <pre>
-     * Version up to which the sender has heard what the subscriber knows of poison requests.
+     * Version of the subscriber's poison request data up to which the sender has received all changes.
      * </pre>
      *
      * <code>uint64 poison_heard = 17;</code>
@@ -2661,7 +2664,7 @@
 
     /**
      * <pre>
-     * What changed of poison requests since the version of the directory held.
+     * Changes of the poison request data since the subscriber's directory version.
      * </pre>
      *
      * <code>repeated .cuminshelf.UpstreamCrash crashes = 18;</code>
@@ -2673,7 +2676,7 @@
     }
     /**
      * <pre>
-     * What changed of poison requests since the version of the directory held.
+     * Changes of the poison request data since the subscriber's directory version.
      * </pre>
      *
      * <code>repeated .cuminshelf.UpstreamCrash crashes = 18;</code>
@@ -2683,7 +2686,7 @@
       return instance.getCrashesCount();
     }/**
      * <pre>
-     * What changed of poison requests since the version of the directory held.
+     * Changes of the poison request data since the subscriber's directory version.
      * </pre>
      *
      * <code>repeated .cuminshelf.UpstreamCrash crashes = 18;</code>
@@ -2694,7 +2697,7 @@
     }
     /**
      * <pre>
-     * What changed of poison requests since the version of the directory held.
+     * Changes of the poison request data since the subscriber's directory version.
      * </pre>
      *
      * <code>repeated .cuminshelf.UpstreamCrash crashes = 18;</code>
@@ -2707,7 +2710,7 @@
     }
     /**
      * <pre>
-     * What changed of poison requests since the version of the directory held.
+     * Changes of the poison request data since the subscriber's directory version.
      * </pre>
      *
      * <code>repeated .cuminshelf.UpstreamCrash crashes = 18;</code>
@@ -2721,7 +2724,7 @@
     }
     /**
      * <pre>
-     * What changed of poison requests since the version of the directory held.
+     * Changes of the poison request data since the subscriber's directory version.
      * </pre>
      *
      * <code>repeated .cuminshelf.UpstreamCrash crashes = 18;</code>
@@ -2733,7 +2736,7 @@
     }
     /**
      * <pre>
-     * What changed of poison requests since the version of the directory held.
+     * Changes of the poison request data since the subscriber's directory version.
      * </pre>
      *
      * <code>repeated .cuminshelf.UpstreamCrash crashes = 18;</code>
@@ -2746,7 +2749,7 @@
     }
     /**
      * <pre>
-     * What changed of poison requests since the version of the directory held.
+     * Changes of the poison request data since the subscriber's directory version.
      * </pre>
      *
      * <code>repeated .cuminshelf.UpstreamCrash crashes = 18;</code>
@@ -2759,7 +2762,7 @@
     }
     /**
      * <pre>
-     * What changed of poison requests since the version of the directory held.
+     * Changes of the poison request data since the subscriber's directory version.
      * </pre>
      *
      * <code>repeated .cuminshelf.UpstreamCrash crashes = 18;</code>
@@ -2773,7 +2776,7 @@
     }
     /**
      * <pre>
-     * What changed of poison requests since the version of the directory held.
+     * Changes of the poison request data since the subscriber's directory version.
      * </pre>
      *
      * <code>repeated .cuminshelf.UpstreamCrash crashes = 18;</code>
@@ -2786,7 +2789,7 @@
     }
     /**
      * <pre>
-     * What changed of poison requests since the version of the directory held.
+     * Changes of the poison request data since the subscriber's directory version.
      * </pre>
      *
      * <code>repeated .cuminshelf.UpstreamCrash crashes = 18;</code>
@@ -2798,7 +2801,7 @@
     }
     /**
      * <pre>
-     * What changed of poison requests since the version of the directory held.
+     * Changes of the poison request data since the subscriber's directory version.
      * </pre>
      *
      * <code>repeated .cuminshelf.UpstreamCrash crashes = 18;</code>
@@ -2913,7 +2916,8 @@
 
     /**
      * <pre>
-     * Clock reading of the question, and Unix microseconds at which the question was taken in; 0 where unknown.
+     * Monotonic clock reading from the request in nanoseconds, and the time at which the request was received in Unix
+     * microseconds; 0 if unknown.
      * </pre>
      *
      * <code>sint64 asked_at_ns = 20;</code>
@@ -2925,7 +2929,8 @@
     }
     /**
      * <pre>
-     * Clock reading of the question, and Unix microseconds at which the question was taken in; 0 where unknown.
+     * Monotonic clock reading from the request in nanoseconds, and the time at which the request was received in Unix
+     * microseconds; 0 if unknown.
      * </pre>
      *
      * <code>sint64 asked_at_ns = 20;</code>
@@ -2939,7 +2944,8 @@
     }
     /**
      * <pre>
-     * Clock reading of the question, and Unix microseconds at which the question was taken in; 0 where unknown.
+     * Monotonic clock reading from the request in nanoseconds, and the time at which the request was received in Unix
+     * microseconds; 0 if unknown.
      * </pre>
      *
      * <code>sint64 asked_at_ns = 20;</code>
@@ -2981,7 +2987,7 @@
 
     /**
      * <pre>
-     * Version up to which the sender has heard what the subscriber counted of usage.
+     * Version of the subscriber's usage counts up to which the sender has received all changes.
      * </pre>
      *
      * <code>uint64 usage_heard = 22;</code>
@@ -2993,7 +2999,7 @@
     }
     /**
      * <pre>
-     * Version up to which the sender has heard what the subscriber counted of usage.
+     * Version of the subscriber's usage counts up to which the sender has received all changes.
      * </pre>
      *
      * <code>uint64 usage_heard = 22;</code>
@@ -3007,7 +3013,7 @@
     }
     /**
      * <pre>
-     * Version up to which the sender has heard what the subscriber counted of usage.
+     * Version of the subscriber's usage counts up to which the sender has received all changes.
      * </pre>
      *
      * <code>uint64 usage_heard = 22;</code>
@@ -3021,7 +3027,7 @@
 
     /**
      * <pre>
-     * Number of the last window whose counts stand for good.
+     * Number of the last window whose counts are final.
      * </pre>
      *
      * <code>uint64 usage_settled = 23;</code>
@@ -3033,7 +3039,7 @@
     }
     /**
      * <pre>
-     * Number of the last window whose counts stand for good.
+     * Number of the last window whose counts are final.
      * </pre>
      *
      * <code>uint64 usage_settled = 23;</code>
@@ -3047,7 +3053,7 @@
     }
     /**
      * <pre>
-     * Number of the last window whose counts stand for good.
+     * Number of the last window whose counts are final.
      * </pre>
      *
      * <code>uint64 usage_settled = 23;</code>
--- a/src/main/java/org/cuminshelf/message/UpdateOrBuilder.java
+++ b/src/main/java/org/cuminshelf/message/UpdateOrBuilder.java
@@ -18,7 +18,7 @@
 
   /**
    * <pre>
-   * Empty where the subscriber holds this version.
+   * Empty if the subscriber has this version or fetches configurations with ConfigFetch.
    * </pre>
    *
    * <code>bytes config = 2;</code>
@@ -60,7 +60,7 @@
 
   /**
    * <pre>
-   * A quorum confirmed that no newer configuration was accepted before the question.
+   * A quorum confirmed that no newer configuration was accepted before the request.
    * </pre>
    *
    * <code>bool confirmed = 7;</code>
@@ -82,7 +82,7 @@
 
   /**
    * <pre>
-   * Addresses believed to lead each group.
+   * Address of the presumed leader of each group.
    * </pre>
    *
    * <code>repeated .cuminshelf.GroupLeader leaders = 9;</code>
@@ -91,7 +91,7 @@
       getLeadersList();
   /**
    * <pre>
-   * Addresses believed to lead each group.
+   * Address of the presumed leader of each group.
    * </pre>
    *
    * <code>repeated .cuminshelf.GroupLeader leaders = 9;</code>
@@ -99,7 +99,7 @@
   org.cuminshelf.message.GroupLeader getLeaders(int index);
   /**
    * <pre>
-   * Addresses believed to lead each group.
+   * Address of the presumed leader of each group.
    * </pre>
    *
    * <code>repeated .cuminshelf.GroupLeader leaders = 9;</code>
@@ -108,7 +108,7 @@
 
   /**
    * <pre>
-   * Entries that hear from this control process; limits are shared among them.
+   * Number of entries that subscribe to this control process; rate limits are divided among them.
    * </pre>
    *
    * <code>uint32 entries = 10;</code>
@@ -118,7 +118,7 @@
 
   /**
    * <pre>
-   * The sender is a voter with its disk: it knows at least what it ever told.
+   * The sender is a voter and its commit index is durable, so its state includes everything that it has ever published.
    * </pre>
    *
    * <code>bool voter = 11;</code>
@@ -128,7 +128,7 @@
 
   /**
    * <pre>
-   * Addresses of the control processes, by the sender's log.
+   * Addresses of the control processes according to the sender's replicated log.
    * </pre>
    *
    * <code>repeated string control = 12;</code>
@@ -138,7 +138,7 @@
       getControlList();
   /**
    * <pre>
-   * Addresses of the control processes, by the sender's log.
+   * Addresses of the control processes according to the sender's replicated log.
    * </pre>
    *
    * <code>repeated string control = 12;</code>
@@ -147,7 +147,7 @@
   int getControlCount();
   /**
    * <pre>
-   * Addresses of the control processes, by the sender's log.
+   * Addresses of the control processes according to the sender's replicated log.
    * </pre>
    *
    * <code>repeated string control = 12;</code>
@@ -157,7 +157,7 @@
   java.lang.String getControl(int index);
   /**
    * <pre>
-   * Addresses of the control processes, by the sender's log.
+   * Addresses of the control processes according to the sender's replicated log.
    * </pre>
    *
    * <code>repeated string control = 12;</code>
@@ -169,7 +169,7 @@
 
   /**
    * <pre>
-   * Addresses of the entries that hear from this control process.
+   * Addresses of the entries that subscribe to this control process; empty if the subscriber has this list.
    * </pre>
    *
    * <code>repeated string entry_addresses = 13;</code>
@@ -179,7 +179,7 @@
       getEntryAddressesList();
   /**
    * <pre>
-   * Addresses of the entries that hear from this control process.
+   * Addresses of the entries that subscribe to this control process; empty if the subscriber has this list.
    * </pre>
    *
    * <code>repeated string entry_addresses = 13;</code>
@@ -188,7 +188,7 @@
   int getEntryAddressesCount();
   /**
    * <pre>
-   * Addresses of the entries that hear from this control process.
+   * Addresses of the entries that subscribe to this control process; empty if the subscriber has this list.
    * </pre>
    *
    * <code>repeated string entry_addresses = 13;</code>
@@ -198,7 +198,7 @@
   java.lang.String getEntryAddresses(int index);
   /**
    * <pre>
-   * Addresses of the entries that hear from this control process.
+   * Addresses of the entries that subscribe to this control process; empty if the subscriber has this list.
    * </pre>
    *
    * <code>repeated string entry_addresses = 13;</code>
@@ -210,7 +210,7 @@
 
   /**
    * <pre>
-   * Upstreams that announce themselves straight to control: all that changed since the version held.
+   * Upstreams without a sidecar that changed since the subscriber's directory version.
    * </pre>
    *
    * <code>repeated .cuminshelf.UpstreamBeat upstreams = 14;</code>
@@ -219,7 +219,7 @@
       getUpstreamsList();
   /**
    * <pre>
-   * Upstreams that announce themselves straight to control: all that changed since the version held.
+   * Upstreams without a sidecar that changed since the subscriber's directory version.
    * </pre>
    *
    * <code>repeated .cuminshelf.UpstreamBeat upstreams = 14;</code>
@@ -227,7 +227,7 @@
   org.cuminshelf.message.UpstreamBeat getUpstreams(int index);
   /**
    * <pre>
-   * Upstreams that announce themselves straight to control: all that changed since the version held.
+   * Upstreams without a sidecar that changed since the subscriber's directory version.
    * </pre>
    *
    * <code>repeated .cuminshelf.UpstreamBeat upstreams = 14;</code>
@@ -236,7 +236,7 @@
 
   /**
    * <pre>
-   * Version that the subscriber held when it asked last; an incomplete directory tells only what changed since.
+   * Directory version in the subscriber's last request; a partial directory contains only the changes since then.
    * </pre>
    *
    * <code>uint64 directory_since = 15;</code>
@@ -246,7 +246,7 @@
 
   /**
    * <pre>
-   * Hash of the list of entries, whether or not the list is told.
+   * Hash of the list of entries, set whether or not the list is included.
    * </pre>
    *
    * <code>uint64 entries_hash = 16;</code>
@@ -256,7 +256,7 @@
 
   /**
    * <pre>
-   * Version up to which the sender has heard what the subscriber knows of poison requests.
+   * Version of the subscriber's poison request data up to which the sender has received all changes.
    * </pre>
    *
    * <code>uint64 poison_heard = 17;</code>
@@ -266,7 +266,7 @@
 
   /**
    * <pre>
-   * What changed of poison requests since the version of the directory held.
+   * Changes of the poison request data since the subscriber's directory version.
    * </pre>
    *
    * <code>repeated .cuminshelf.UpstreamCrash crashes = 18;</code>
@@ -275,7 +275,7 @@
       getCrashesList();
   /**
    * <pre>
-   * What changed of poison requests since the version of the directory held.
+   * Changes of the poison request data since the subscriber's directory version.
    * </pre>
    *
    * <code>repeated .cuminshelf.UpstreamCrash crashes = 18;</code>
@@ -283,7 +283,7 @@
   org.cuminshelf.message.UpstreamCrash getCrashes(int index);
   /**
    * <pre>
-   * What changed of poison requests since the version of the directory held.
+   * Changes of the poison request data since the subscriber's directory version.
    * </pre>
    *
    * <code>repeated .cuminshelf.UpstreamCrash crashes = 18;</code>
@@ -306,7 +306,8 @@
 
   /**
    * <pre>
-   * Clock reading of the question, and Unix microseconds at which the question was taken in; 0 where unknown.
+   * Monotonic clock reading from the request in nanoseconds, and the time at which the request was received in Unix
+   * microseconds; 0 if unknown.
    * </pre>
    *
    * <code>sint64 asked_at_ns = 20;</code>
@@ -322,7 +323,7 @@
 
   /**
    * <pre>
-   * Version up to which the sender has heard what the subscriber counted of usage.
+   * Version of the subscriber's usage counts up to which the sender has received all changes.
    * </pre>
    *
    * <code>uint64 usage_heard = 22;</code>
@@ -332,7 +333,7 @@
 
   /**
    * <pre>
-   * Number of the last window whose counts stand for good.
+   * Number of the last window whose counts are final.
    * </pre>
    *
    * <code>uint64 usage_settled = 23;</code>
--- a/src/main/java/org/cuminshelf/message/UpstreamBeat.java
+++ b/src/main/java/org/cuminshelf/message/UpstreamBeat.java
@@ -7,7 +7,8 @@
 
 /**
  * <pre>
- * What an upstream without a sidecar says of itself, or what control concludes from its silence.
+ * State of an upstream instance without a sidecar, as reported in its heartbeat or inferred by control from missing
+ * heartbeats.
  * </pre>
  *
  * Protobuf type {@code cuminshelf.UpstreamBeat}
@@ -30,7 +31,7 @@
   private java.lang.String id_;
   /**
    * <pre>
-   * Identity of one start of the upstream, made of its name and the time of the start; never used again.
+   * Identity of the upstream instance, composed of its name and start time; never reused.
    * </pre>
    *
    * <code>string id = 1;</code>
@@ -42,7 +43,7 @@
   }
   /**
    * <pre>
-   * Identity of one start of the upstream, made of its name and the time of the start; never used again.
+   * Identity of the upstream instance, composed of its name and start time; never reused.
    * </pre>
    *
    * <code>string id = 1;</code>
@@ -55,7 +56,7 @@
   }
   /**
    * <pre>
-   * Identity of one start of the upstream, made of its name and the time of the start; never used again.
+   * Identity of the upstream instance, composed of its name and start time; never reused.
    * </pre>
    *
    * <code>string id = 1;</code>
@@ -70,7 +71,7 @@
   }
   /**
    * <pre>
-   * Identity of one start of the upstream, made of its name and the time of the start; never used again.
+   * Identity of the upstream instance, composed of its name and start time; never reused.
    * </pre>
    *
    * <code>string id = 1;</code>
@@ -81,7 +82,7 @@
   }
   /**
    * <pre>
-   * Identity of one start of the upstream, made of its name and the time of the start; never used again.
+   * Identity of the upstream instance, composed of its name and start time; never reused.
    * </pre>
    *
    * <code>string id = 1;</code>
@@ -242,7 +243,7 @@
   private long sequence_;
   /**
    * <pre>
-   * Rises with each message of the same start.
+   * Sequence number, increasing with each message of the same instance.
    * </pre>
    *
    * <code>uint64 sequence = 5;</code>
@@ -254,7 +255,7 @@
   }
   /**
    * <pre>
-   * Rises with each message of the same start.
+   * Sequence number, increasing with each message of the same instance.
    * </pre>
    *
    * <code>uint64 sequence = 5;</code>
@@ -266,7 +267,7 @@
   }
   /**
    * <pre>
-   * Rises with each message of the same start.
+   * Sequence number, increasing with each message of the same instance.
    * </pre>
    *
    * <code>uint64 sequence = 5;</code>
@@ -306,7 +307,7 @@
   private boolean deleted_;
   /**
    * <pre>
-   * The upstream said that it is gone.
+   * The upstream reported its termination, or control received a heartbeat of a newer instance with the same name.
    * </pre>
    *
    * <code>bool deleted = 7;</code>
@@ -318,7 +319,7 @@
   }
   /**
    * <pre>
-   * The upstream said that it is gone.
+   * The upstream reported its termination, or control received a heartbeat of a newer instance with the same name.
    * </pre>
    *
    * <code>bool deleted = 7;</code>
@@ -330,7 +331,7 @@
   }
   /**
    * <pre>
-   * The upstream said that it is gone.
+   * The upstream reported its termination, or control received a heartbeat of a newer instance with the same name.
    * </pre>
    *
    * <code>bool deleted = 7;</code>
@@ -344,7 +345,7 @@
   private boolean lapsed_;
   /**
    * <pre>
-   * Nothing was heard for the length of its lease.
+   * No heartbeat was received for the duration of the lease.
    * </pre>
    *
    * <code>bool lapsed = 8;</code>
@@ -356,7 +357,7 @@
   }
   /**
    * <pre>
-   * Nothing was heard for the length of its lease.
+   * No heartbeat was received for the duration of the lease.
    * </pre>
    *
    * <code>bool lapsed = 8;</code>
@@ -368,7 +369,7 @@
   }
   /**
    * <pre>
-   * Nothing was heard for the length of its lease.
+   * No heartbeat was received for the duration of the lease.
    * </pre>
    *
    * <code>bool lapsed = 8;</code>
@@ -546,7 +547,7 @@
   private int coldMs_;
   /**
    * <pre>
-   * Milliseconds for which it is still slow after its start.
+   * Remaining warm-up time after the start, in milliseconds, during which the upstream is slower.
    * </pre>
    *
    * <code>uint32 cold_ms = 12;</code>
@@ -558,7 +559,7 @@
   }
   /**
    * <pre>
-   * Milliseconds for which it is still slow after its start.
+   * Remaining warm-up time after the start, in milliseconds, during which the upstream is slower.
    * </pre>
    *
    * <code>uint32 cold_ms = 12;</code>
@@ -570,7 +571,7 @@
   }
   /**
    * <pre>
-   * Milliseconds for which it is still slow after its start.
+   * Remaining warm-up time after the start, in milliseconds, during which the upstream is slower.
    * </pre>
    *
    * <code>uint32 cold_ms = 12;</code>
@@ -584,7 +585,7 @@
   private long changedAt_;
   /**
    * <pre>
-   * Version of the sender's list in which this row changed last.
+   * Version of the sender's directory in which this upstream last changed.
    * </pre>
    *
    * <code>uint64 changed_at = 13;</code>
@@ -596,7 +597,7 @@
   }
   /**
    * <pre>
-   * Version of the sender's list in which this row changed last.
+   * Version of the sender's directory in which this upstream last changed.
    * </pre>
    *
    * <code>uint64 changed_at = 13;</code>
@@ -608,7 +609,7 @@
   }
   /**
    * <pre>
-   * Version of the sender's list in which this row changed last.
+   * Version of the sender's directory in which this upstream last changed.
    * </pre>
    *
    * <code>uint64 changed_at = 13;</code>
@@ -622,7 +623,7 @@
   private boolean passedOn_;
   /**
    * <pre>
-   * Passed on by a control process that heard it from the upstream itself.
+   * Forwarded by a control process that received it from the upstream itself.
    * </pre>
    *
    * <code>bool passed_on = 14;</code>
@@ -634,7 +635,7 @@
   }
   /**
    * <pre>
-   * Passed on by a control process that heard it from the upstream itself.
+   * Forwarded by a control process that received it from the upstream itself.
    * </pre>
    *
    * <code>bool passed_on = 14;</code>
@@ -646,7 +647,7 @@
   }
   /**
    * <pre>
-   * Passed on by a control process that heard it from the upstream itself.
+   * Forwarded by a control process that received it from the upstream itself.
    * </pre>
    *
    * <code>bool passed_on = 14;</code>
@@ -660,7 +661,7 @@
   private boolean changing_;
   /**
    * <pre>
-   * An order to change its role is on its way; it takes no new work until it is done.
+   * A role change was ordered and is not complete; the upstream accepts no new work until then.
    * </pre>
    *
    * <code>bool changing = 15;</code>
@@ -672,7 +673,7 @@
   }
   /**
    * <pre>
-   * An order to change its role is on its way; it takes no new work until it is done.
+   * A role change was ordered and is not complete; the upstream accepts no new work until then.
    * </pre>
    *
    * <code>bool changing = 15;</code>
@@ -684,7 +685,7 @@
   }
   /**
    * <pre>
-   * An order to change its role is on its way; it takes no new work until it is done.
+   * A role change was ordered and is not complete; the upstream accepts no new work until then.
    * </pre>
    *
    * <code>bool changing = 15;</code>
@@ -698,7 +699,7 @@
   private java.lang.String name_;
   /**
    * <pre>
-   * The name under which it announces itself, which it keeps when it starts again.
+   * Name that the upstream reports, unchanged across restarts.
    * </pre>
    *
    * <code>string name = 16;</code>
@@ -710,7 +711,7 @@
   }
   /**
    * <pre>
-   * The name under which it announces itself, which it keeps when it starts again.
+   * Name that the upstream reports, unchanged across restarts.
    * </pre>
    *
    * <code>string name = 16;</code>
@@ -723,7 +724,7 @@
   }
   /**
    * <pre>
-   * The name under which it announces itself, which it keeps when it starts again.
+   * Name that the upstream reports, unchanged across restarts.
    * </pre>
    *
    * <code>string name = 16;</code>
@@ -738,7 +739,7 @@
   }
   /**
    * <pre>
-   * The name under which it announces itself, which it keeps when it starts again.
+   * Name that the upstream reports, unchanged across restarts.
    * </pre>
    *
    * <code>string name = 16;</code>
@@ -749,7 +750,7 @@
   }
   /**
    * <pre>
-   * The name under which it announces itself, which it keeps when it starts again.
+   * Name that the upstream reports, unchanged across restarts.
    * </pre>
    *
    * <code>string name = 16;</code>
@@ -766,7 +767,7 @@
   private long bornMs_;
   /**
    * <pre>
-   * Unix milliseconds of its start. With the word that it is gone: of the last start that is gone, 0 if unknown.
+   * Start time in Unix milliseconds. If deleted is set: the start time of the last terminated instance, 0 if unknown.
    * </pre>
    *
    * <code>uint64 born_ms = 17;</code>
@@ -778,7 +779,7 @@
   }
   /**
    * <pre>
-   * Unix milliseconds of its start. With the word that it is gone: of the last start that is gone, 0 if unknown.
+   * Start time in Unix milliseconds. If deleted is set: the start time of the last terminated instance, 0 if unknown.
    * </pre>
    *
    * <code>uint64 born_ms = 17;</code>
@@ -790,7 +791,7 @@
   }
   /**
    * <pre>
-   * Unix milliseconds of its start. With the word that it is gone: of the last start that is gone, 0 if unknown.
+   * Start time in Unix milliseconds. If deleted is set: the start time of the last terminated instance, 0 if unknown.
    * </pre>
    *
    * <code>uint64 born_ms = 17;</code>
@@ -885,7 +886,8 @@
 
   /**
    * <pre>
-   * What an upstream without a sidecar says of itself, or what control concludes from its silence.
+   * State of an upstream instance without a sidecar, as reported in its heartbeat or inferred by control from missing
+   * heartbeats.
    * </pre>
    *
    * Protobuf type {@code cuminshelf.UpstreamBeat}
@@ -903,7 +905,7 @@
 
     /**
      * <pre>
-     * Identity of one start of the upstream, made of its name and the time of the start; never used again.
+     * Identity of the upstream instance, composed of its name and start time; never reused.
      * </pre>
      *
      * <code>string id = 1;</code>
@@ -915,7 +917,7 @@
     }
     /**
      * <pre>
-     * Identity of one start of the upstream, made of its name and the time of the start; never used again.
+     * Identity of the upstream instance, composed of its name and start time; never reused.
      * </pre>
      *
      * <code>string id = 1;</code>
@@ -928,7 +930,7 @@
     }
     /**
      * <pre>
-     * Identity of one start of the upstream, made of its name and the time of the start; never used again.
+     * Identity of the upstream instance, composed of its name and start time; never reused.
      * </pre>
      *
      * <code>string id = 1;</code>
@@ -943,7 +945,7 @@
     }
     /**
      * <pre>
-     * Identity of one start of the upstream, made of its name and the time of the start; never used again.
+     * Identity of the upstream instance, composed of its name and start time; never reused.
      * </pre>
      *
      * <code>string id = 1;</code>
@@ -956,7 +958,7 @@
     }
     /**
      * <pre>
-     * Identity of one start of the upstream, made of its name and the time of the start; never used again.
+     * Identity of the upstream instance, composed of its name and start time; never reused.
      * </pre>
      *
      * <code>string id = 1;</code>
@@ -1119,7 +1121,7 @@
 
     /**
      * <pre>
-     * Rises with each message of the same start.
+     * Sequence number, increasing with each message of the same instance.
      * </pre>
      *
      * <code>uint64 sequence = 5;</code>
@@ -1131,7 +1133,7 @@
     }
     /**
      * <pre>
-     * Rises with each message of the same start.
+     * Sequence number, increasing with each message of the same instance.
      * </pre>
      *
      * <code>uint64 sequence = 5;</code>
@@ -1145,7 +1147,7 @@
     }
     /**
      * <pre>
-     * Rises with each message of the same start.
+     * Sequence number, increasing with each message of the same instance.
      * </pre>
      *
      * <code>uint64 sequence = 5;</code>
@@ -1187,7 +1189,7 @@
 
     /**
      * <pre>
-     * The upstream said that it is gone.
+     * The upstream reported its termination, or control received a heartbeat of a newer instance with the same name.
      * </pre>
      *
      * <code>bool deleted = 7;</code>
@@ -1199,7 +1201,7 @@
     }
     /**
      * <pre>
-     * The upstream said that it is gone.
+     * The upstream reported its termination, or control received a heartbeat of a newer instance with the same name.
      * </pre>
      *
      * <code>bool deleted = 7;</code>
@@ -1213,7 +1215,7 @@
     }
     /**
      * <pre>
-     * The upstream said that it is gone.
+     * The upstream reported its termination, or control received a heartbeat of a newer instance with the same name.
      * </pre>
      *
      * <code>bool deleted = 7;</code>
@@ -1227,7 +1229,7 @@
 
     /**
      * <pre>
-     * Nothing was heard for the length of its lease.
+     * No heartbeat was received for the duration of the lease.
      * </pre>
      *
      * <code>bool lapsed = 8;</code>
@@ -1239,7 +1241,7 @@
     }
     /**
      * <pre>
-     * Nothing was heard for the length of its lease.
+     * No heartbeat was received for the duration of the lease.
      * </pre>
      *
      * <code>bool lapsed = 8;</code>
@@ -1253,7 +1255,7 @@
     }
     /**
      * <pre>
-     * Nothing was heard for the length of its lease.
+     * No heartbeat was received for the duration of the lease.
      * </pre>
      *
      * <code>bool lapsed = 8;</code>
@@ -1434,7 +1436,7 @@
 
     /**
      * <pre>
-     * Milliseconds for which it is still slow after its start.
+     * Remaining warm-up time after the start, in milliseconds, during which the upstream is slower.
      * </pre>
      *
      * <code>uint32 cold_ms = 12;</code>
@@ -1446,7 +1448,7 @@
     }
     /**
      * <pre>
-     * Milliseconds for which it is still slow after its start.
+     * Remaining warm-up time after the start, in milliseconds, during which the upstream is slower.
      * </pre>
      *
      * <code>uint32 cold_ms = 12;</code>
@@ -1460,7 +1462,7 @@
     }
     /**
      * <pre>
-     * Milliseconds for which it is still slow after its start.
+     * Remaining warm-up time after the start, in milliseconds, during which the upstream is slower.
      * </pre>
      *
      * <code>uint32 cold_ms = 12;</code>
@@ -1474,7 +1476,7 @@
 
     /**
      * <pre>
-     * Version of the sender's list in which this row changed last.
+     * Version of the sender's directory in which this upstream last changed.
      * </pre>
      *
      * <code>uint64 changed_at = 13;</code>
@@ -1486,7 +1488,7 @@
     }
     /**
      * <pre>
-     * Version of the sender's list in which this row changed last.
+     * Version of the sender's directory in which this upstream last changed.
      * </pre>
      *
      * <code>uint64 changed_at = 13;</code>
@@ -1500,7 +1502,7 @@
     }
     /**
      * <pre>
-     * Version of the sender's list in which this row changed last.
+     * Version of the sender's directory in which this upstream last changed.
      * </pre>
      *
      * <code>uint64 changed_at = 13;</code>
@@ -1514,7 +1516,7 @@
 
     /**
      * <pre>
-     * Passed on by a control process that heard it from the upstream itself.
+     * Forwarded by a control process that received it from the upstream itself.
      * </pre>
      *
      * <code>bool passed_on = 14;</code>
@@ -1526,7 +1528,7 @@
     }
     /**
      * <pre>
-     * Passed on by a control process that heard it from the upstream itself.
+     * Forwarded by a control process that received it from the upstream itself.
      * </pre>
      *
      * <code>bool passed_on = 14;</code>
@@ -1540,7 +1542,7 @@
     }
     /**
      * <pre>
-     * Passed on by a control process that heard it from the upstream itself.
+     * Forwarded by a control process that received it from the upstream itself.
      * </pre>
      *
      * <code>bool passed_on = 14;</code>
@@ -1554,7 +1556,7 @@
 
     /**
      * <pre>
-     * An order to change its role is on its way; it takes no new work until it is done.
+     * A role change was ordered and is not complete; the upstream accepts no new work until then.
      * </pre>
      *
      * <code>bool changing = 15;</code>
@@ -1566,7 +1568,7 @@
     }
     /**
      * <pre>
-     * An order to change its role is on its way; it takes no new work until it is done.
+     * A role change was ordered and is not complete; the upstream accepts no new work until then.
      * </pre>
      *
      * <code>bool changing = 15;</code>
@@ -1580,7 +1582,7 @@
     }
     /**
      * <pre>
-     * An order to change its role is on its way; it takes no new work until it is done.
+     * A role change was ordered and is not complete; the upstream accepts no new work until then.
      * </pre>
      *
      * <code>bool changing = 15;</code>
@@ -1594,7 +1596,7 @@
 
     /**
      * <pre>
-     * The name under which it announces itself, which it keeps when it starts again.
+     * Name that the upstream reports, unchanged across restarts.
      * </pre>
      *
      * <code>string name = 16;</code>
@@ -1606,7 +1608,7 @@
     }
     /**
      * <pre>
-     * The name under which it announces itself, which it keeps when it starts again.
+     * Name that the upstream reports, unchanged across restarts.
      * </pre>
      *
      * <code>string name = 16;</code>
@@ -1619,7 +1621,7 @@
     }
     /**
      * <pre>
-     * The name under which it announces itself, which it keeps when it starts again.
+     * Name that the upstream reports, unchanged across restarts.
      * </pre>
      *
      * <code>string name = 16;</code>
@@ -1634,7 +1636,7 @@
     }
     /**
      * <pre>
-     * The name under which it announces itself, which it keeps when it starts again.
+     * Name that the upstream reports, unchanged across restarts.
      * </pre>
      *
      * <code>string name = 16;</code>
@@ -1647,7 +1649,7 @@
     }
     /**
      * <pre>
-     * The name under which it announces itself, which it keeps when it starts again.
+     * Name that the upstream reports, unchanged across restarts.
      * </pre>
      *
      * <code>string name = 16;</code>
@@ -1663,7 +1665,7 @@
 
     /**
      * <pre>
-     * Unix milliseconds of its start. With the word that it is gone: of the last start that is gone, 0 if unknown.
+     * Start time in Unix milliseconds. If deleted is set: the start time of the last terminated instance, 0 if unknown.
      * </pre>
      *
      * <code>uint64 born_ms = 17;</code>
@@ -1675,7 +1677,7 @@
     }
     /**
      * <pre>
-     * Unix milliseconds of its start. With the word that it is gone: of the last start that is gone, 0 if unknown.
+     * Start time in Unix milliseconds. If deleted is set: the start time of the last terminated instance, 0 if unknown.
      * </pre>
      *
      * <code>uint64 born_ms = 17;</code>
@@ -1689,7 +1691,7 @@
     }
     /**
      * <pre>
-     * Unix milliseconds of its start. With the word that it is gone: of the last start that is gone, 0 if unknown.
+     * Start time in Unix milliseconds. If deleted is set: the start time of the last terminated instance, 0 if unknown.
      * </pre>
      *
      * <code>uint64 born_ms = 17;</code>
--- a/src/main/java/org/cuminshelf/message/UpstreamBeatOrBuilder.java
+++ b/src/main/java/org/cuminshelf/message/UpstreamBeatOrBuilder.java
@@ -12,7 +12,7 @@
 
   /**
    * <pre>
-   * Identity of one start of the upstream, made of its name and the time of the start; never used again.
+   * Identity of the upstream instance, composed of its name and start time; never reused.
    * </pre>
    *
    * <code>string id = 1;</code>
@@ -21,7 +21,7 @@
   java.lang.String getId();
   /**
    * <pre>
-   * Identity of one start of the upstream, made of its name and the time of the start; never used again.
+   * Identity of the upstream instance, composed of its name and start time; never reused.
    * </pre>
    *
    * <code>string id = 1;</code>
@@ -68,7 +68,7 @@
 
   /**
    * <pre>
-   * Rises with each message of the same start.
+   * Sequence number, increasing with each message of the same instance.
    * </pre>
    *
    * <code>uint64 sequence = 5;</code>
@@ -84,7 +84,7 @@
 
   /**
    * <pre>
-   * The upstream said that it is gone.
+   * The upstream reported its termination, or control received a heartbeat of a newer instance with the same name.
    * </pre>
    *
    * <code>bool deleted = 7;</code>
@@ -94,7 +94,7 @@
 
   /**
    * <pre>
-   * Nothing was heard for the length of its lease.
+   * No heartbeat was received for the duration of the lease.
    * </pre>
    *
    * <code>bool lapsed = 8;</code>
@@ -146,7 +146,7 @@
 
   /**
    * <pre>
-   * Milliseconds for which it is still slow after its start.
+   * Remaining warm-up time after the start, in milliseconds, during which the upstream is slower.
    * </pre>
    *
    * <code>uint32 cold_ms = 12;</code>
@@ -156,7 +156,7 @@
 
   /**
    * <pre>
-   * Version of the sender's list in which this row changed last.
+   * Version of the sender's directory in which this upstream last changed.
    * </pre>
    *
    * <code>uint64 changed_at = 13;</code>
@@ -166,7 +166,7 @@
 
   /**
    * <pre>
-   * Passed on by a control process that heard it from the upstream itself.
+   * Forwarded by a control process that received it from the upstream itself.
    * </pre>
    *
    * <code>bool passed_on = 14;</code>
@@ -176,7 +176,7 @@
 
   /**
    * <pre>
-   * An order to change its role is on its way; it takes no new work until it is done.
+   * A role change was ordered and is not complete; the upstream accepts no new work until then.
    * </pre>
    *
    * <code>bool changing = 15;</code>
@@ -186,7 +186,7 @@
 
   /**
    * <pre>
-   * The name under which it announces itself, which it keeps when it starts again.
+   * Name that the upstream reports, unchanged across restarts.
    * </pre>
    *
    * <code>string name = 16;</code>
@@ -195,7 +195,7 @@
   java.lang.String getName();
   /**
    * <pre>
-   * The name under which it announces itself, which it keeps when it starts again.
+   * Name that the upstream reports, unchanged across restarts.
    * </pre>
    *
    * <code>string name = 16;</code>
@@ -206,7 +206,7 @@
 
   /**
    * <pre>
-   * Unix milliseconds of its start. With the word that it is gone: of the last start that is gone, 0 if unknown.
+   * Start time in Unix milliseconds. If deleted is set: the start time of the last terminated instance, 0 if unknown.
    * </pre>
    *
    * <code>uint64 born_ms = 17;</code>
--- a/src/main/java/org/cuminshelf/message/UpstreamCrash.java
+++ b/src/main/java/org/cuminshelf/message/UpstreamCrash.java
@@ -7,7 +7,7 @@
 
 /**
  * <pre>
- * One start of an upstream that crashed, and requests that were there.
+ * An upstream instance that crashed, and the requests that were running on it.
  * </pre>
  *
  * Protobuf type {@code cuminshelf.UpstreamCrash}
@@ -26,7 +26,7 @@
   private java.lang.String upstream_;
   /**
    * <pre>
-   * Identity of the start.
+   * Identity of the upstream instance.
    * </pre>
    *
    * <code>string upstream = 1;</code>
@@ -38,7 +38,7 @@
   }
   /**
    * <pre>
-   * Identity of the start.
+   * Identity of the upstream instance.
    * </pre>
    *
    * <code>string upstream = 1;</code>
@@ -51,7 +51,7 @@
   }
   /**
    * <pre>
-   * Identity of the start.
+   * Identity of the upstream instance.
    * </pre>
    *
    * <code>string upstream = 1;</code>
@@ -66,7 +66,7 @@
   }
   /**
    * <pre>
-   * Identity of the start.
+   * Identity of the upstream instance.
    * </pre>
    *
    * <code>string upstream = 1;</code>
@@ -77,7 +77,7 @@
   }
   /**
    * <pre>
-   * Identity of the start.
+   * Identity of the upstream instance.
    * </pre>
    *
    * <code>string upstream = 1;</code>
@@ -272,7 +272,7 @@
 
   /**
    * <pre>
-   * One start of an upstream that crashed, and requests that were there.
+   * An upstream instance that crashed, and the requests that were running on it.
    * </pre>
    *
    * Protobuf type {@code cuminshelf.UpstreamCrash}
@@ -290,7 +290,7 @@
 
     /**
      * <pre>
-     * Identity of the start.
+     * Identity of the upstream instance.
      * </pre>
      *
      * <code>string upstream = 1;</code>
@@ -302,7 +302,7 @@
     }
     /**
      * <pre>
-     * Identity of the start.
+     * Identity of the upstream instance.
      * </pre>
      *
      * <code>string upstream = 1;</code>
@@ -315,7 +315,7 @@
     }
     /**
      * <pre>
-     * Identity of the start.
+     * Identity of the upstream instance.
      * </pre>
      *
      * <code>string upstream = 1;</code>
@@ -330,7 +330,7 @@
     }
     /**
      * <pre>
-     * Identity of the start.
+     * Identity of the upstream instance.
      * </pre>
      *
      * <code>string upstream = 1;</code>
@@ -343,7 +343,7 @@
     }
     /**
      * <pre>
-     * Identity of the start.
+     * Identity of the upstream instance.
      * </pre>
      *
      * <code>string upstream = 1;</code>
--- a/src/main/java/org/cuminshelf/message/UpstreamCrashOrBuilder.java
+++ b/src/main/java/org/cuminshelf/message/UpstreamCrashOrBuilder.java
@@ -12,7 +12,7 @@
 
   /**
    * <pre>
-   * Identity of the start.
+   * Identity of the upstream instance.
    * </pre>
    *
    * <code>string upstream = 1;</code>
@@ -21,7 +21,7 @@
   java.lang.String getUpstream();
   /**
    * <pre>
-   * Identity of the start.
+   * Identity of the upstream instance.
    * </pre>
    *
    * <code>string upstream = 1;</code>
--- a/src/main/java/org/cuminshelf/message/UpstreamLoad.java
+++ b/src/main/java/org/cuminshelf/message/UpstreamLoad.java
@@ -6,6 +6,10 @@
 package org.cuminshelf.message;
 
 /**
+ * <pre>
+ * Load that one entry has placed on one upstream instance.
+ * </pre>
+ *
  * Protobuf type {@code cuminshelf.UpstreamLoad}
  */
 @com.google.protobuf.Generated
@@ -69,6 +73,10 @@
   public static final int RUNNING_FIELD_NUMBER = 2;
   private int running_;
   /**
+   * <pre>
+   * Number of requests that the entry is running there.
+   * </pre>
+   *
    * <code>uint32 running = 2;</code>
    * @return The running.
    */
@@ -77,6 +85,10 @@
     return running_;
   }
   /**
+   * <pre>
+   * Number of requests that the entry is running there.
+   * </pre>
+   *
    * <code>uint32 running = 2;</code>
    * @param value The running to set.
    */
@@ -85,6 +97,10 @@
     running_ = value;
   }
   /**
+   * <pre>
+   * Number of requests that the entry is running there.
+   * </pre>
+   *
    * <code>uint32 running = 2;</code>
    */
   private void clearRunning() {
@@ -96,7 +112,7 @@
   private int tokens_;
   /**
    * <pre>
-   * Tokens in the memory of its engine that the entry's requests there take.
+   * Number of tokens that the entry's requests occupy in the engine's KV cache.
    * </pre>
    *
    * <code>uint32 tokens = 4;</code>
@@ -108,7 +124,7 @@
   }
   /**
    * <pre>
-   * Tokens in the memory of its engine that the entry's requests there take.
+   * Number of tokens that the entry's requests occupy in the engine's KV cache.
    * </pre>
    *
    * <code>uint32 tokens = 4;</code>
@@ -120,7 +136,7 @@
   }
   /**
    * <pre>
-   * Tokens in the memory of its engine that the entry's requests there take.
+   * Number of tokens that the entry's requests occupy in the engine's KV cache.
    * </pre>
    *
    * <code>uint32 tokens = 4;</code>
@@ -134,7 +150,7 @@
   private com.google.protobuf.Internal.ProtobufList<org.cuminshelf.message.WaitingPrompt> prompts_;
   /**
    * <pre>
-   * Prompts sent there that were not taken in yet.
+   * Prompts sent to the engine whose prefill has not completed.
    * </pre>
    *
    * <code>repeated .cuminshelf.WaitingPrompt prompts = 5;</code>
@@ -145,7 +161,7 @@
   }
   /**
    * <pre>
-   * Prompts sent there that were not taken in yet.
+   * Prompts sent to the engine whose prefill has not completed.
    * </pre>
    *
    * <code>repeated .cuminshelf.WaitingPrompt prompts = 5;</code>
@@ -156,7 +172,7 @@
   }
   /**
    * <pre>
-   * Prompts sent there that were not taken in yet.
+   * Prompts sent to the engine whose prefill has not completed.
    * </pre>
    *
    * <code>repeated .cuminshelf.WaitingPrompt prompts = 5;</code>
@@ -167,7 +183,7 @@
   }
   /**
    * <pre>
-   * Prompts sent there that were not taken in yet.
+   * Prompts sent to the engine whose prefill has not completed.
    * </pre>
    *
    * <code>repeated .cuminshelf.WaitingPrompt prompts = 5;</code>
@@ -178,7 +194,7 @@
   }
   /**
    * <pre>
-   * Prompts sent there that were not taken in yet.
+   * Prompts sent to the engine whose prefill has not completed.
    * </pre>
    *
    * <code>repeated .cuminshelf.WaitingPrompt prompts = 5;</code>
@@ -197,7 +213,7 @@
 
   /**
    * <pre>
-   * Prompts sent there that were not taken in yet.
+   * Prompts sent to the engine whose prefill has not completed.
    * </pre>
    *
    * <code>repeated .cuminshelf.WaitingPrompt prompts = 5;</code>
@@ -211,7 +227,7 @@
   }
   /**
    * <pre>
-   * Prompts sent there that were not taken in yet.
+   * Prompts sent to the engine whose prefill has not completed.
    * </pre>
    *
    * <code>repeated .cuminshelf.WaitingPrompt prompts = 5;</code>
@@ -224,7 +240,7 @@
   }
   /**
    * <pre>
-   * Prompts sent there that were not taken in yet.
+   * Prompts sent to the engine whose prefill has not completed.
    * </pre>
    *
    * <code>repeated .cuminshelf.WaitingPrompt prompts = 5;</code>
@@ -238,7 +254,7 @@
   }
   /**
    * <pre>
-   * Prompts sent there that were not taken in yet.
+   * Prompts sent to the engine whose prefill has not completed.
    * </pre>
    *
    * <code>repeated .cuminshelf.WaitingPrompt prompts = 5;</code>
@@ -251,7 +267,7 @@
   }
   /**
    * <pre>
-   * Prompts sent there that were not taken in yet.
+   * Prompts sent to the engine whose prefill has not completed.
    * </pre>
    *
    * <code>repeated .cuminshelf.WaitingPrompt prompts = 5;</code>
@@ -261,7 +277,7 @@
   }
   /**
    * <pre>
-   * Prompts sent there that were not taken in yet.
+   * Prompts sent to the engine whose prefill has not completed.
    * </pre>
    *
    * <code>repeated .cuminshelf.WaitingPrompt prompts = 5;</code>
@@ -355,6 +371,10 @@
   }
 
   /**
+   * <pre>
+   * Load that one entry has placed on one upstream instance.
+   * </pre>
+   *
    * Protobuf type {@code cuminshelf.UpstreamLoad}
    */
   public static final class Builder extends
@@ -418,6 +438,10 @@
     }
 
     /**
+     * <pre>
+     * Number of requests that the entry is running there.
+     * </pre>
+     *
      * <code>uint32 running = 2;</code>
      * @return The running.
      */
@@ -426,6 +450,10 @@
       return instance.getRunning();
     }
     /**
+     * <pre>
+     * Number of requests that the entry is running there.
+     * </pre>
+     *
      * <code>uint32 running = 2;</code>
      * @param value The running to set.
      * @return This builder for chaining.
@@ -436,6 +464,10 @@
       return this;
     }
     /**
+     * <pre>
+     * Number of requests that the entry is running there.
+     * </pre>
+     *
      * <code>uint32 running = 2;</code>
      * @return This builder for chaining.
      */
@@ -447,7 +479,7 @@
 
     /**
      * <pre>
-     * Tokens in the memory of its engine that the entry's requests there take.
+     * Number of tokens that the entry's requests occupy in the engine's KV cache.
      * </pre>
      *
      * <code>uint32 tokens = 4;</code>
@@ -459,7 +491,7 @@
     }
     /**
      * <pre>
-     * Tokens in the memory of its engine that the entry's requests there take.
+     * Number of tokens that the entry's requests occupy in the engine's KV cache.
      * </pre>
      *
      * <code>uint32 tokens = 4;</code>
@@ -473,7 +505,7 @@
     }
     /**
      * <pre>
-     * Tokens in the memory of its engine that the entry's requests there take.
+     * Number of tokens that the entry's requests occupy in the engine's KV cache.
      * </pre>
      *
      * <code>uint32 tokens = 4;</code>
@@ -487,7 +519,7 @@
 
     /**
      * <pre>
-     * Prompts sent there that were not taken in yet.
+     * Prompts sent to the engine whose prefill has not completed.
      * </pre>
      *
      * <code>repeated .cuminshelf.WaitingPrompt prompts = 5;</code>
@@ -499,7 +531,7 @@
     }
     /**
      * <pre>
-     * Prompts sent there that were not taken in yet.
+     * Prompts sent to the engine whose prefill has not completed.
      * </pre>
      *
      * <code>repeated .cuminshelf.WaitingPrompt prompts = 5;</code>
@@ -509,7 +541,7 @@
       return instance.getPromptsCount();
     }/**
      * <pre>
-     * Prompts sent there that were not taken in yet.
+     * Prompts sent to the engine whose prefill has not completed.
      * </pre>
      *
      * <code>repeated .cuminshelf.WaitingPrompt prompts = 5;</code>
@@ -520,7 +552,7 @@
     }
     /**
      * <pre>
-     * Prompts sent there that were not taken in yet.
+     * Prompts sent to the engine whose prefill has not completed.
      * </pre>
      *
      * <code>repeated .cuminshelf.WaitingPrompt prompts = 5;</code>
@@ -533,7 +565,7 @@
     }
     /**
      * <pre>
-     * Prompts sent there that were not taken in yet.
+     * Prompts sent to the engine whose prefill has not completed.
      * </pre>
      *
      * <code>repeated .cuminshelf.WaitingPrompt prompts = 5;</code>
@@ -547,7 +579,7 @@
     }
     /**
      * <pre>
-     * Prompts sent there that were not taken in yet.
+     * Prompts sent to the engine whose prefill has not completed.
      * </pre>
      *
      * <code>repeated .cuminshelf.WaitingPrompt prompts = 5;</code>
@@ -559,7 +591,7 @@
     }
     /**
      * <pre>
-     * Prompts sent there that were not taken in yet.
+     * Prompts sent to the engine whose prefill has not completed.
      * </pre>
      *
      * <code>repeated .cuminshelf.WaitingPrompt prompts = 5;</code>
@@ -572,7 +604,7 @@
     }
     /**
      * <pre>
-     * Prompts sent there that were not taken in yet.
+     * Prompts sent to the engine whose prefill has not completed.
      * </pre>
      *
      * <code>repeated .cuminshelf.WaitingPrompt prompts = 5;</code>
@@ -585,7 +617,7 @@
     }
     /**
      * <pre>
-     * Prompts sent there that were not taken in yet.
+     * Prompts sent to the engine whose prefill has not completed.
      * </pre>
      *
      * <code>repeated .cuminshelf.WaitingPrompt prompts = 5;</code>
@@ -599,7 +631,7 @@
     }
     /**
      * <pre>
-     * Prompts sent there that were not taken in yet.
+     * Prompts sent to the engine whose prefill has not completed.
      * </pre>
      *
      * <code>repeated .cuminshelf.WaitingPrompt prompts = 5;</code>
@@ -612,7 +644,7 @@
     }
     /**
      * <pre>
-     * Prompts sent there that were not taken in yet.
+     * Prompts sent to the engine whose prefill has not completed.
      * </pre>
      *
      * <code>repeated .cuminshelf.WaitingPrompt prompts = 5;</code>
@@ -624,7 +656,7 @@
     }
     /**
      * <pre>
-     * Prompts sent there that were not taken in yet.
+     * Prompts sent to the engine whose prefill has not completed.
      * </pre>
      *
      * <code>repeated .cuminshelf.WaitingPrompt prompts = 5;</code>
--- a/src/main/java/org/cuminshelf/message/UpstreamLoadOrBuilder.java
+++ b/src/main/java/org/cuminshelf/message/UpstreamLoadOrBuilder.java
@@ -23,6 +23,10 @@
       getIdBytes();
 
   /**
+   * <pre>
+   * Number of requests that the entry is running there.
+   * </pre>
+   *
    * <code>uint32 running = 2;</code>
    * @return The running.
    */
@@ -30,7 +34,7 @@
 
   /**
    * <pre>
-   * Tokens in the memory of its engine that the entry's requests there take.
+   * Number of tokens that the entry's requests occupy in the engine's KV cache.
    * </pre>
    *
    * <code>uint32 tokens = 4;</code>
@@ -40,7 +44,7 @@
 
   /**
    * <pre>
-   * Prompts sent there that were not taken in yet.
+   * Prompts sent to the engine whose prefill has not completed.
    * </pre>
    *
    * <code>repeated .cuminshelf.WaitingPrompt prompts = 5;</code>
@@ -49,7 +53,7 @@
       getPromptsList();
   /**
    * <pre>
-   * Prompts sent there that were not taken in yet.
+   * Prompts sent to the engine whose prefill has not completed.
    * </pre>
    *
    * <code>repeated .cuminshelf.WaitingPrompt prompts = 5;</code>
@@ -57,7 +61,7 @@
   org.cuminshelf.message.WaitingPrompt getPrompts(int index);
   /**
    * <pre>
-   * Prompts sent there that were not taken in yet.
+   * Prompts sent to the engine whose prefill has not completed.
    * </pre>
    *
    * <code>repeated .cuminshelf.WaitingPrompt prompts = 5;</code>
--- a/src/main/java/org/cuminshelf/message/UpstreamSeen.java
+++ b/src/main/java/org/cuminshelf/message/UpstreamSeen.java
@@ -7,7 +7,7 @@
 
 /**
  * <pre>
- * A new incarnation of an engine's sidecar.
+ * A new incarnation of an engine's sidecar was observed.
  * </pre>
  *
  * Protobuf type {@code cuminshelf.UpstreamSeen}
@@ -180,7 +180,7 @@
 
   /**
    * <pre>
-   * A new incarnation of an engine's sidecar.
+   * A new incarnation of an engine's sidecar was observed.
    * </pre>
    *
    * Protobuf type {@code cuminshelf.UpstreamSeen}
