--- a/src/main/java/org/cuminshelf/message/UpstreamState.java
+++ b/src/main/java/org/cuminshelf/message/UpstreamState.java
@@ -95,7 +95,7 @@
   private long fence_;
   /**
    * <pre>
-   * Highest fencing number the upstream says it obeyed; 0 where it keeps none.
+   * Highest fencing number that the upstream reports to have accepted; 0 if it does not record fencing numbers.
    * </pre>
    *
    * <code>uint64 fence = 3;</code>
@@ -107,7 +107,7 @@
   }
   /**
    * <pre>
-   * Highest fencing number the upstream says it obeyed; 0 where it keeps none.
+   * Highest fencing number that the upstream reports to have accepted; 0 if it does not record fencing numbers.
    * </pre>
    *
    * <code>uint64 fence = 3;</code>
@@ -119,7 +119,7 @@
   }
   /**
    * <pre>
-   * Highest fencing number the upstream says it obeyed; 0 where it keeps none.
+   * Highest fencing number that the upstream reports to have accepted; 0 if it does not record fencing numbers.
    * </pre>
    *
    * <code>uint64 fence = 3;</code>
@@ -159,7 +159,7 @@
   private long token_;
   /**
    * <pre>
-   * Token of the question that this answers; 0 where nobody asked.
+   * Token of the ReadUpstream that this answers; 0 if the state was sent unsolicited.
    * </pre>
    *
    * <code>uint64 token = 5;</code>
@@ -171,7 +171,7 @@
   }
   /**
    * <pre>
-   * Token of the question that this answers; 0 where nobody asked.
+   * Token of the ReadUpstream that this answers; 0 if the state was sent unsolicited.
    * </pre>
    *
    * <code>uint64 token = 5;</code>
@@ -183,7 +183,7 @@
   }
   /**
    * <pre>
-   * Token of the question that this answers; 0 where nobody asked.
+   * Token of the ReadUpstream that this answers; 0 if the state was sent unsolicited.
    * </pre>
    *
    * <code>uint64 token = 5;</code>
@@ -367,7 +367,7 @@
 
     /**
      * <pre>
-     * Highest fencing number the upstream says it obeyed; 0 where it keeps none.
+     * Highest fencing number that the upstream reports to have accepted; 0 if it does not record fencing numbers.
      * </pre>
      *
      * <code>uint64 fence = 3;</code>
@@ -379,7 +379,7 @@
     }
     /**
      * <pre>
-     * Highest fencing number the upstream says it obeyed; 0 where it keeps none.
+     * Highest fencing number that the upstream reports to have accepted; 0 if it does not record fencing numbers.
      * </pre>
      *
      * <code>uint64 fence = 3;</code>
@@ -393,7 +393,7 @@
     }
     /**
      * <pre>
-     * Highest fencing number the upstream says it obeyed; 0 where it keeps none.
+     * Highest fencing number that the upstream reports to have accepted; 0 if it does not record fencing numbers.
      * </pre>
      *
      * <code>uint64 fence = 3;</code>
@@ -435,7 +435,7 @@
 
     /**
      * <pre>
-     * Token of the question that this answers; 0 where nobody asked.
+     * Token of the ReadUpstream that this answers; 0 if the state was sent unsolicited.
      * </pre>
      *
      * <code>uint64 token = 5;</code>
@@ -447,7 +447,7 @@
     }
     /**
      * <pre>
-     * Token of the question that this answers; 0 where nobody asked.
+     * Token of the ReadUpstream that this answers; 0 if the state was sent unsolicited.
      * </pre>
      *
      * <code>uint64 token = 5;</code>
@@ -461,7 +461,7 @@
     }
     /**
      * <pre>
-     * Token of the question that this answers; 0 where nobody asked.
+     * Token of the ReadUpstream that this answers; 0 if the state was sent unsolicited.
      * </pre>
      *
      * <code>uint64 token = 5;</code>
--- a/src/main/java/org/cuminshelf/message/UpstreamStateOrBuilder.java
+++ b/src/main/java/org/cuminshelf/message/UpstreamStateOrBuilder.java
@@ -29,7 +29,7 @@
 
   /**
    * <pre>
-   * Highest fencing number the upstream says it obeyed; 0 where it keeps none.
+   * Highest fencing number that the upstream reports to have accepted; 0 if it does not record fencing numbers.
    * </pre>
    *
    * <code>uint64 fence = 3;</code>
@@ -45,7 +45,7 @@
 
   /**
    * <pre>
-   * Token of the question that this answers; 0 where nobody asked.
+   * Token of the ReadUpstream that this answers; 0 if the state was sent unsolicited.
    * </pre>
    *
    * <code>uint64 token = 5;</code>
--- a/src/main/java/org/cuminshelf/message/UsageGiveUp.java
+++ b/src/main/java/org/cuminshelf/message/UsageGiveUp.java
@@ -7,7 +7,7 @@
 
 /**
  * <pre>
- * No report is to be under way any more; what was not delivered of one is thrown away.
+ * Cancels a usage report in progress; its undelivered part is discarded.
  * </pre>
  *
  * Protobuf type {@code cuminshelf.UsageGiveUp}
@@ -105,7 +105,7 @@
 
   /**
    * <pre>
-   * No report is to be under way any more; what was not delivered of one is thrown away.
+   * Cancels a usage report in progress; its undelivered part is discarded.
    * </pre>
    *
    * Protobuf type {@code cuminshelf.UsageGiveUp}
--- a/src/main/java/org/cuminshelf/message/UsageReport.java
+++ b/src/main/java/org/cuminshelf/message/UsageReport.java
@@ -7,7 +7,8 @@
 
 /**
  * <pre>
- * A report to the platform. It may be written until its holder's lease ends, by the process's monotonic clock.
+ * A usage report to the platform. It may be sent until the lease of the duty holder expires, as measured by the
+ * monotonic clock of the process.
  * </pre>
  *
  * Protobuf type {@code cuminshelf.UsageReport}
@@ -73,7 +74,7 @@
   private long number_;
   /**
    * <pre>
-   * Fencing number: the term in which the holder leads.
+   * Fencing number: the term in which the duty holder is the leader.
    * </pre>
    *
    * <code>uint64 number = 2;</code>
@@ -85,7 +86,7 @@
   }
   /**
    * <pre>
-   * Fencing number: the term in which the holder leads.
+   * Fencing number: the term in which the duty holder is the leader.
    * </pre>
    *
    * <code>uint64 number = 2;</code>
@@ -97,7 +98,7 @@
   }
   /**
    * <pre>
-   * Fencing number: the term in which the holder leads.
+   * Fencing number: the term in which the duty holder is the leader.
    * </pre>
    *
    * <code>uint64 number = 2;</code>
@@ -218,7 +219,8 @@
 
   /**
    * <pre>
-   * A report to the platform. It may be written until its holder's lease ends, by the process's monotonic clock.
+   * A usage report to the platform. It may be sent until the lease of the duty holder expires, as measured by the
+   * monotonic clock of the process.
    * </pre>
    *
    * Protobuf type {@code cuminshelf.UsageReport}
@@ -283,7 +285,7 @@
 
     /**
      * <pre>
-     * Fencing number: the term in which the holder leads.
+     * Fencing number: the term in which the duty holder is the leader.
      * </pre>
      *
      * <code>uint64 number = 2;</code>
@@ -295,7 +297,7 @@
     }
     /**
      * <pre>
-     * Fencing number: the term in which the holder leads.
+     * Fencing number: the term in which the duty holder is the leader.
      * </pre>
      *
      * <code>uint64 number = 2;</code>
@@ -309,7 +311,7 @@
     }
     /**
      * <pre>
-     * Fencing number: the term in which the holder leads.
+     * Fencing number: the term in which the duty holder is the leader.
      * </pre>
      *
      * <code>uint64 number = 2;</code>
--- a/src/main/java/org/cuminshelf/message/UsageReportOrBuilder.java
+++ b/src/main/java/org/cuminshelf/message/UsageReportOrBuilder.java
@@ -23,7 +23,7 @@
 
   /**
    * <pre>
-   * Fencing number: the term in which the holder leads.
+   * Fencing number: the term in which the duty holder is the leader.
    * </pre>
    *
    * <code>uint64 number = 2;</code>
--- a/src/main/java/org/cuminshelf/message/UsageReported.java
+++ b/src/main/java/org/cuminshelf/message/UsageReported.java
@@ -7,7 +7,7 @@
 
 /**
  * <pre>
- * What became of a report.
+ * Outcome of a usage report.
  * </pre>
  *
  * Protobuf type {@code cuminshelf.UsageReported}
@@ -77,7 +77,7 @@
   private int status_;
   /**
    * <pre>
-   * Status of the platform's answer, 0 without one.
+   * HTTP status of the platform's response; 0 if there was none.
    * </pre>
    *
    * <code>uint32 status = 3;</code>
@@ -89,7 +89,7 @@
   }
   /**
    * <pre>
-   * Status of the platform's answer, 0 without one.
+   * HTTP status of the platform's response; 0 if there was none.
    * </pre>
    *
    * <code>uint32 status = 3;</code>
@@ -101,7 +101,7 @@
   }
   /**
    * <pre>
-   * Status of the platform's answer, 0 without one.
+   * HTTP status of the platform's response; 0 if there was none.
    * </pre>
    *
    * <code>uint32 status = 3;</code>
@@ -244,7 +244,7 @@
 
   /**
    * <pre>
-   * What became of a report.
+   * Outcome of a usage report.
    * </pre>
    *
    * Protobuf type {@code cuminshelf.UsageReported}
@@ -318,7 +318,7 @@
 
     /**
      * <pre>
-     * Status of the platform's answer, 0 without one.
+     * HTTP status of the platform's response; 0 if there was none.
      * </pre>
      *
      * <code>uint32 status = 3;</code>
@@ -330,7 +330,7 @@
     }
     /**
      * <pre>
-     * Status of the platform's answer, 0 without one.
+     * HTTP status of the platform's response; 0 if there was none.
      * </pre>
      *
      * <code>uint32 status = 3;</code>
@@ -344,7 +344,7 @@
     }
     /**
      * <pre>
-     * Status of the platform's answer, 0 without one.
+     * HTTP status of the platform's response; 0 if there was none.
      * </pre>
      *
      * <code>uint32 status = 3;</code>
--- a/src/main/java/org/cuminshelf/message/UsageReportedOrBuilder.java
+++ b/src/main/java/org/cuminshelf/message/UsageReportedOrBuilder.java
@@ -24,7 +24,7 @@
 
   /**
    * <pre>
-   * Status of the platform's answer, 0 without one.
+   * HTTP status of the platform's response; 0 if there was none.
    * </pre>
    *
    * <code>uint32 status = 3;</code>
--- a/src/main/java/org/cuminshelf/message/UsageWindow.java
+++ b/src/main/java/org/cuminshelf/message/UsageWindow.java
@@ -7,7 +7,7 @@
 
 /**
  * <pre>
- * Calls that began to run in one window of time, by organisation.
+ * Numbers of calls whose execution began in one time window, by organisation.
  * </pre>
  *
  * Protobuf type {@code cuminshelf.UsageWindow}
@@ -25,7 +25,7 @@
   private long window_;
   /**
    * <pre>
-   * Windows are numbered from the start of 1970 on.
+   * Number of the window: Unix time divided by the window length, rounded down.
    * </pre>
    *
    * <code>uint64 window = 1;</code>
@@ -37,7 +37,7 @@
   }
   /**
    * <pre>
-   * Windows are numbered from the start of 1970 on.
+   * Number of the window: Unix time divided by the window length, rounded down.
    * </pre>
    *
    * <code>uint64 window = 1;</code>
@@ -49,7 +49,7 @@
   }
   /**
    * <pre>
-   * Windows are numbered from the start of 1970 on.
+   * Number of the window: Unix time divided by the window length, rounded down.
    * </pre>
    *
    * <code>uint64 window = 1;</code>
@@ -241,7 +241,7 @@
 
   /**
    * <pre>
-   * Calls that began to run in one window of time, by organisation.
+   * Numbers of calls whose execution began in one time window, by organisation.
    * </pre>
    *
    * Protobuf type {@code cuminshelf.UsageWindow}
@@ -259,7 +259,7 @@
 
     /**
      * <pre>
-     * Windows are numbered from the start of 1970 on.
+     * Number of the window: Unix time divided by the window length, rounded down.
      * </pre>
      *
      * <code>uint64 window = 1;</code>
@@ -271,7 +271,7 @@
     }
     /**
      * <pre>
-     * Windows are numbered from the start of 1970 on.
+     * Number of the window: Unix time divided by the window length, rounded down.
      * </pre>
      *
      * <code>uint64 window = 1;</code>
@@ -285,7 +285,7 @@
     }
     /**
      * <pre>
-     * Windows are numbered from the start of 1970 on.
+     * Number of the window: Unix time divided by the window length, rounded down.
      * </pre>
      *
      * <code>uint64 window = 1;</code>
--- a/src/main/java/org/cuminshelf/message/UsageWindowOrBuilder.java
+++ b/src/main/java/org/cuminshelf/message/UsageWindowOrBuilder.java
@@ -12,7 +12,7 @@
 
   /**
    * <pre>
-   * Windows are numbered from the start of 1970 on.
+   * Number of the window: Unix time divided by the window length, rounded down.
    * </pre>
    *
    * <code>uint64 window = 1;</code>
--- a/src/main/java/org/cuminshelf/message/VoteRequest.java
+++ b/src/main/java/org/cuminshelf/message/VoteRequest.java
@@ -121,7 +121,7 @@
   private boolean trial_;
   /**
    * <pre>
-   * A trial that changes no term.
+   * Whether this is a pre-vote, which changes no term.
    * </pre>
    *
    * <code>bool trial = 4;</code>
@@ -133,7 +133,7 @@
   }
   /**
    * <pre>
-   * A trial that changes no term.
+   * Whether this is a pre-vote, which changes no term.
    * </pre>
    *
    * <code>bool trial = 4;</code>
@@ -145,7 +145,7 @@
   }
   /**
    * <pre>
-   * A trial that changes no term.
+   * Whether this is a pre-vote, which changes no term.
    * </pre>
    *
    * <code>bool trial = 4;</code>
@@ -357,7 +357,7 @@
 
     /**
      * <pre>
-     * A trial that changes no term.
+     * Whether this is a pre-vote, which changes no term.
      * </pre>
      *
      * <code>bool trial = 4;</code>
@@ -369,7 +369,7 @@
     }
     /**
      * <pre>
-     * A trial that changes no term.
+     * Whether this is a pre-vote, which changes no term.
      * </pre>
      *
      * <code>bool trial = 4;</code>
@@ -383,7 +383,7 @@
     }
     /**
      * <pre>
-     * A trial that changes no term.
+     * Whether this is a pre-vote, which changes no term.
      * </pre>
      *
      * <code>bool trial = 4;</code>
--- a/src/main/java/org/cuminshelf/message/VoteRequestOrBuilder.java
+++ b/src/main/java/org/cuminshelf/message/VoteRequestOrBuilder.java
@@ -35,7 +35,7 @@
 
   /**
    * <pre>
-   * A trial that changes no term.
+   * Whether this is a pre-vote, which changes no term.
    * </pre>
    *
    * <code>bool trial = 4;</code>
--- a/src/main/java/org/cuminshelf/message/Voter.java
+++ b/src/main/java/org/cuminshelf/message/Voter.java
@@ -7,7 +7,7 @@
 
 /**
  * <pre>
- * A replica of a group: its address and the identity that dies with its disk.
+ * A replica of a group: its address, and its identity, which is stored on its disk and lost with it.
  * </pre>
  *
  * Protobuf type {@code cuminshelf.Voter}
@@ -206,7 +206,7 @@
 
   /**
    * <pre>
-   * A replica of a group: its address and the identity that dies with its disk.
+   * A replica of a group: its address, and its identity, which is stored on its disk and lost with it.
    * </pre>
    *
    * Protobuf type {@code cuminshelf.Voter}
--- a/src/main/java/org/cuminshelf/message/WaitingPrompt.java
+++ b/src/main/java/org/cuminshelf/message/WaitingPrompt.java
@@ -6,6 +6,10 @@
 package org.cuminshelf.message;
 
 /**
+ * <pre>
+ * A prompt that waits for its prefill to complete.
+ * </pre>
+ *
  * Protobuf type {@code cuminshelf.WaitingPrompt}
  */
 @com.google.protobuf.Generated
@@ -20,7 +24,7 @@
   private int ageUs_;
   /**
    * <pre>
-   * Microseconds since it was sent.
+   * Time in microseconds since the prompt was sent.
    * </pre>
    *
    * <code>uint32 age_us = 1;</code>
@@ -32,7 +36,7 @@
   }
   /**
    * <pre>
-   * Microseconds since it was sent.
+   * Time in microseconds since the prompt was sent.
    * </pre>
    *
    * <code>uint32 age_us = 1;</code>
@@ -44,7 +48,7 @@
   }
   /**
    * <pre>
-   * Microseconds since it was sent.
+   * Time in microseconds since the prompt was sent.
    * </pre>
    *
    * <code>uint32 age_us = 1;</code>
@@ -58,7 +62,7 @@
   private int workUs_;
   /**
    * <pre>
-   * Microseconds for which it takes up the engine.
+   * Predicted prefill time on the engine in microseconds.
    * </pre>
    *
    * <code>uint32 work_us = 2;</code>
@@ -70,7 +74,7 @@
   }
   /**
    * <pre>
-   * Microseconds for which it takes up the engine.
+   * Predicted prefill time on the engine in microseconds.
    * </pre>
    *
    * <code>uint32 work_us = 2;</code>
@@ -82,7 +86,7 @@
   }
   /**
    * <pre>
-   * Microseconds for which it takes up the engine.
+   * Predicted prefill time on the engine in microseconds.
    * </pre>
    *
    * <code>uint32 work_us = 2;</code>
@@ -176,6 +180,10 @@
   }
 
   /**
+   * <pre>
+   * A prompt that waits for its prefill to complete.
+   * </pre>
+   *
    * Protobuf type {@code cuminshelf.WaitingPrompt}
    */
   public static final class Builder extends
@@ -191,7 +199,7 @@
 
     /**
      * <pre>
-     * Microseconds since it was sent.
+     * Time in microseconds since the prompt was sent.
      * </pre>
      *
      * <code>uint32 age_us = 1;</code>
@@ -203,7 +211,7 @@
     }
     /**
      * <pre>
-     * Microseconds since it was sent.
+     * Time in microseconds since the prompt was sent.
      * </pre>
      *
      * <code>uint32 age_us = 1;</code>
@@ -217,7 +225,7 @@
     }
     /**
      * <pre>
-     * Microseconds since it was sent.
+     * Time in microseconds since the prompt was sent.
      * </pre>
      *
      * <code>uint32 age_us = 1;</code>
@@ -231,7 +239,7 @@
 
     /**
      * <pre>
-     * Microseconds for which it takes up the engine.
+     * Predicted prefill time on the engine in microseconds.
      * </pre>
      *
      * <code>uint32 work_us = 2;</code>
@@ -243,7 +251,7 @@
     }
     /**
      * <pre>
-     * Microseconds for which it takes up the engine.
+     * Predicted prefill time on the engine in microseconds.
      * </pre>
      *
      * <code>uint32 work_us = 2;</code>
@@ -257,7 +265,7 @@
     }
     /**
      * <pre>
-     * Microseconds for which it takes up the engine.
+     * Predicted prefill time on the engine in microseconds.
      * </pre>
      *
      * <code>uint32 work_us = 2;</code>
--- a/src/main/java/org/cuminshelf/message/WaitingPromptOrBuilder.java
+++ b/src/main/java/org/cuminshelf/message/WaitingPromptOrBuilder.java
@@ -12,7 +12,7 @@
 
   /**
    * <pre>
-   * Microseconds since it was sent.
+   * Time in microseconds since the prompt was sent.
    * </pre>
    *
    * <code>uint32 age_us = 1;</code>
@@ -22,7 +22,7 @@
 
   /**
    * <pre>
-   * Microseconds for which it takes up the engine.
+   * Predicted prefill time on the engine in microseconds.
    * </pre>
    *
    * <code>uint32 work_us = 2;</code>
--- a/src/main/java/org/cuminshelf/message/WallClock.java
+++ b/src/main/java/org/cuminshelf/message/WallClock.java
@@ -7,7 +7,8 @@
 
 /**
  * <pre>
- * The wall clock of the own VM; used for the start of events alone, never for authority.
+ * Wall clock of the local VM, in Unix milliseconds. It is used for the start of scheduled events, for usage windows and
+ * for recorded times, never to decide who holds a lease or leads a group.
  * </pre>
  *
  * Protobuf type {@code cuminshelf.WallClock}
@@ -50,7 +51,8 @@
   private boolean jumped_;
   /**
    * <pre>
-   * It moved against the monotonic clock: the VM may have stood still without that clock noticing.
+   * The wall clock moved relative to the monotonic clock: the VM may have been suspended without the monotonic clock
+   * advancing.
    * </pre>
    *
    * <code>bool jumped = 2;</code>
@@ -62,7 +64,8 @@
   }
   /**
    * <pre>
-   * It moved against the monotonic clock: the VM may have stood still without that clock noticing.
+   * The wall clock moved relative to the monotonic clock: the VM may have been suspended without the monotonic clock
+   * advancing.
    * </pre>
    *
    * <code>bool jumped = 2;</code>
@@ -74,7 +77,8 @@
   }
   /**
    * <pre>
-   * It moved against the monotonic clock: the VM may have stood still without that clock noticing.
+   * The wall clock moved relative to the monotonic clock: the VM may have been suspended without the monotonic clock
+   * advancing.
    * </pre>
    *
    * <code>bool jumped = 2;</code>
@@ -169,7 +173,8 @@
 
   /**
    * <pre>
-   * The wall clock of the own VM; used for the start of events alone, never for authority.
+   * Wall clock of the local VM, in Unix milliseconds. It is used for the start of scheduled events, for usage windows and
+   * for recorded times, never to decide who holds a lease or leads a group.
    * </pre>
    *
    * Protobuf type {@code cuminshelf.WallClock}
@@ -215,7 +220,8 @@
 
     /**
      * <pre>
-     * It moved against the monotonic clock: the VM may have stood still without that clock noticing.
+     * The wall clock moved relative to the monotonic clock: the VM may have been suspended without the monotonic clock
+     * advancing.
      * </pre>
      *
      * <code>bool jumped = 2;</code>
@@ -227,7 +233,8 @@
     }
     /**
      * <pre>
-     * It moved against the monotonic clock: the VM may have stood still without that clock noticing.
+     * The wall clock moved relative to the monotonic clock: the VM may have been suspended without the monotonic clock
+     * advancing.
      * </pre>
      *
      * <code>bool jumped = 2;</code>
@@ -241,7 +248,8 @@
     }
     /**
      * <pre>
-     * It moved against the monotonic clock: the VM may have stood still without that clock noticing.
+     * The wall clock moved relative to the monotonic clock: the VM may have been suspended without the monotonic clock
+     * advancing.
      * </pre>
      *
      * <code>bool jumped = 2;</code>
--- a/src/main/java/org/cuminshelf/message/WallClockOrBuilder.java
+++ b/src/main/java/org/cuminshelf/message/WallClockOrBuilder.java
@@ -18,7 +18,8 @@
 
   /**
    * <pre>
-   * It moved against the monotonic clock: the VM may have stood still without that clock noticing.
+   * The wall clock moved relative to the monotonic clock: the VM may have been suspended without the monotonic clock
+   * advancing.
    * </pre>
    *
    * <code>bool jumped = 2;</code>
