--- a/src/main/java/org/cuminshelf/storage/GroupLog.java
+++ b/src/main/java/org/cuminshelf/storage/GroupLog.java
@@ -192,8 +192,8 @@
             boolean readable = buffer.getInt(position) == MAGIC
                     && decode(content, position).isPresent();
             if (readable && buffer.getLong(position + SYNCED_LENGTH_OFFSET) > invalidPosition) {
-                throw new CorruptLogException(name + ": corrupt record at byte " + invalidPosition
-                        + ", before synced records; move the folder away and start this replica anew,"
+                throw new CorruptLogException(name + ": damaged at byte " + invalidPosition
+                        + ", before records that were synced; move the folder away and start this replica anew,"
                         + " so that it joins as a learner");
             }
         }
