--- a/src/main/java/org/cuminshelf/standin/EngineEvents.java
+++ b/src/main/java/org/cuminshelf/standin/EngineEvents.java
@@ -2,22 +2,22 @@
 
 import java.util.List;
 
-/** Receives what an engine model does. */
+/** Listener for the output of an {@link EngineModel}. */
 public interface EngineEvents {
 
     /**
-     * Tokens of a stream.
+     * Called when a stream has generated tokens.
      *
-     * @param stream the stream
-     * @param tokens the tokens
+     * @param stream the stream id
+     * @param tokens the new tokens, in order
      */
     void tokens(long stream, List<String> tokens);
 
     /**
-     * A stream ended as it should.
+     * Called when a stream has completed. Cancelled streams are not reported.
      *
-     * @param stream       the stream
-     * @param finishReason {@code stop} or {@code length}
+     * @param stream       the stream id
+     * @param finishReason {@code stop}, or {@link EngineModel#MOVED} after a prefill-only stream
      */
     void finished(long stream, String finishReason);
 }
--- a/src/main/java/org/cuminshelf/standin/EngineModel.java
+++ b/src/main/java/org/cuminshelf/standin/EngineModel.java
@@ -19,58 +19,61 @@
 import org.cuminshelf.message.UpstreamState;
 
 /**
- * A model engine in virtual time: continuous batching with chunked prefill, a prefix cache of limited size, priorities,
- * streams that resume and cancel, load reports with a lag, and orders that take seconds.
+ * Simulates a model engine in virtual time: continuous batching with chunked prefill, an LRU prefix cache, priorities,
+ * resumable and cancellable streams, delayed load reports, and orders that take seconds to complete.
  *
- * <p>It works in iterations. Each takes one chunk of waiting prompt and one step of every running stream, so prefill
- * slows the streams beside it; an engine of role prefill takes large chunks, one of role decode tiny ones while it
- * decodes, a mixed one small ones. A stream that is to be prefilled only ends after its first token as {@code moved};
- * one that brings its KV cache from another engine needs only the time to import it.
+ * <p>The engine works in iterations. Each iteration prefills one chunk of a waiting prompt and runs one decode step for
+ * every running stream, so prefill slows down the decoding streams. While streams are decoding, the chunk size depends
+ * on the role: large for prefill, small for mixed, smallest for decode. A prefill-only stream ends after its first
+ * token with finish reason {@link #MOVED}. A stream whose KV cache comes from another engine takes only the
+ * import time.
+ *
+ * <p>All times are in nanoseconds. The class is not thread-safe.
  */
 public final class EngineModel {
 
-    /** Prompt tokens in one block of the prefix cache. */
+    /** Number of prompt tokens in one block of the prefix cache. */
     public static final int BLOCK_TOKENS = 64;
 
-    /** Reason of the end of a stream that was prefilled only. */
+    /** Finish reason of a prefill-only stream. */
     public static final String MOVED = "moved";
 
     private static final double NANOS_PER_SECOND = 1e9;
-    private static final int CHUNK_PREFILL = 2_048;
-    private static final int CHUNK_MIXED = 192;
-    private static final int CHUNK_DECODE = 64;
+    private static final int PREFILL_CHUNK_TOKENS = 2_048;
+    private static final int MIXED_CHUNK_TOKENS = 192;
+    private static final int DECODE_CHUNK_TOKENS = 64;
 
     private static final class Stream implements Comparable<Stream> {
         private final long id;
         private final int priority;
-        private final long order;
-        private final long textHash;
-        private final int length;
-        private final List<Long> prefix;
+        private final long arrivalNumber;
+        private final long promptHash;
+        private final int outputLength;
+        private final List<Long> prefixBlocks;
         private final boolean prefillOnly;
-        private long promptLeft;
-        private int position;
+        private long remainingPromptTokens;
+        private int outputPosition;
 
-        private Stream(long id, int priority, long order, Generation generation, long promptLeft) {
+        private Stream(long id, int priority, long arrivalNumber, Generation generation, long remainingPromptTokens) {
             this.id = id;
             this.priority = priority;
-            this.order = order;
-            this.textHash = StandInText.hash(generation.getPrompt());
-            this.length = StandInText.length(textHash, generation.getMaxTokens());
-            this.prefix = generation.getPrefixList();
+            this.arrivalNumber = arrivalNumber;
+            this.promptHash = StandInText.hashPrompt(generation.getPrompt());
+            this.outputLength = StandInText.answerLength(promptHash, generation.getMaxTokens());
+            this.prefixBlocks = generation.getPrefixList();
             this.prefillOnly = generation.getPrefillOnly();
-            this.promptLeft = promptLeft;
-            this.position = generation.getHeldCount();
+            this.remainingPromptTokens = remainingPromptTokens;
+            this.outputPosition = generation.getHeldCount();
         }
 
         @Override
         public int compareTo(Stream other) {
             int byPriority = Integer.compare(other.priority, priority);
-            return byPriority != 0 ? byPriority : Long.compare(order, other.order);
+            return byPriority != 0 ? byPriority : Long.compare(arrivalNumber, other.arrivalNumber);
         }
     }
 
-    private record TimedReport(long at, LoadReport report) {}
+    private record TimedReport(long takenAt, LoadReport report) {}
 
     private final EngineSpeed speed;
     private final boolean checksFence;
@@ -79,40 +82,40 @@
     private final Map<Long, Stream> streams = new TreeMap<>();
     private final TreeSet<Stream> waiting = new TreeSet<>();
     private final Map<Long, Stream> decoding = new TreeMap<>();
-    private final Map<Long, Boolean> cache;
-    private final Deque<Long> newBlocks = new ArrayDeque<>();
+    private final Map<Long, Boolean> prefixCache;
+    private final Deque<Long> unreportedBlocks = new ArrayDeque<>();
     private final Deque<TimedReport> reports = new ArrayDeque<>();
     private Role role = Role.ROLE_MIXED;
-    private Optional<Order> change = Optional.empty();
-    private long changeEndsAt = Core.NEVER;
-    private long fence;
+    private Optional<Order> pendingOrder = Optional.empty();
+    private long orderCompletesAt = Core.NEVER;
+    private long lastOrderNumber;
     private long iterationEndsAt = Core.NEVER;
-    private Stream filling;
-    private long fillingTokens;
-    private long nextOrder;
-    private long promptDone;
-    private long outputDone;
+    private Stream prefilling;
+    private long prefillChunkTokens;
+    private long nextArrivalNumber;
+    private long promptTokensDone;
+    private long outputTokensDone;
 
     private EngineModel(EngineSpeed speed, boolean checksFence, List<String> models) {
         this.speed = speed;
         this.checksFence = checksFence;
         this.models.addAll(models);
-        this.cache = new LinkedHashMap<>(16, 0.75f, true) {
+        this.prefixCache = new LinkedHashMap<>(16, 0.75f, true) {
             private static final long serialVersionUID = 1L;
 
             @Override
             protected boolean removeEldestEntry(Map.Entry<Long, Boolean> eldest) {
-                return size() > speed.cacheBlocks();
+                return size() > speed.prefixCacheBlocks();
             }
         };
     }
 
     /**
-     * Makes an idle engine.
+     * Creates an idle engine in the mixed role.
      *
-     * @param speed       how fast it is
-     * @param checksFence whether it refuses an order with a fencing number at or below the last one
-     * @param models      the models it has loaded
+     * @param speed       the performance parameters
+     * @param checksFence whether an order is refused if its number is not above that of the last accepted order
+     * @param models      the loaded models
      * @return the engine
      */
     public static EngineModel idle(EngineSpeed speed, boolean checksFence, List<String> models) {
@@ -120,12 +123,12 @@
     }
 
     /**
-     * Makes an idle engine in a role.
+     * Creates an idle engine in the given role.
      *
-     * @param speed       how fast it is
-     * @param checksFence whether it refuses an order with a fencing number at or below the last one
-     * @param models      the models it has loaded
-     * @param role        the role it starts in
+     * @param speed       the performance parameters
+     * @param checksFence whether an order is refused if its number is not above that of the last accepted order
+     * @param models      the loaded models
+     * @param role        the initial role
      * @return the engine
      */
     public static EngineModel idle(EngineSpeed speed, boolean checksFence, List<String> models, Role role) {
@@ -135,39 +138,39 @@
     }
 
     /**
-     * Starts a stream.
+     * Queues a stream.
      *
-     * @param now        the time in nanoseconds
-     * @param id         names the stream
-     * @param generation what to generate; it goes on after the tokens held
-     * @param priority   0 to 9
+     * @param now        the current time in nanoseconds
+     * @param id         the stream id
+     * @param generation the request; generation continues after the tokens it already holds
+     * @param priority   the priority from 0 to 9; streams with a higher value are prefilled first
      */
     public void start(long now, long id, Generation generation, int priority) {
         long cachedBlocks = 0;
         for (long block : generation.getPrefixList()) {
-            if (!cache.containsKey(block)) {
+            if (!prefixCache.containsKey(block)) {
                 break;
             }
             cachedBlocks++;
         }
         long prompt = generation.getPromptTokens() + generation.getHeldCount();
         long uncached = Math.max(1, prompt - cachedBlocks * BLOCK_TOKENS);
-        long left = generation.getKvFrom().isEmpty() ? uncached : importCost(uncached);
-        Stream stream = new Stream(id, priority, nextOrder++, generation, left);
+        long remainingPromptTokens = generation.getKvFrom().isEmpty() ? uncached : kvImportPromptTokens(uncached);
+        Stream stream = new Stream(id, priority, nextArrivalNumber++, generation, remainingPromptTokens);
         streams.put(id, stream);
         waiting.add(stream);
         beginIteration(now);
     }
 
-    /** Importing a KV cache takes as long as taking in so many prompt tokens. */
-    private long importCost(long tokens) {
-        return Math.max(1, tokens * speed.prefillPerSecond() / speed.kvPerSecond());
+    /** Returns the number of prompt tokens whose prefill takes as long as importing the KV cache of {@code tokens}. */
+    private long kvImportPromptTokens(long tokens) {
+        return Math.max(1, tokens * speed.prefillTokensPerSecond() / speed.kvImportTokensPerSecond());
     }
 
     /**
-     * Ends a stream without another event.
+     * Cancels a stream without emitting an event. An unknown id is ignored.
      *
-     * @param id the stream
+     * @param id the stream id
      */
     public void cancel(long id) {
         Stream stream = streams.remove(id);
@@ -178,24 +181,26 @@
     }
 
     /**
-     * Takes an order. A role change while streams run cuts them: keeping them is the sidecar's task.
+     * Starts executing an order. A role change drops all streams without an event; the sidecar is responsible for
+     * preserving them.
      *
-     * @param now   the time in nanoseconds
+     * @param now   the current time in nanoseconds
      * @param order the order
-     * @return why it was refused, or {@link Cause#CAUSE_NONE}
+     * @return {@link Cause#CAUSE_NONE} if the order was accepted, {@link Cause#STALE_ORDER} if its number is too low,
+     *     {@link Cause#ORDER_PENDING} if another order is in progress
      */
     public Cause order(long now, Order order) {
-        if (checksFence && order.getNumber() <= fence) {
+        if (checksFence && order.getNumber() <= lastOrderNumber) {
             return Cause.STALE_ORDER;
         }
-        if (change.isPresent()) {
+        if (pendingOrder.isPresent()) {
             return Cause.ORDER_PENDING;
         }
-        fence = order.getNumber();
-        change = Optional.of(order);
-        boolean isRole = order.getBody().getKindCase() == OrderBody.KindCase.CHANGE_ROLE;
-        changeEndsAt = now + (isRole ? speed.changeNanos() : speed.loadNanos());
-        if (isRole) {
+        lastOrderNumber = order.getNumber();
+        pendingOrder = Optional.of(order);
+        boolean changesRole = order.getBody().getKindCase() == OrderBody.KindCase.CHANGE_ROLE;
+        orderCompletesAt = now + (changesRole ? speed.roleChangeNanos() : speed.loadNanos());
+        if (changesRole) {
             streams.clear();
             waiting.clear();
             decoding.clear();
@@ -205,25 +210,25 @@
     }
 
     /**
-     * Tells when something happens next.
+     * Returns the time at which {@link #advance} has to be called next.
      *
-     * @return the time in nanoseconds, or {@link Core#NEVER}
+     * @return the time in nanoseconds, or {@link Core#NEVER} if the engine is idle
      */
     public long nextDue() {
-        return Math.min(iterationEndsAt, changeEndsAt);
+        return Math.min(iterationEndsAt, orderCompletesAt);
     }
 
     /**
-     * Does everything that is due.
+     * Processes every iteration and order that has completed by the given time.
      *
-     * @param now    the time in nanoseconds
-     * @param events receives what happens
+     * @param now    the current time in nanoseconds
+     * @param events the listener for tokens and completed streams
      */
     public void advance(long now, EngineEvents events) {
-        if (now >= changeEndsAt) {
-            long endedAt = changeEndsAt;
-            finishChange();
-            beginIteration(endedAt);
+        if (now >= orderCompletesAt) {
+            long completedAt = orderCompletesAt;
+            completeOrder();
+            beginIteration(completedAt);
         }
         while (iterationEndsAt <= now) {
             long end = iterationEndsAt;
@@ -234,14 +239,15 @@
     }
 
     /**
-     * The state as it is published: the load with its lag, the order in hand without.
+     * Returns the state as the engine publishes it. The load is delayed by the report lag; role, models, adapters and
+     * the order in progress are current. Each newly cached block is reported at most once.
      *
-     * @param now the time in nanoseconds
-     * @return the state
+     * @param now the current time in nanoseconds
+     * @return the published state
      */
     public UpstreamState state(long now) {
         reports.add(new TimedReport(now, load()));
-        while (reports.size() > 1 && secondReport().at <= now - speed.reportLagNanos()) {
+        while (reports.size() > 1 && secondOldestReport().takenAt <= now - speed.reportLagNanos()) {
             reports.poll();
         }
         LoadReport.Builder load = reports.peek().report().toBuilder()
@@ -250,28 +256,28 @@
                 .addAllModels(models)
                 .clearAdapters()
                 .addAllAdapters(adapters);
-        while (!newBlocks.isEmpty() && load.getCachedCount() < 256) {
-            load.addCached(newBlocks.poll());
+        while (!unreportedBlocks.isEmpty() && load.getCachedCount() < 256) {
+            load.addCached(unreportedBlocks.poll());
         }
         return UpstreamState.newBuilder()
                 .setReachable(true)
                 .setLoad(load)
-                .setFence(checksFence ? fence : 0)
-                .setChanging(change.isPresent())
+                .setFence(checksFence ? lastOrderNumber : 0)
+                .setChanging(pendingOrder.isPresent())
                 .build();
     }
 
     /**
-     * Counts the streams.
+     * Returns the number of streams.
      *
-     * @return streams waiting or running
+     * @return the number of waiting and running streams
      */
     public int streamCount() {
         return streams.size();
     }
 
     /**
-     * The role in force.
+     * Returns the current role.
      *
      * @return the role
      */
@@ -279,7 +285,7 @@
         return role;
     }
 
-    private TimedReport secondReport() {
+    private TimedReport secondOldestReport() {
         var all = reports.iterator();
         all.next();
         return all.next();
@@ -288,7 +294,7 @@
     private LoadReport load() {
         long queued = 0;
         for (Stream stream : waiting) {
-            queued += stream.promptLeft;
+            queued += stream.remainingPromptTokens;
         }
         return LoadReport.newBuilder()
                 .setRunning(decoding.size())
@@ -296,96 +302,98 @@
                 .setQueuedPromptTokens(queued)
                 .setActiveOutputTokens(decoding.size())
                 .setSlots(speed.slots())
-                .setPromptTokensDone(promptDone)
-                .setOutputTokensDone(outputDone)
+                .setPromptTokensDone(promptTokensDone)
+                .setOutputTokensDone(outputTokensDone)
                 .build();
     }
 
-    private void finishChange() {
-        OrderBody body = change.orElseThrow().getBody();
-        change = Optional.empty();
-        changeEndsAt = Core.NEVER;
+    private void completeOrder() {
+        OrderBody body = pendingOrder.orElseThrow().getBody();
+        pendingOrder = Optional.empty();
+        orderCompletesAt = Core.NEVER;
         switch (body.getKindCase()) {
             case CHANGE_ROLE -> role = body.getChangeRole();
-            case LOAD_MODEL -> addOnce(models, body.getLoadModel());
-            case LOAD_ADAPTER -> addOnce(adapters, body.getLoadAdapter());
+            case LOAD_MODEL -> addIfAbsent(models, body.getLoadModel());
+            case LOAD_ADAPTER -> addIfAbsent(adapters, body.getLoadAdapter());
             case UNLOAD_ADAPTER -> adapters.remove(body.getUnloadAdapter());
             case DRAIN, KIND_NOT_SET -> {
-                // Nothing changes in the engine.
+                // These orders do not change the engine.
             }
         }
     }
 
-    private static void addOnce(List<String> names, String name) {
+    private static void addIfAbsent(List<String> names, String name) {
         if (!names.contains(name)) {
             names.add(name);
         }
     }
 
     private void beginIteration(long now) {
-        boolean roleChanging = change.filter(order -> order.getBody().getKindCase() == OrderBody.KindCase.CHANGE_ROLE)
+        boolean roleChanging = pendingOrder
+                .filter(order -> order.getBody().getKindCase() == OrderBody.KindCase.CHANGE_ROLE)
                 .isPresent();
         if (iterationEndsAt != Core.NEVER || roleChanging || waiting.isEmpty() && decoding.isEmpty()) {
             return;
         }
-        filling = decoding.size() < speed.slots() && !waiting.isEmpty() ? waiting.first() : null;
-        fillingTokens = filling == null ? 0 : Math.min(filling.promptLeft, chunk());
-        double seconds = fillingTokens / (double) speed.prefillPerSecond();
+        prefilling = decoding.size() < speed.slots() && !waiting.isEmpty() ? waiting.first() : null;
+        prefillChunkTokens = prefilling == null ? 0 : Math.min(prefilling.remainingPromptTokens, maxChunkTokens());
+        double seconds = prefillChunkTokens / (double) speed.prefillTokensPerSecond();
         long step = decoding.isEmpty()
                 ? 0
-                : Math.max(speed.stepNanos(), (long) (decoding.size() * NANOS_PER_SECOND / speed.decodePerSecond()));
+                : Math.max(speed.decodeStepNanos(), (long)
+                        (decoding.size() * NANOS_PER_SECOND / speed.decodeTokensPerSecond()));
         iterationEndsAt = now + Math.max(1, (long) (seconds * NANOS_PER_SECOND) + step);
     }
 
-    private int chunk() {
+    private int maxChunkTokens() {
         if (decoding.isEmpty()) {
-            return CHUNK_PREFILL;
+            return PREFILL_CHUNK_TOKENS;
         }
         return switch (role) {
-            case ROLE_PREFILL -> CHUNK_PREFILL;
-            case ROLE_DECODE -> CHUNK_DECODE;
-            case ROLE_MIXED, UNRECOGNIZED -> CHUNK_MIXED;
+            case ROLE_PREFILL -> PREFILL_CHUNK_TOKENS;
+            case ROLE_DECODE -> DECODE_CHUNK_TOKENS;
+            case ROLE_MIXED, UNRECOGNIZED -> MIXED_CHUNK_TOKENS;
         };
     }
 
     private void finishIteration(EngineEvents events) {
         for (Stream stream : List.copyOf(decoding.values())) {
-            emit(stream, events);
+            emitToken(stream, events);
         }
-        if (filling != null && streams.containsKey(filling.id)) {
-            filling.promptLeft -= fillingTokens;
-            promptDone += fillingTokens;
-            if (filling.promptLeft <= 0) {
-                waiting.remove(filling);
-                decoding.put(filling.id, filling);
-                remember(filling.prefix);
-                emit(filling, events);
+        if (prefilling != null && streams.containsKey(prefilling.id)) {
+            prefilling.remainingPromptTokens -= prefillChunkTokens;
+            promptTokensDone += prefillChunkTokens;
+            if (prefilling.remainingPromptTokens <= 0) {
+                waiting.remove(prefilling);
+                decoding.put(prefilling.id, prefilling);
+                cachePrefix(prefilling.prefixBlocks);
+                emitToken(prefilling, events);
             }
         }
     }
 
-    private void emit(Stream stream, EngineEvents events) {
-        if (stream.position < stream.length) {
-            events.tokens(stream.id, List.of(StandInText.token(stream.textHash, stream.position)));
-            stream.position++;
-            outputDone++;
+    private void emitToken(Stream stream, EngineEvents events) {
+        if (stream.outputPosition < stream.outputLength) {
+            events.tokens(stream.id, List.of(StandInText.answerToken(stream.promptHash, stream.outputPosition)));
+            stream.outputPosition++;
+            outputTokensDone++;
         }
-        boolean whole = stream.position >= stream.length;
-        if (whole || stream.prefillOnly) {
+        boolean complete = stream.outputPosition >= stream.outputLength;
+        if (complete || stream.prefillOnly) {
             streams.remove(stream.id);
             decoding.remove(stream.id);
-            events.finished(stream.id, whole ? "stop" : MOVED);
+            events.finished(stream.id, complete ? "stop" : MOVED);
         }
     }
 
-    private void remember(List<Long> blocks) {
+    private void cachePrefix(List<Long> blocks) {
         for (Long block : blocks) {
-            if (cache.put(block, Boolean.TRUE) == null) {
-                newBlocks.add(block);
+            if (prefixCache.put(block, Boolean.TRUE) == null) {
+                unreportedBlocks.add(block);
             }
         }
-        while (newBlocks.size() > speed.cacheBlocks()) {
-            newBlocks.poll();
+        while (unreportedBlocks.size() > speed.prefixCacheBlocks()) {
+            unreportedBlocks.poll();
         }
     }
 }
--- a/src/main/java/org/cuminshelf/standin/EngineSpeed.java
+++ b/src/main/java/org/cuminshelf/standin/EngineSpeed.java
@@ -3,33 +3,33 @@
 import org.cuminshelf.core.Durations;
 
 /**
- * How fast a stand-in engine is.
+ * Performance parameters of a stand-in engine.
  *
- * @param prefillPerSecond prompt tokens taken in a second while nothing else runs
- * @param stepNanos        time of a decode step with one stream, in nanoseconds
- * @param decodePerSecond  output tokens a second over the whole batch at most
- * @param slots            streams at once
- * @param cacheBlocks      prefix blocks held
- * @param changeNanos      time of a role change, in nanoseconds
- * @param loadNanos        time to load a model or adapter, in nanoseconds
- * @param reportLagNanos   age of the load it reports, in nanoseconds
- * @param kvPerSecond      tokens of KV cache imported in a second
+ * @param prefillTokensPerSecond   prefill throughput in prompt tokens per second while no stream is decoding
+ * @param decodeStepNanos          minimum duration of a decode step, in nanoseconds
+ * @param decodeTokensPerSecond    maximum output tokens per second over the whole batch
+ * @param slots                    maximum number of streams that decode concurrently
+ * @param prefixCacheBlocks        capacity of the prefix cache in blocks
+ * @param roleChangeNanos          duration of a role change, in nanoseconds
+ * @param loadNanos                duration of any other order, such as loading a model or adapter, in nanoseconds
+ * @param reportLagNanos           age of the reported load, in nanoseconds
+ * @param kvImportTokensPerSecond  KV cache import rate in tokens per second
  */
 public record EngineSpeed(
-        int prefillPerSecond,
-        long stepNanos,
-        int decodePerSecond,
+        int prefillTokensPerSecond,
+        long decodeStepNanos,
+        int decodeTokensPerSecond,
         int slots,
-        int cacheBlocks,
-        long changeNanos,
+        int prefixCacheBlocks,
+        long roleChangeNanos,
         long loadNanos,
         long reportLagNanos,
-        int kvPerSecond) {
+        int kvImportTokensPerSecond) {
 
     /**
-     * An engine of usual speed.
+     * Returns the default performance parameters.
      *
-     * @return 8,000 prompt tokens and 2,000 output tokens a second, 64 slots, 5 s for a role change
+     * @return 8,000 prompt tokens and 2,000 output tokens per second, 64 slots, 5 s for a role change
      */
     public static EngineSpeed usual() {
         return new EngineSpeed(
@@ -45,9 +45,10 @@
     }
 
     /**
-     * An engine that hardly takes time, for tests and for measuring what the system itself costs.
+     * Returns parameters with negligible processing time, for tests and for measuring the overhead of the system
+     * itself.
      *
-     * @return the speed
+     * @return the parameters
      */
     public static EngineSpeed instant() {
         return new EngineSpeed(
--- a/src/main/java/org/cuminshelf/standin/EventStream.java
+++ b/src/main/java/org/cuminshelf/standin/EventStream.java
@@ -9,15 +9,18 @@
 import org.eclipse.jetty.server.Response;
 import org.eclipse.jetty.util.Callback;
 
-/** One stream of the stand-in engine on its way to the sidecar. */
+/**
+ * Server-sent event response of the stand-in engine for one stream. Events that arrive during a write are sent
+ * together in the next write. All methods except {@link #onConnectionLost} are thread-safe.
+ */
 final class EventStream {
 
     private static final ObjectMapper JSON = new ObjectMapper();
 
     private final Response response;
     private final Callback callback;
-    private final Deque<String> waiting = new ArrayDeque<>();
-    private Runnable onGone = () -> {};
+    private final Deque<String> pendingEvents = new ArrayDeque<>();
+    private Runnable onConnectionLost = () -> {};
     private boolean writing;
     private boolean finished;
     private boolean ended;
@@ -27,50 +30,51 @@
         this.callback = callback;
     }
 
-    void onGone(Runnable action) {
-        this.onGone = action;
+    /** Sets the action to run when a write fails. It has to be set before the first event is sent. */
+    void onConnectionLost(Runnable action) {
+        this.onConnectionLost = action;
     }
 
-    synchronized void token(String token) {
-        waiting.add(event(token, null));
-        next();
+    synchronized void sendToken(String token) {
+        pendingEvents.add(event(token, null));
+        writePending();
     }
 
     synchronized void finish(String reason) {
-        waiting.add(event("", reason));
+        pendingEvents.add(event("", reason));
         finished = true;
-        next();
+        writePending();
     }
 
-    private void next() {
-        if (writing || ended || waiting.isEmpty()) {
+    private void writePending() {
+        if (writing || ended || pendingEvents.isEmpty()) {
             return;
         }
         writing = true;
-        String events = String.join("", waiting);
-        waiting.clear();
-        boolean last = finished;
+        String events = String.join("", pendingEvents);
+        pendingEvents.clear();
+        boolean isLast = finished;
         response.write(
-                last,
+                isLast,
                 ByteBuffer.wrap(events.getBytes(StandardCharsets.UTF_8)),
-                Callback.from(() -> written(last), this::failed));
+                Callback.from(() -> onWritten(isLast), this::onWriteFailed));
     }
 
-    private synchronized void written(boolean last) {
+    private synchronized void onWritten(boolean isLast) {
         writing = false;
-        if (last) {
+        if (isLast) {
             ended = true;
             callback.succeeded();
         } else {
-            next();
+            writePending();
         }
     }
 
-    private synchronized void failed(Throwable cause) {
+    private synchronized void onWriteFailed(Throwable cause) {
         if (!ended) {
             ended = true;
             callback.failed(cause);
-            onGone.run();
+            onConnectionLost.run();
         }
     }
 
--- a/src/main/java/org/cuminshelf/standin/StandInEngine.java
+++ b/src/main/java/org/cuminshelf/standin/StandInEngine.java
@@ -27,17 +27,17 @@
 import org.eclipse.jetty.server.Response;
 import org.eclipse.jetty.util.Callback;
 
-/** An {@link EngineModel} that runs in real time and speaks the engines' protocol over HTTP. */
+/** HTTP server that runs an {@link EngineModel} in real time and implements the engine protocol. */
 public final class StandInEngine extends Handler.Abstract implements EngineEvents, AutoCloseable {
 
     private static final ObjectMapper JSON = new ObjectMapper();
-    private static final long LONGEST_PARK = 5_000_000;
+    private static final long MAX_PARK_NANOS = 5_000_000;
 
     private final EngineModel model;
     private final Map<Long, EventStream> streams = new HashMap<>();
     private final Thread thread = new Thread(this::run, "stand-in-engine");
     private HttpListener listener;
-    private long nextStream = 1;
+    private long nextStreamId = 1;
     private volatile boolean running = true;
 
     private StandInEngine(EngineModel model) {
@@ -45,14 +45,14 @@
     }
 
     /**
-     * Starts an engine.
+     * Starts an engine server.
      *
-     * @param address     where it listens; port 0 takes a free one
-     * @param speed       how fast it is
-     * @param checksFence whether it refuses orders with an old fencing number
-     * @param models      the models it has loaded
-     * @return the engine
-     * @throws IOException if the address can't be used
+     * @param address     the listen address; port 0 selects a free port
+     * @param speed       the performance parameters
+     * @param checksFence whether an order is refused if its number is not above that of the last accepted order
+     * @param models      the loaded models
+     * @return the running engine
+     * @throws IOException if the address cannot be bound
      */
     public static StandInEngine start(Address address, EngineSpeed speed, boolean checksFence, List<String> models)
             throws IOException {
@@ -64,7 +64,7 @@
     }
 
     /**
-     * The port in use.
+     * Returns the port on which the server listens.
      *
      * @return the port
      */
@@ -75,9 +75,9 @@
     @Override
     public boolean handle(Request request, Response response, Callback callback) throws Exception {
         switch (Request.getPathInContext(request)) {
-            case "/v1/completions" -> start(request, response, callback);
-            case "/state" -> state(response, callback);
-            case "/orders" -> order(request, response, callback);
+            case "/v1/completions" -> handleCompletion(request, response, callback);
+            case "/state" -> handleState(response, callback);
+            case "/orders" -> handleOrder(request, response, callback);
             default -> {
                 return false;
             }
@@ -94,32 +94,32 @@
 
     @Override
     public void tokens(long stream, List<String> tokens) {
-        EventStream open = streams.get(stream);
-        if (open != null) {
-            tokens.forEach(open::token);
+        EventStream eventStream = streams.get(stream);
+        if (eventStream != null) {
+            tokens.forEach(eventStream::sendToken);
         }
     }
 
     @Override
     public void finished(long stream, String finishReason) {
-        EventStream open = streams.remove(stream);
-        if (open != null) {
-            open.finish(finishReason);
+        EventStream eventStream = streams.remove(stream);
+        if (eventStream != null) {
+            eventStream.finish(finishReason);
         }
     }
 
     private void run() {
         while (running) {
-            long due;
+            long nextDue;
             synchronized (this) {
                 model.advance(System.nanoTime(), this);
-                due = model.nextDue();
+                nextDue = model.nextDue();
             }
-            LockSupport.parkNanos(Math.clamp(due - System.nanoTime(), 1, LONGEST_PARK));
+            LockSupport.parkNanos(Math.clamp(nextDue - System.nanoTime(), 1, MAX_PARK_NANOS));
         }
     }
 
-    private void start(Request request, Response response, Callback callback) throws IOException {
+    private void handleCompletion(Request request, Response response, Callback callback) throws IOException {
         JsonNode node = JSON.readTree(Content.Source.asString(request, StandardCharsets.UTF_8));
         Generation.Builder generation = Generation.newBuilder()
                 .setModel(node.path("model").asText())
@@ -134,11 +134,11 @@
         response.setStatus(200);
         response.getHeaders().put(HttpHeader.CONTENT_TYPE, "text/event-stream");
         synchronized (this) {
-            long id = nextStream++;
+            long id = nextStreamId++;
             EventStream stream = new EventStream(response, callback);
             streams.put(id, stream);
             request.addFailureListener(failure -> cancel(id));
-            stream.onGone(() -> cancel(id));
+            stream.onConnectionLost(() -> cancel(id));
             model.start(
                     System.nanoTime(),
                     id,
@@ -154,7 +154,7 @@
         }
     }
 
-    private void state(Response response, Callback callback) {
+    private void handleState(Response response, Callback callback) {
         UpstreamState state;
         synchronized (this) {
             state = model.state(System.nanoTime());
@@ -173,10 +173,10 @@
         load.getAdaptersList().forEach(adapters::add);
         ArrayNode cached = node.putArray("cached_blocks");
         load.getCachedList().forEach(cached::add);
-        write(response, callback, 200, node);
+        writeJson(response, callback, 200, node);
     }
 
-    private void order(Request request, Response response, Callback callback) throws IOException {
+    private void handleOrder(Request request, Response response, Callback callback) throws IOException {
         JsonNode node = JSON.readTree(Content.Source.asString(request, StandardCharsets.UTF_8));
         OrderBody.Builder body = OrderBody.newBuilder();
         if (node.has("change_role")) {
@@ -203,10 +203,10 @@
             case STALE_ORDER -> 412;
             default -> 409;
         };
-        write(response, callback, status, JSON.createObjectNode().put("refusal", refusal.name()));
+        writeJson(response, callback, status, JSON.createObjectNode().put("refusal", refusal.name()));
     }
 
-    private static void write(Response response, Callback callback, int status, ObjectNode node) {
+    private static void writeJson(Response response, Callback callback, int status, ObjectNode node) {
         response.setStatus(status);
         response.getHeaders().put(HttpHeader.CONTENT_TYPE, "application/json");
         response.write(true, ByteBuffer.wrap(node.toString().getBytes(StandardCharsets.UTF_8)), callback);
--- a/src/main/java/org/cuminshelf/standin/StandInService.java
+++ b/src/main/java/org/cuminshelf/standin/StandInService.java
@@ -18,9 +18,9 @@
 import org.eclipse.jetty.util.Callback;
 
 /**
- * A registry that gives numbers to titles: {@code POST /numbers} with a title as its body gives the next number, every
- * time it runs; {@code GET /runs} tells how often each title was given one. A call that ran twice shows there.
- * {@code GET /closed} is answered with status 401 and no challenge.
+ * HTTP service that assigns sequential numbers to titles. {@code POST /numbers} takes a title as its body and assigns a
+ * new number on every execution. {@code GET /runs} returns the number of executions by title, which reveals calls that
+ * were executed more than once. {@code GET /closed} returns status 401 without a challenge.
  */
 public final class StandInService extends Handler.Abstract implements AutoCloseable {
 
@@ -38,10 +38,10 @@
     /**
      * Starts a service.
      *
-     * @param address     where it listens; port 0 takes a free one
-     * @param delayMillis how long it takes to give a number
-     * @return the service
-     * @throws IOException if the address can't be used
+     * @param address     the listen address; port 0 selects a free port
+     * @param delayMillis the delay of each {@code POST /numbers} response, in milliseconds
+     * @return the running service
+     * @throws IOException if the address cannot be bound
      */
     public static StandInService start(Address address, long delayMillis) throws IOException {
         StandInService service = new StandInService(delayMillis);
@@ -50,7 +50,7 @@
     }
 
     /**
-     * The port in use.
+     * Returns the port on which the service listens.
      *
      * @return the port
      */
@@ -59,9 +59,9 @@
     }
 
     /**
-     * Tells how often each title was given a number.
+     * Returns how often a number was assigned to each title.
      *
-     * @return times by title
+     * @return the number of executions by title
      */
     public synchronized Map<String, Integer> runs() {
         return new TreeMap<>(runs);
@@ -72,11 +72,11 @@
         String path = Request.getPathInContext(request);
         if (path.equals("/numbers") && request.getMethod().equals("POST")) {
             String title = Content.Source.asString(request, StandardCharsets.UTF_8);
-            long number = assign(title);
+            long number = assignNumber(title);
             if (delayMillis > 0) {
                 Thread.sleep(delayMillis);
             }
-            write(
+            writeJson(
                     response,
                     callback,
                     JSON.createObjectNode().put("title", title).put("number", number));
@@ -86,9 +86,9 @@
         } else if (path.equals("/runs")) {
             ObjectNode node = JSON.createObjectNode();
             runs().forEach(node::put);
-            write(response, callback, node);
+            writeJson(response, callback, node);
         } else {
-            write(
+            writeJson(
                     response,
                     callback,
                     JSON.createObjectNode().put("service", "registry").put("path", path));
@@ -101,12 +101,12 @@
         listener.close();
     }
 
-    private synchronized long assign(String title) {
+    private synchronized long assignNumber(String title) {
         runs.merge(title, 1, Integer::sum);
         return nextNumber++;
     }
 
-    private static void write(Response response, Callback callback, ObjectNode node) {
+    private static void writeJson(Response response, Callback callback, ObjectNode node) {
         response.setStatus(200);
         response.getHeaders().put(HttpHeader.CONTENT_TYPE, "application/json");
         response.write(true, ByteBuffer.wrap(node.toString().getBytes(StandardCharsets.UTF_8)), callback);
--- a/src/main/java/org/cuminshelf/standin/StandInText.java
+++ b/src/main/java/org/cuminshelf/standin/StandInText.java
@@ -4,7 +4,10 @@
 import java.util.List;
 import net.openhft.hashing.LongHashFunction;
 
-/** What the stand-in engine says: a text that follows from the prompt alone, so that anyone can check an answer. */
+/**
+ * Generates the output of the stand-in engine. The output depends only on the prompt and the token limit, so callers
+ * can verify an answer.
+ */
 public final class StandInText {
 
     private static final String[] WORDS = {
@@ -15,51 +18,51 @@
     private StandInText() {}
 
     /**
-     * A token of an answer.
+     * Returns one token of an answer.
      *
-     * @param promptHash the hash of the prompt, by {@link #hash}
-     * @param position   its place, from 0
-     * @return the token with its leading space
+     * @param promptHash the prompt hash from {@link #hashPrompt}
+     * @param position   the zero-based position of the token in the answer
+     * @return the token, including its leading space
      */
-    public static String token(long promptHash, int position) {
+    public static String answerToken(long promptHash, int position) {
         long mixed = LongHashFunction.xx3(promptHash).hashLong(position);
         return " " + WORDS[(int) (mixed & (WORDS.length - 1))] + position;
     }
 
     /**
-     * The hash of a prompt.
+     * Computes the hash of a prompt.
      *
      * @param prompt the prompt
      * @return the hash
      */
-    public static long hash(String prompt) {
+    public static long hashPrompt(String prompt) {
         return LongHashFunction.xx3().hashChars(prompt);
     }
 
     /**
-     * The number of tokens of an answer.
+     * Returns the number of tokens in an answer.
      *
-     * @param promptHash the hash of the prompt
-     * @param maxTokens  the most tokens asked for
-     * @return between half and all of them
+     * @param promptHash the prompt hash from {@link #hashPrompt}
+     * @param maxTokens  the requested maximum number of tokens
+     * @return a number from half the maximum to the maximum, at least 1
      */
-    public static int length(long promptHash, int maxTokens) {
+    public static int answerLength(long promptHash, int maxTokens) {
         int half = maxTokens / 2;
         return Math.max(1, half + (int) Long.remainderUnsigned(promptHash, (long) maxTokens - half + 1));
     }
 
     /**
-     * The whole answer.
+     * Returns the complete answer.
      *
      * @param prompt    the prompt
-     * @param maxTokens the most tokens asked for
-     * @return its tokens
+     * @param maxTokens the requested maximum number of tokens
+     * @return the tokens of the answer
      */
     public static List<String> answer(String prompt, int maxTokens) {
-        long hash = hash(prompt);
+        long promptHash = hashPrompt(prompt);
         List<String> tokens = new ArrayList<>();
-        for (int position = 0; position < length(hash, maxTokens); position++) {
-            tokens.add(token(hash, position));
+        for (int position = 0; position < answerLength(promptHash, maxTokens); position++) {
+            tokens.add(answerToken(promptHash, position));
         }
         return tokens;
     }
--- a/src/main/java/org/cuminshelf/trial/Experiment.java
+++ b/src/main/java/org/cuminshelf/trial/Experiment.java
@@ -154,9 +154,9 @@
 
     private PlannerSettings plannerSettings() {
         return new PlannerSettings(
-                speed.prefillPerSecond(),
-                speed.decodePerSecond(),
-                speed.changeNanos() / NANOS_PER_SECOND,
+                speed.prefillTokensPerSecond(),
+                speed.decodeTokensPerSecond(),
+                speed.roleChangeNanos() / NANOS_PER_SECOND,
                 60,
                 8,
                 contender.weight(),
@@ -276,11 +276,11 @@
 
     /** Engine seconds of prefill and decode that one call of each kind needs. */
     private double prefillWork(int prompt) {
-        return prompt / (double) speed.prefillPerSecond();
+        return prompt / (double) speed.prefillTokensPerSecond();
     }
 
     private double decodeWork(int output) {
-        return output * OUTPUT_SHARE / speed.decodePerSecond();
+        return output * OUTPUT_SHARE / speed.decodeTokensPerSecond();
     }
 
     private void arrive(long start, double seconds) {
