--- a/src/main/java/org/cuminshelf/bench/ClaimBench.java
+++ b/src/main/java/org/cuminshelf/bench/ClaimBench.java
@@ -29,29 +29,31 @@
 import org.cuminshelf.process.ControlProcess;
 import org.cuminshelf.replica.ReplicaSettings;
 
-/** Claims through a group of three control processes with real disks and sockets, with group commit and without. */
+/**
+ * Benchmark of claims in a group of three control processes with real disks and sockets, with and without group commit.
+ */
 public final class ClaimBench {
 
     private static final String HOST = "127.0.0.1";
     private static final String GROUP = "region";
     private static final int REPLICAS = 3;
-    private static final int CLAIMS = 4_000;
-    private static final int[] OUTSTANDING = {1, 16, 128};
-    private static final long PATIENCE_SECONDS = 30;
-    private static final long MOST_WITHOUT_GROUP_COMMIT = 600;
+    private static final int CLAIMS_PER_RUN = 4_000;
+    private static final int[] OUTSTANDING_CLAIMS = {1, 16, 128};
+    private static final long TIMEOUT_SECONDS = 30;
+    private static final long MAX_CLAIMS_WITHOUT_GROUP_COMMIT = 600;
 
     private final List<Address> addresses = new ArrayList<>();
     private final TcpNetwork network = TcpNetwork.open(1, Optional.empty());
-    private final Map<Long, Long> sentAt = new ConcurrentHashMap<>();
-    private final Address self;
+    private final Map<Long, Long> sentAtNanos = new ConcurrentHashMap<>();
+    private final Address ownAddress;
     private volatile Address leader;
-    private volatile Semaphore slots = new Semaphore(0);
-    private volatile Histogram latencies = new ConcurrentHistogram(3);
-    private final AtomicLong granted = new AtomicLong();
-    private long nextQuestion = 1;
+    private volatile Semaphore permits = new Semaphore(0);
+    private volatile Histogram latenciesNanos = new ConcurrentHistogram(3);
+    private final AtomicLong grantedCount = new AtomicLong();
+    private long nextQuestionId = 1;
 
     private ClaimBench() throws IOException {
-        self = freeAddress();
+        ownAddress = freeAddress();
         for (int i = 0; i < REPLICAS; i++) {
             addresses.add(freeAddress());
         }
@@ -59,11 +61,11 @@
     }
 
     /**
-     * Measures both.
+     * Runs the benchmark with and without group commit.
      *
-     * @return lines of figures
-     * @throws IOException          if a process can not be started
-     * @throws InterruptedException if the wait is interrupted
+     * @return the result lines to print
+     * @throws IOException          if a process cannot be started, no leader is elected or a claim is not granted
+     * @throws InterruptedException if the benchmark is interrupted
      */
     public static List<String> measure() throws IOException, InterruptedException {
         List<String> lines = new ArrayList<>();
@@ -75,16 +77,16 @@
 
     private void measure(boolean groupCommit, List<String> lines) throws IOException, InterruptedException {
         List<ControlProcess> processes = new ArrayList<>();
-        Path folder = Files.createTempDirectory("claims");
+        Path directory = Files.createTempDirectory("claims");
         try {
             for (Address address : addresses) {
-                processes.add(start(address, folder.resolve(address.value().replace(':', '-')), groupCommit));
+                processes.add(start(address, directory.resolve(address.value().replace(':', '-')), groupCommit));
             }
-            network.listen(self, this::onMessage);
+            network.listen(ownAddress, this::onMessage);
             awaitLeader();
-            for (int outstanding : OUTSTANDING) {
-                long claims = groupCommit ? CLAIMS : Math.min(CLAIMS, MOST_WITHOUT_GROUP_COMMIT);
-                run(outstanding, claims, groupCommit, lines);
+            for (int outstanding : OUTSTANDING_CLAIMS) {
+                long claims = groupCommit ? CLAIMS_PER_RUN : Math.min(CLAIMS_PER_RUN, MAX_CLAIMS_WITHOUT_GROUP_COMMIT);
+                measureClaims(outstanding, claims, groupCommit, lines);
             }
         } finally {
             processes.forEach(ControlProcess::close);
@@ -92,7 +94,7 @@
         }
     }
 
-    private ControlProcess start(Address address, Path folder, boolean groupCommit) throws IOException {
+    private ControlProcess start(Address address, Path directory, boolean groupCommit) throws IOException {
         ControlSettings settings = new ControlSettings(
                 "r",
                 List.of(
@@ -101,16 +103,16 @@
         return ControlProcess.start(
                 CommonSettings.unencrypted(address, "r", "z", address.value()),
                 new ControlProcess.Options(
-                        settings, folder, Address.of(HOST + ":0"), Optional.empty(), Set.of(), true, groupCommit),
+                        settings, directory, Address.of(HOST + ":0"), Optional.empty(), Set.of(), true, groupCommit),
                 () -> {});
     }
 
     private void awaitLeader() throws InterruptedException, IOException {
-        slots = new Semaphore(0);
-        long end = System.nanoTime() + TimeUnit.SECONDS.toNanos(PATIENCE_SECONDS);
-        while (System.nanoTime() < end) {
-            send();
-            if (slots.tryAcquire(300, TimeUnit.MILLISECONDS)) {
+        permits = new Semaphore(0);
+        long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS);
+        while (System.nanoTime() < deadlineNanos) {
+            sendClaim();
+            if (permits.tryAcquire(300, TimeUnit.MILLISECONDS)) {
                 return;
             }
             leader = addresses.get((addresses.indexOf(leader) + 1) % addresses.size());
@@ -118,19 +120,19 @@
         throw new IOException("no leader was elected in time");
     }
 
-    private void run(int outstanding, long claims, boolean groupCommit, List<String> lines)
+    private void measureClaims(int outstanding, long claims, boolean groupCommit, List<String> lines)
             throws InterruptedException, IOException {
-        latencies = new ConcurrentHistogram(3);
-        slots = new Semaphore(outstanding);
-        granted.set(0);
+        latenciesNanos = new ConcurrentHistogram(3);
+        permits = new Semaphore(outstanding);
+        grantedCount.set(0);
         long start = System.nanoTime();
         for (int i = 0; i < claims; i++) {
-            if (!slots.tryAcquire(PATIENCE_SECONDS, TimeUnit.SECONDS)) {
+            if (!permits.tryAcquire(TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
                 throw new IOException("a claim was not answered");
             }
-            send();
+            sendClaim();
         }
-        if (!slots.tryAcquire(outstanding, PATIENCE_SECONDS, TimeUnit.SECONDS)) {
+        if (!permits.tryAcquire(outstanding, TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
             throw new IOException("claims were not answered");
         }
         double seconds = (System.nanoTime() - start) / 1e9;
@@ -139,13 +141,13 @@
                 groupCommit ? "on" : "off",
                 outstanding,
                 claims / seconds,
-                latencies.getValueAtPercentile(50) / 1e6,
-                latencies.getValueAtPercentile(99) / 1e6,
-                granted.get()));
+                latenciesNanos.getValueAtPercentile(50) / 1e6,
+                latenciesNanos.getValueAtPercentile(99) / 1e6,
+                grantedCount.get()));
     }
 
-    private void send() {
-        long question = nextQuestion++;
+    private void sendClaim() {
+        long question = nextQuestionId++;
         ClaimRequest request = ClaimRequest.newBuilder()
                 .setQuestion(question)
                 .setGroup(GROUP)
@@ -159,9 +161,9 @@
                                 .setSession(1L << 60)
                                 .setNumber(question)))
                 .build();
-        sentAt.put(question, System.nanoTime());
+        sentAtNanos.put(question, System.nanoTime());
         Envelope message = Envelope.newBuilder()
-                .setFrom(self.value())
+                .setFrom(ownAddress.value())
                 .setIncarnation(1)
                 .setClaimRequest(request)
                 .build();
@@ -173,14 +175,14 @@
             return;
         }
         ClaimAnswer answer = message.getClaimAnswer();
-        Long sent = sentAt.remove(answer.getQuestion());
-        boolean done = answer.getResult() == ClaimResult.CLAIM_GRANTED;
-        if (sent == null || !done) {
+        Long claimSentAtNanos = sentAtNanos.remove(answer.getQuestion());
+        boolean isGranted = answer.getResult() == ClaimResult.CLAIM_GRANTED;
+        if (claimSentAtNanos == null || !isGranted) {
             return;
         }
-        latencies.recordValue(System.nanoTime() - sent);
-        granted.incrementAndGet();
-        slots.release();
+        latenciesNanos.recordValue(System.nanoTime() - claimSentAtNanos);
+        grantedCount.incrementAndGet();
+        permits.release();
     }
 
     private static Address freeAddress() throws IOException {
--- a/src/main/java/org/cuminshelf/bench/EntryLoad.java
+++ b/src/main/java/org/cuminshelf/bench/EntryCoreDriver.java
@@ -22,20 +22,20 @@
 import org.cuminshelf.message.Update;
 import org.cuminshelf.message.UpstreamKind;
 
-/** Drives an entry's core by hand with as many upstreams as asked for. */
-final class EntryLoad {
+/** Drives an {@link EntryCore} without sockets, simulating control and a given number of upstreams. */
+final class EntryCoreDriver {
 
     private static final Address CONTROL = Address.of("10.0.0.1:7000");
     private static final int SLOTS = 64;
     private static final int PREFIX_BLOCKS = 16;
 
-    final NullOutbox out = new NullOutbox();
+    final CountingOutbox outbox = new CountingOutbox();
     private final EntryCore core;
     private final List<Address> upstreams = new ArrayList<>();
     private long now = Durations.nanos(1_000);
-    private long nextCall = 1;
+    private long nextCallId = 1;
 
-    EntryLoad(int upstreamCount, int subset) {
+    EntryCoreDriver(int upstreamCount, int subset) {
         EntrySettings settings = EntrySettings.of("r", "zone-0", "e", List.of(CONTROL), 10_000, subset, "region");
         core = EntryCore.start(settings, Address.of("10.0.1.1:7000"), 1, now, Invariants.throwing());
         Update.Builder update = Update.newBuilder()
@@ -49,8 +49,8 @@
             upstreams.add(address);
             update.addMembers(member(address, number));
         }
-        give(CONTROL, Envelope.newBuilder().setUpdate(update));
-        heartbeats();
+        deliver(CONTROL, Envelope.newBuilder().setUpdate(update));
+        exchangeHeartbeats();
     }
 
     static Member member(Address address, int number) {
@@ -66,18 +66,18 @@
                 .build();
     }
 
-    /** Opens or renews the sessions that the core asks for. */
-    void heartbeats() {
+    /** Advances time by 1 s and opens or renews the session of every upstream with a load report. */
+    void exchangeHeartbeats() {
         now += Durations.nanos(1_000);
-        core.tick(now, out);
-        out.take();
+        core.tick(now, outbox);
+        outbox.takeMessages();
         for (int i = 0; i < upstreams.size(); i++) {
-            report(i);
+            sendLoadReport(i);
         }
     }
 
-    /** Gives one load report of an upstream. */
-    void report(int upstream) {
+    /** Delivers a load report from the upstream with the given index. */
+    void sendLoadReport(int upstream) {
         LoadReport load = LoadReport.newBuilder()
                 .setSlots(SLOTS)
                 .setRunning(3)
@@ -89,12 +89,15 @@
                 .setEntryIncarnation(1)
                 .setLoad(load)
                 .build();
-        give(upstreams.get(upstream), Envelope.newBuilder().setSessionOpened(opened));
+        deliver(upstreams.get(upstream), Envelope.newBuilder().setSessionOpened(opened));
     }
 
-    /** Runs one call through: arrival, dispatch, so many tokens, end. Tells the time of the decision alone. */
-    void call(int tokens, String organisation, LongConsumer decisionNanos) {
-        long id = nextCall++;
+    /**
+     * Runs one call from arrival through dispatch and the given number of tokens to its end. Passes only the time
+     * that the core took to decide on the call at its arrival to the recorder, in nanoseconds.
+     */
+    void call(int tokens, String organisation, LongConsumer decisionNanosRecorder) {
+        long id = nextCallId++;
         Generation.Builder generation = Generation.newBuilder()
                 .setModel("m")
                 .setPrompt("a prompt of usual length")
@@ -110,15 +113,17 @@
                 .build();
         now += 100_000;
         long start = System.nanoTime();
-        give(Address.CALLERS, Envelope.newBuilder().setCallArrived(call));
-        decisionNanos.accept(System.nanoTime() - start);
-        Envelope sent =
-                out.take().stream().filter(Envelope::hasDispatch).findFirst().orElseThrow();
-        answer(sent.getDispatch(), tokens);
-        out.take();
+        deliver(Address.CALLERS, Envelope.newBuilder().setCallArrived(call));
+        decisionNanosRecorder.accept(System.nanoTime() - start);
+        Envelope sent = outbox.takeMessages().stream()
+                .filter(Envelope::hasDispatch)
+                .findFirst()
+                .orElseThrow();
+        sendAnswer(sent.getDispatch(), tokens);
+        outbox.takeMessages();
     }
 
-    private void answer(Dispatch dispatch, int tokens) {
+    private void sendAnswer(Dispatch dispatch, int tokens) {
         Address upstream = upstreams.get((int) dispatch.getSession() - 1);
         for (int token = 0; token < tokens; token++) {
             now += 10_000;
@@ -128,7 +133,7 @@
                     .setOffset(token)
                     .addTokens(" token")
                     .build();
-            give(upstream, Envelope.newBuilder().setChunk(chunk));
+            deliver(upstream, Envelope.newBuilder().setChunk(chunk));
         }
         Ended ended = Ended.newBuilder()
                 .setSession(dispatch.getSession())
@@ -137,22 +142,22 @@
                 .setRan(Ran.RAN)
                 .setLoad(LoadReport.newBuilder().setSlots(SLOTS).setCounted(dispatch.getNumber()))
                 .build();
-        give(upstream, Envelope.newBuilder().setEnded(ended));
+        deliver(upstream, Envelope.newBuilder().setEnded(ended));
     }
 
-    /** Lets time pass, answering heartbeats, and tells nothing. */
-    void idleSecond() {
+    /** Advances time by 1 s without delivering any message; each session heartbeat triggers another tick. */
+    void advanceIdleSecond() {
         now += Durations.nanos(1_000);
-        core.tick(now, out);
-        for (Envelope message : out.take()) {
+        core.tick(now, outbox);
+        for (Envelope message : outbox.takeMessages()) {
             if (message.hasOpenSession()) {
-                core.tick(now, out);
+                core.tick(now, outbox);
             }
         }
     }
 
-    private void give(Address from, Envelope.Builder message) {
-        core.accept(now, message.setFrom(from.value()).setIncarnation(1L << 60).build(), out);
-        core.tick(now, out);
+    private void deliver(Address from, Envelope.Builder message) {
+        core.accept(now, message.setFrom(from.value()).setIncarnation(1L << 60).build(), outbox);
+        core.tick(now, outbox);
     }
 }
--- a/src/main/java/org/cuminshelf/bench/Heap.java
+++ b/src/main/java/org/cuminshelf/bench/Heap.java
@@ -2,24 +2,24 @@
 
 import java.util.function.Supplier;
 
-/** Heap in use, after collections. */
+/** Measures heap use after garbage collection. */
 final class Heap {
 
-    private static final int COLLECTIONS = 4;
+    private static final int GC_CYCLES = 4;
 
     private Heap() {}
 
-    /** The bytes that what a supplier makes keeps alive. */
-    static long kept(Supplier<Object> made) {
-        long before = used();
-        Object alive = made.get();
-        long after = used();
-        java.lang.ref.Reference.reachabilityFence(alive);
+    /** Returns the number of heap bytes retained by the object that the factory creates. */
+    static long retainedBytes(Supplier<Object> factory) {
+        long before = usedBytesAfterGc();
+        Object retained = factory.get();
+        long after = usedBytesAfterGc();
+        java.lang.ref.Reference.reachabilityFence(retained);
         return after - before;
     }
 
-    private static long used() {
-        for (int i = 0; i < COLLECTIONS; i++) {
+    private static long usedBytesAfterGc() {
+        for (int i = 0; i < GC_CYCLES; i++) {
             System.gc();
         }
         Runtime runtime = Runtime.getRuntime();
--- a/src/main/java/org/cuminshelf/bench/SlopeBench.java
+++ b/src/main/java/org/cuminshelf/bench/SlopeBench.java
@@ -25,147 +25,155 @@
 import org.cuminshelf.sidecar.SidecarCore;
 import org.cuminshelf.sidecar.SidecarSettings;
 
-/** What one more upstream, organisation, request or report costs in the cores, without sockets. */
+/**
+ * Benchmark of the marginal cost of an upstream, an organisation, a request and a load report in the cores, without
+ * sockets, and of message sizes.
+ */
 public final class SlopeBench {
 
-    private static final int SUBSET = 32;
-    private static final int TOKENS = 50;
-    private static final int WARM_UP = 3_000;
-    private static final int COUNTED = 10_000;
-    /** Nanoseconds after the start at which a sidecar takes work. */
-    private static final long SETTLED = 10_000_000_000L;
+    private static final int SUBSET_SIZE = 32;
+    private static final int TOKENS_PER_CALL = 50;
+    private static final int WARM_UP_CALLS = 3_000;
+    private static final int MEASURED_CALLS = 10_000;
+    /** Time after its start at which a sidecar accepts work. */
+    private static final long SIDECAR_READY_NANOS = 10_000_000_000L;
 
-    private static final int[] FLEETS = {17, 300, 900};
+    private static final int[] UPSTREAM_COUNTS = {17, 300, 900};
 
     private SlopeBench() {}
 
     /**
-     * Measures everything.
+     * Runs all measurements.
      *
-     * @return lines of {@code name = value unit}
+     * @return result lines of the form {@code name = value unit}
      */
     public static List<String> measure() {
         List<String> lines = new ArrayList<>();
-        for (int fleet : FLEETS) {
-            entryCalls(fleet, lines);
+        for (int upstreamCount : UPSTREAM_COUNTS) {
+            measureEntryCalls(upstreamCount, lines);
         }
-        reports(lines);
-        entryMemory(lines);
-        sidecarCalls(lines);
-        messageSizes(lines);
+        measureLoadReports(lines);
+        measureEntryHeap(lines);
+        measureSidecarAttempts(lines);
+        measureMessageSizes(lines);
         return lines;
     }
 
-    private static void entryCalls(int fleet, List<String> lines) {
-        EntryLoad load = new EntryLoad(fleet, SUBSET);
-        Histogram decisions = new Histogram(3);
-        for (int i = 0; i < WARM_UP; i++) {
-            load.call(TOKENS, "organisation-" + i % 2_000, nanos -> {});
+    private static void measureEntryCalls(int upstreamCount, List<String> lines) {
+        EntryCoreDriver driver = new EntryCoreDriver(upstreamCount, SUBSET_SIZE);
+        Histogram decisionNanos = new Histogram(3);
+        for (int i = 0; i < WARM_UP_CALLS; i++) {
+            driver.call(TOKENS_PER_CALL, "organisation-" + i % 2_000, nanos -> {});
         }
-        load.heartbeats();
+        driver.exchangeHeartbeats();
         long start = System.nanoTime();
-        for (int i = 0; i < COUNTED; i++) {
-            load.call(TOKENS, "organisation-" + i % 2_000, decisions::recordValue);
+        for (int i = 0; i < MEASURED_CALLS; i++) {
+            driver.call(TOKENS_PER_CALL, "organisation-" + i % 2_000, decisionNanos::recordValue);
         }
-        long total = System.nanoTime() - start;
+        long totalNanos = System.nanoTime() - start;
         lines.add(String.format(
                 "entry core, %d upstreams: decision p50 = %.1f us, p99 = %.1f us",
-                fleet, decisions.getValueAtPercentile(50) / 1e3, decisions.getValueAtPercentile(99) / 1e3));
+                upstreamCount,
+                decisionNanos.getValueAtPercentile(50) / 1e3,
+                decisionNanos.getValueAtPercentile(99) / 1e3));
         lines.add(String.format(
-                "entry core, %d upstreams: whole call of %d tokens = %.1f us", fleet, TOKENS, total / 1e3 / COUNTED));
+                "entry core, %d upstreams: whole call of %d tokens = %.1f us",
+                upstreamCount, TOKENS_PER_CALL, totalNanos / 1e3 / MEASURED_CALLS));
     }
 
-    private static void reports(List<String> lines) {
-        EntryLoad load = new EntryLoad(900, SUBSET);
-        for (int i = 0; i < WARM_UP * 10; i++) {
-            load.report(i % 900);
-            load.out.take();
+    private static void measureLoadReports(List<String> lines) {
+        EntryCoreDriver driver = new EntryCoreDriver(900, SUBSET_SIZE);
+        for (int i = 0; i < WARM_UP_CALLS * 10; i++) {
+            driver.sendLoadReport(i % 900);
+            driver.outbox.takeMessages();
         }
         long start = System.nanoTime();
-        for (int i = 0; i < COUNTED * 10; i++) {
-            load.report(i % 900);
-            load.out.take();
+        for (int i = 0; i < MEASURED_CALLS * 10; i++) {
+            driver.sendLoadReport(i % 900);
+            driver.outbox.takeMessages();
         }
-        lines.add(
-                String.format("entry core: load report = %.2f us", (System.nanoTime() - start) / 1e3 / (COUNTED * 10)));
+        lines.add(String.format(
+                "entry core: load report = %.2f us", (System.nanoTime() - start) / 1e3 / (MEASURED_CALLS * 10)));
     }
 
-    private static void entryMemory(List<String> lines) {
-        long few = Heap.kept(() -> new EntryLoad(100, SUBSET));
-        long many = Heap.kept(() -> new EntryLoad(900, SUBSET));
-        lines.add(String.format("entry core: heap for 900 upstreams = %.2f MB", many / 1e6));
-        lines.add(String.format("entry core: heap per upstream = %d bytes", (many - few) / 800));
-        EntryLoad load = new EntryLoad(100, SUBSET);
-        long organisations = Heap.kept(() -> {
+    private static void measureEntryHeap(List<String> lines) {
+        long smallFleetBytes = Heap.retainedBytes(() -> new EntryCoreDriver(100, SUBSET_SIZE));
+        long largeFleetBytes = Heap.retainedBytes(() -> new EntryCoreDriver(900, SUBSET_SIZE));
+        lines.add(String.format("entry core: heap for 900 upstreams = %.2f MB", largeFleetBytes / 1e6));
+        lines.add(String.format("entry core: heap per upstream = %d bytes", (largeFleetBytes - smallFleetBytes) / 800));
+        EntryCoreDriver driver = new EntryCoreDriver(100, SUBSET_SIZE);
+        long organisationBytes = Heap.retainedBytes(() -> {
             for (int i = 0; i < 2_000; i++) {
-                load.call(1, "organisation-number-" + i, nanos -> {});
+                driver.call(1, "organisation-number-" + i, nanos -> {});
             }
-            return load;
+            return driver;
         });
-        lines.add(String.format("entry core: heap per organisation = %d bytes", organisations / 2_000));
+        lines.add(String.format("entry core: heap per organisation = %d bytes", organisationBytes / 2_000));
     }
 
-    private static void sidecarCalls(List<String> lines) {
+    private static void measureSidecarAttempts(List<String> lines) {
         SidecarSettings settings = new SidecarSettings(
                 "", UpstreamKind.UPSTREAM_ENGINE, "r", "z", "vm", 64, false, List.of(Address.of("10.0.0.1:7000")));
         SidecarCore core =
                 SidecarCore.start(settings, 1, 0, RandomSource.XO_RO_SHI_RO_128_PP.create(1), Invariants.throwing());
-        NullOutbox out = new NullOutbox();
+        CountingOutbox outbox = new CountingOutbox();
         Address entry = Address.of("10.0.1.1:7000");
-        give(core, 1, entry, Envelope.newBuilder().setOpenSession(OpenSession.getDefaultInstance()), out);
-        long session = out.take().stream()
+        deliver(core, 1, entry, Envelope.newBuilder().setOpenSession(OpenSession.getDefaultInstance()), outbox);
+        long session = outbox.takeMessages().stream()
                 .filter(Envelope::hasSessionOpened)
                 .findFirst()
                 .orElseThrow()
                 .getSessionOpened()
                 .getSession();
-        give(
+        deliver(
                 core,
-                SETTLED,
+                SIDECAR_READY_NANOS,
                 Address.UPSTREAM,
                 Envelope.newBuilder()
                         .setUpstreamState(
                                 UpstreamState.newBuilder().setReachable(true).setToken(Long.MAX_VALUE - 1)),
-                out);
-        core.tick(SETTLED, out);
+                outbox);
+        core.tick(SIDECAR_READY_NANOS, outbox);
         long start = 0;
-        for (int i = 1; i <= WARM_UP + COUNTED; i++) {
-            if (i == WARM_UP) {
+        for (int i = 1; i <= WARM_UP_CALLS + MEASURED_CALLS; i++) {
+            if (i == WARM_UP_CALLS) {
                 start = System.nanoTime();
             }
-            attempt(core, entry, session, SETTLED + i, i, out);
+            runAttempt(core, entry, session, SIDECAR_READY_NANOS + i, i, outbox);
         }
         lines.add(String.format(
                 "sidecar core: whole attempt of %d tokens = %.1f us",
-                TOKENS, (System.nanoTime() - start) / 1e3 / COUNTED));
+                TOKENS_PER_CALL, (System.nanoTime() - start) / 1e3 / MEASURED_CALLS));
     }
 
-    private static void attempt(SidecarCore core, Address entry, long session, long now, long number, NullOutbox out) {
+    private static void runAttempt(
+            SidecarCore core, Address entry, long session, long now, long number, CountingOutbox outbox) {
         Dispatch dispatch = Dispatch.newBuilder()
                 .setSession(session)
                 .setNumber(number)
                 .setGeneration(Generation.newBuilder().setModel("m").setPrompt("a prompt of usual length"))
                 .build();
-        give(core, now, entry, Envelope.newBuilder().setDispatch(dispatch), out);
-        for (int token = 0; token < TOKENS; token++) {
+        deliver(core, now, entry, Envelope.newBuilder().setDispatch(dispatch), outbox);
+        for (int token = 0; token < TOKENS_PER_CALL; token++) {
             UpstreamPart part = UpstreamPart.newBuilder()
                     .setAttempt(number)
                     .addTokens(" token")
                     .build();
-            give(core, now, Address.UPSTREAM, Envelope.newBuilder().setUpstreamPart(part), out);
+            deliver(core, now, Address.UPSTREAM, Envelope.newBuilder().setUpstreamPart(part), outbox);
         }
         UpstreamEnd end =
                 UpstreamEnd.newBuilder().setAttempt(number).setRan(Ran.RAN).build();
-        give(core, now, Address.UPSTREAM, Envelope.newBuilder().setUpstreamEnd(end), out);
-        out.take();
+        deliver(core, now, Address.UPSTREAM, Envelope.newBuilder().setUpstreamEnd(end), outbox);
+        outbox.takeMessages();
     }
 
-    private static void give(SidecarCore core, long now, Address from, Envelope.Builder message, NullOutbox out) {
-        core.accept(now, message.setFrom(from.value()).setIncarnation(1).build(), out);
-        core.tick(now, out);
+    private static void deliver(
+            SidecarCore core, long now, Address from, Envelope.Builder message, CountingOutbox outbox) {
+        core.accept(now, message.setFrom(from.value()).setIncarnation(1).build(), outbox);
+        core.tick(now, outbox);
     }
 
-    private static void messageSizes(List<String> lines) {
+    private static void measureMessageSizes(List<String> lines) {
         LoadReport load = LoadReport.newBuilder()
                 .setRunning(40)
                 .setQueued(3)
@@ -183,7 +191,7 @@
                 .setLoad(load)
                 .setConfigVersion(500)
                 .build();
-        size("announcement", Envelope.newBuilder().setAnnounce(announce), lines);
+        addMessageSize("announcement", Envelope.newBuilder().setAnnounce(announce), lines);
         Subscribe subscribe = Subscribe.newBuilder()
                 .setConfigVersion(500)
                 .setDirectoryVersion(10_000)
@@ -192,7 +200,7 @@
                 .setVm("entry-100")
                 .setWantsDirectory(true)
                 .build();
-        size("subscription heartbeat", Envelope.newBuilder().setSubscribe(subscribe), lines);
+        addMessageSize("subscription heartbeat", Envelope.newBuilder().setSubscribe(subscribe), lines);
         Update update = Update.newBuilder()
                 .setConfigVersion(500)
                 .setDirectoryVersion(10_000)
@@ -201,23 +209,24 @@
                 .setEntries(330)
                 .setVoter(true)
                 .build();
-        size("update without news", Envelope.newBuilder().setUpdate(update), lines);
-        Member member = EntryLoad.member(Address.of("10.1.1.1:7000"), 100);
+        addMessageSize("update without news", Envelope.newBuilder().setUpdate(update), lines);
+        Member member = EntryCoreDriver.member(Address.of("10.1.1.1:7000"), 100);
         lines.add("one member in an update = " + member.getSerializedSize() + " bytes");
-        size("session heartbeat", Envelope.newBuilder().setOpenSession(OpenSession.getDefaultInstance()), lines);
+        addMessageSize(
+                "session heartbeat", Envelope.newBuilder().setOpenSession(OpenSession.getDefaultInstance()), lines);
         SessionOpened opened =
                 SessionOpened.newBuilder().setSession(1L << 60).setLoad(load).build();
-        size("load report on a heartbeat", Envelope.newBuilder().setSessionOpened(opened), lines);
+        addMessageSize("load report on a heartbeat", Envelope.newBuilder().setSessionOpened(opened), lines);
         ByteString config = ByteString.copyFrom(new byte[200_000]);
-        size(
+        addMessageSize(
                 "update with a configuration of 200 kB",
                 Envelope.newBuilder().setUpdate(update.toBuilder().setConfig(config)),
                 lines);
     }
 
-    private static void size(String name, Envelope.Builder message, List<String> lines) {
-        Envelope stamped =
+    private static void addMessageSize(String name, Envelope.Builder message, List<String> lines) {
+        Envelope envelope =
                 message.setFrom("10.0.0.100:7000").setIncarnation(1L << 60).build();
-        lines.add(name + " = " + (stamped.getSerializedSize() + Integer.BYTES) + " bytes");
+        lines.add(name + " = " + (envelope.getSerializedSize() + Integer.BYTES) + " bytes");
     }
 }
--- a/src/main/java/org/cuminshelf/bench/package-info.java
+++ b/src/main/java/org/cuminshelf/bench/package-info.java
@@ -1,2 +1,5 @@
-/** Measurements behind docs/CAPACITY.md: what one more of each thing costs, and what a hop adds to a request. */
+/**
+ * Benchmarks for docs/CAPACITY.md: marginal costs in the cores, and the latency that entry and sidecar add to a
+ * request.
+ */
 package org.cuminshelf.bench;
