--- a/src/main/java/org/cuminshelf/bench/ClaimBench.java
+++ b/src/main/java/org/cuminshelf/bench/ClaimBench.java
@@ -47,7 +47,7 @@
     private final Map<Long, Long> sentAtNanos = new ConcurrentHashMap<>();
     private final Address ownAddress;
     private volatile Address leader;
-    private volatile Semaphore permits = new Semaphore(0);
+    private volatile Semaphore claimPermits = new Semaphore(0);
     private volatile Histogram latenciesNanos = new ConcurrentHistogram(3);
     private final AtomicLong grantedCount = new AtomicLong();
     private long nextQuestionId = 1;
@@ -108,11 +108,11 @@
     }
 
     private void awaitLeader() throws InterruptedException, IOException {
-        permits = new Semaphore(0);
+        claimPermits = new Semaphore(0);
         long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_SECONDS);
         while (System.nanoTime() < deadlineNanos) {
             sendClaim();
-            if (permits.tryAcquire(300, TimeUnit.MILLISECONDS)) {
+            if (claimPermits.tryAcquire(300, TimeUnit.MILLISECONDS)) {
                 return;
             }
             leader = addresses.get((addresses.indexOf(leader) + 1) % addresses.size());
@@ -123,16 +123,16 @@
     private void measureClaims(int outstanding, long claims, boolean groupCommit, List<String> lines)
             throws InterruptedException, IOException {
         latenciesNanos = new ConcurrentHistogram(3);
-        permits = new Semaphore(outstanding);
+        claimPermits = new Semaphore(outstanding);
         grantedCount.set(0);
         long start = System.nanoTime();
         for (int i = 0; i < claims; i++) {
-            if (!permits.tryAcquire(TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
+            if (!claimPermits.tryAcquire(TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
                 throw new IOException("a claim was not answered");
             }
             sendClaim();
         }
-        if (!permits.tryAcquire(outstanding, TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
+        if (!claimPermits.tryAcquire(outstanding, TIMEOUT_SECONDS, TimeUnit.SECONDS)) {
             throw new IOException("claims were not answered");
         }
         double seconds = (System.nanoTime() - start) / 1e9;
@@ -182,7 +182,7 @@
         }
         latenciesNanos.recordValue(System.nanoTime() - claimSentAtNanos);
         grantedCount.incrementAndGet();
-        permits.release();
+        claimPermits.release();
     }
 
     private static Address freeAddress() throws IOException {
--- a/src/main/java/org/cuminshelf/standin/StandInText.java
+++ b/src/main/java/org/cuminshelf/standin/StandInText.java
@@ -21,7 +21,7 @@
      * Returns one token of an answer.
      *
      * @param promptHash the prompt hash from {@link #hashPrompt}
-     * @param position   the zero-based position of the token in the answer
+     * @param position   the position of the token in the answer, from 0
      * @return the token, including its leading space
      */
     public static String answerToken(long promptHash, int position) {
